--- a/crates/fleet-rig/src/data_path.rs
+++ b/crates/fleet-rig/src/data_path.rs
@@ -263,31 +263,35 @@
     })
 }
 
-fn config() -> Config {
-    Config {
-        classes: vec![Class::default()],
+fn config() -> BalancerConfig {
+    BalancerConfig {
+        classes: vec![RequestClass::default()],
         max_attempts: 4,
-        cold_from: 0.3,
-        warm_up: 600.0,
-        fall_multiple: 2.5,
-        fall: 2.0,
-        ..Config::default()
+        cold_capacity_share: 0.3,
+        slow_start_window: 600.0,
+        overload_multiple: 2.5,
+        overload_window: 2.0,
+        ..BalancerConfig::default()
     }
 }
 
 /// A module that knows so many servers, every second of them cold if `cold`.
 fn module(servers: usize, cold: bool) -> Balancer {
-    let members: Arc<[Member]> = (0..servers)
-        .map(|n| Member {
+    let members: Arc<[Endpoint]> = (0..servers)
+        .map(|n| Endpoint {
             id: ServerId::of(&format!("s-{n}")),
-            state: MemberState::Ready,
+            state: EndpointState::Ready,
             weight: 1.0,
             started: if cold && n % 2 == 0 { NOW - 10.0 } else { 0.0 },
-            ..Member::default()
+            ..Endpoint::default()
         })
         .collect();
     let mut balancer = Balancer::new(config(), 7);
-    balancer.handle(NOW, &Event::List(ListKind::Full, members), &mut Vec::new());
+    balancer.handle(
+        NOW,
+        &Event::EndpointsUpdated(UpdateKind::Full, members),
+        &mut Vec::new(),
+    );
     balancer
 }
 
@@ -306,7 +310,7 @@
         let start = Instant::now();
         balancer.handle(now, &Event::Request(request), &mut actions);
         let took = micros(start);
-        balancer.handle(now, &Event::Gone(RequestId(n)), &mut actions);
+        balancer.handle(now, &Event::ClientDisconnected(RequestId(n)), &mut actions);
         actions.clear();
         took
     });
@@ -329,10 +333,14 @@
         bytes = text.len();
         let start = Instant::now();
         let list = List::parse(text.as_bytes())?;
-        let kind = [ListKind::Delta, ListKind::Full][usize::from(list.complete)];
+        let kind = [UpdateKind::Delta, UpdateKind::Full][usize::from(list.complete)];
         let members = list.members.iter().map(|(member, _)| *member).collect();
         let now = NOW + round as f64;
-        balancer.handle(now, &Event::List(kind, members), &mut Vec::new());
+        balancer.handle(
+            now,
+            &Event::EndpointsUpdated(kind, members),
+            &mut Vec::new(),
+        );
         times.push(micros(start));
     }
     Ok((bytes as f64, median(times)))
@@ -351,12 +359,12 @@
         request.group = Some(Key::of("topic"));
         balancer.handle(now, &Event::Request(request), &mut actions);
         let sent = actions.drain(..).find_map(|action| match action {
-            Action::Send { server, .. } => Some(server),
+            Action::StartAttempt { server, .. } => Some(server),
             _ => None,
         });
         if let Some(server) = sent {
             held.insert(server);
-            balancer.handle(now, &Event::Standing(id, server), &mut actions);
+            balancer.handle(now, &Event::Established(id, server), &mut actions);
             actions.clear();
         }
         if GROUP.contains(&n) {
--- a/src/api.rs
+++ b/src/api.rs
@@ -47,9 +47,9 @@
     }
 }
 
-/// Where the effect of a keyed class is remembered.
+/// Which servers remember the idempotency keys of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum DeduplicationScope {
     /// Every server discards repeats.
     All,
     /// The servers of one zone do.
@@ -60,132 +60,129 @@
 
 /// What a second run of a request would do.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Repeats are harmless.
-    Safe,
+    Idempotent,
     /// Repeats are discarded within `scope` for `window` seconds after the first attempt that may have run.
     Keyed {
         /// Who discards them.
-        scope: Scope,
+        scope: DeduplicationScope,
         /// For how long.
         window: Time,
     },
     /// Repeats are never harmless.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// A class of request.
 #[derive(Clone, Debug)]
-pub struct Class {
+pub struct RequestClass {
     /// Set-up within this time earns the full worth.
-    pub aim: Time,
+    pub latency_objective: Time,
     /// What a repeat does.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// The wanted time of a message on an open connection, where the kind of service has one.
-    pub message_aim: Option<Time>,
+    pub message_latency_objective: Option<Time>,
 }
 
-impl Default for Class {
+impl Default for RequestClass {
     fn default() -> Self {
         Self {
-            aim: 0.5,
+            latency_objective: 0.5,
 
-            effect: Effect::Safe,
-            message_aim: None,
+            idempotency: Idempotency::Idempotent,
+            message_latency_objective: None,
         }
     }
 }
 
 /// How the list of servers reaches a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Discovery {
+pub enum DiscoveryMode {
     /// By itself.
-    Push,
+    Pushed,
     /// Only when asked.
-    Ask,
+    Polled,
 }
 
 /// The settings of one node.
 #[derive(Clone, Debug)]
-pub struct Config {
+pub struct BalancerConfig {
     /// How many nodes share the traffic.
-    pub nodes: u32,
+    pub balancer_count: u32,
     /// This node's number among them, from 0 on.
-    pub number: u32,
+    pub balancer_index: u32,
     /// This node's zone.
     pub zone: u32,
     /// The classes; requests name them by place.
-    pub classes: Vec<Class>,
+    pub classes: Vec<RequestClass>,
     /// How the list of servers comes.
-    pub discovery: Discovery,
+    pub discovery_mode: DiscoveryMode,
     /// Most attempts for a request.
     pub max_attempts: u32,
     /// A connection that is not made within this time has failed.
     pub connect_timeout: Time,
     /// Attempts may be called off.
-    pub may_cancel: bool,
-    /// Peers may be told.
-    pub may_tell: bool,
+    pub can_cancel_attempts: bool,
     /// A refusal may say when to come again, and clients honour up to this.
     pub max_retry_after: Option<Time>,
     /// Servers report, beside loads, how long messages take.
-    pub tells_delay: bool,
-    /// With `Discovery::Ask`: ask at least this often while not subscribed.
-    pub ask_within: Time,
+    pub reports_latency: bool,
+    /// With `DiscoveryMode::Polled`: ask at least this often while not subscribed.
+    pub poll_interval: Time,
     /// A started server can do at least this share of its work.
-    pub cold_from: f64,
+    pub cold_capacity_share: f64,
     /// And all of it after this time.
-    pub warm_up: Time,
+    pub slow_start_window: Time,
     /// Sent more than this multiple of its present capacity,
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// for this time, a cold server falls over.
-    pub fall: Time,
+    pub overload_window: Time,
 }
 
-impl Default for Config {
+impl Default for BalancerConfig {
     fn default() -> Self {
         Self {
-            nodes: 1,
-            number: 0,
+            balancer_count: 1,
+            balancer_index: 0,
             zone: 0,
             classes: Vec::new(),
-            discovery: Discovery::Push,
+            discovery_mode: DiscoveryMode::Pushed,
             max_attempts: 3,
             connect_timeout: 0.25,
-            may_cancel: false,
-            may_tell: false,
+            can_cancel_attempts: false,
             max_retry_after: None,
-            tells_delay: false,
-            ask_within: 10.0,
-            cold_from: 1.0,
-            warm_up: 0.0,
-            fall_multiple: 1.0,
-            fall: 1.0,
+            reports_latency: false,
+            poll_interval: 10.0,
+            cold_capacity_share: 1.0,
+            slow_start_window: 0.0,
+            overload_multiple: 1.0,
+            overload_window: 1.0,
         }
     }
 }
 
 /// What the list says of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum MemberState {
+pub enum EndpointState {
     /// Takes new work.
     Ready,
     /// Finishes its work and takes none.
     Draining,
     /// Removed.
     #[default]
-    Gone,
+    Removed,
 }
 
 /// An entry of the list of servers.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
-pub struct Member {
+pub struct Endpoint {
     /// The server.
     pub id: ServerId,
     /// Its zone.
     pub zone: u32,
     /// What may be sent to it.
-    pub state: MemberState,
+    pub state: EndpointState,
     /// Its size next to the others. What is not a finite number above 0 counts as 1.
     pub weight: f64,
     /// When it last started; 0 for long ago.
@@ -196,7 +193,7 @@
 
 /// What a message from discovery is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
+pub enum UpdateKind {
     /// Only what changed.
     Delta,
     /// Everything; a server that is missing is gone.
@@ -210,35 +207,35 @@
 pub struct Request {
     /// Its id.
     pub id: RequestId,
-    /// Its class's place in [`Config::classes`]; requests of a class that does not exist are refused.
+    /// Its class's place in [`BalancerConfig::classes`]; requests of a class that does not exist are refused.
     pub class: usize,
     /// The client.
     pub key: Option<Key>,
     /// The group of connections it belongs to.
     pub group: Option<Key>,
     /// When the client gives this try up.
-    pub due: Time,
+    pub deadline: Time,
     /// Expected load of the connection, in a fixed unit.
-    pub hint: Option<f64>,
+    pub load_hint: Option<f64>,
     /// Packets of an established connection arrive here.
     pub mid_flow: bool,
     /// The client comes again after a break or a move.
-    pub returned: bool,
+    pub is_reconnect: bool,
 }
 
 impl Request {
     /// A request with nothing known but its class and its end.
-    pub fn new(id: RequestId, class: usize, due: Time) -> Self {
+    pub fn new(id: RequestId, class: usize, deadline: Time) -> Self {
         Self {
             id,
             class,
 
             key: None,
             group: None,
-            due,
-            hint: None,
+            deadline,
+            load_hint: None,
             mid_flow: false,
-            returned: false,
+            is_reconnect: false,
         }
     }
 }
@@ -247,11 +244,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// Served.
-    Ok,
+    Success,
     /// The server returned an error; it may have run.
     Error,
     /// Turned away unseen: it never ran.
-    Full,
+    Rejected,
     /// No answer in time; it may have run.
     Timeout,
     /// No connection: it never ran.
@@ -261,12 +258,12 @@
     /// Called off; it may have run.
     Cancelled,
     /// Not sent at all.
-    Moot,
+    NotSent,
 }
 
 /// The end of an attempt.
 #[derive(Clone, Copy, Debug)]
-pub struct Ended {
+pub struct AttemptEnded {
     /// The request.
     pub id: RequestId,
     /// The attempt's number.
@@ -283,41 +280,41 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// News from discovery.
-    List(ListKind, Arc<[Member]>),
+    EndpointsUpdated(UpdateKind, Arc<[Endpoint]>),
     /// A call to discovery or the subscription failed; the old list stands.
-    ListFailed,
+    DiscoveryFailed,
     /// The settings have changed while running, and with them maybe the place of discovery.
-    Settings(Config),
+    ConfigChanged(BalancerConfig),
     /// A client asks for a connection: exactly one final answer is owed.
     Request(Request),
     /// A connection is open at the start; its attempt 0 stands at this server.
-    Open(Request, ServerId),
+    AlreadyEstablished(Request, ServerId),
     /// The attempt that is out stands: neither time-out nor deadline runs any more.
-    Standing(RequestId, ServerId),
+    Established(RequestId, ServerId),
     /// An attempt has ended.
-    Ended(Ended),
+    AttemptEnded(AttemptEnded),
     /// A standing connection's load now, in microseconds of work a second.
-    Load(RequestId, f64),
+    LoadReport(RequestId, f64),
     /// The time that a message takes now at a server that holds a connection of this node.
-    Delay(ServerId, Time),
+    LatencyReport(ServerId, Time),
     /// A probe, here or at another node, has reached a server (`None`), or could not: until that time it is left
     /// alone, unless a later probe reaches it.
-    Probed(ServerId, Option<Time>),
+    HealthChecked(ServerId, Option<Time>),
     /// The client has left; nothing is owed.
-    Gone(RequestId),
+    ClientDisconnected(RequestId),
     /// This node leaves: if the request has no answer yet, it gets its final one now.
-    Leave(RequestId),
+    ShutdownDeadline(RequestId),
     /// A timer fell due.
     Timer(u64),
     /// Bytes from a peer.
-    Peer(Vec<u8>),
+    PeerMessage(Vec<u8>),
 }
 
 /// What the node is to do, in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Try the request at a server; attempts are numbered from 0.
-    Send {
+    StartAttempt {
         /// The request.
         id: RequestId,
         /// Where.
@@ -326,7 +323,7 @@
         until: Time,
     },
     /// Final answer: declined, a retry is harmless.
-    Refuse {
+    Reject {
         /// The request.
         id: RequestId,
         /// Come again after this; 0 for no advice.
@@ -335,30 +332,21 @@
     /// Final answer: failed, nothing is promised.
     Fail(RequestId),
     /// Stop waiting for an attempt.
-    Cancel {
+    CancelAttempt {
         /// The request.
         id: RequestId,
         /// The attempt's number.
         attempt: u32,
     },
     /// End an open connection politely; its client comes again.
-    Move(RequestId),
+    Migrate(RequestId),
     /// Ask discovery for changes from now on.
-    Watch,
-    /// Send bytes (at most 256) to one peer, or to all.
-    Tell {
-        /// The peer's number; `None` for all.
-        to: Option<u32>,
-        /// What.
-        bytes: Vec<u8>,
-    },
+    PollDiscovery,
     /// Wake the balancer.
-    Timer {
+    SetTimer {
         /// After this time.
         after: Time,
         /// With this token.
         token: u64,
     },
-    /// A line for the operator.
-    Log(String),
 }
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -59,7 +59,7 @@
 const USUAL_STEP: f64 = 1.05;
 /// Before so many set-ups none is called slow: the median is not known yet.
 const SETUPS_KNOWN: u32 = 8;
-/// First pause before asking discovery again, as a share of `ask_within`, doubled with each failure; the
+/// First pause before asking discovery again, as a share of `poll_interval`, doubled with each failure; the
 /// longest: what discovery has counts as told 6 s after it can be reached again, and calls take their time.
 const ASK_PAUSE: f64 = 1.0 / 32.0;
 const ASK_LONGEST: Time = 2.0;
@@ -76,7 +76,7 @@
 #[derive(Default, Deserialize, Serialize)]
 struct Server {
     /// Its entry in the list.
-    at: Member,
+    at: Endpoint,
     /// Requests of this node that are out or stand there; a gone server is kept while there are any.
     #[serde(skip)]
     held: BTreeSet<RequestId>,
@@ -123,7 +123,7 @@
 #[derive(Default, Deserialize, Serialize)]
 pub struct Balancer {
     #[serde(skip)]
-    config: Config,
+    config: BalancerConfig,
     random: u64,
     /// Sorted by id, so that no decision depends on the order of a list.
     servers: Vec<Server>,
@@ -177,7 +177,7 @@
 
 impl Balancer {
     /// A node's balancer at its start. All randomness comes from `seed`.
-    pub fn new(config: Config, seed: u64) -> Self {
+    pub fn new(config: BalancerConfig, seed: u64) -> Self {
         let mut new = Self {
             random: seed,
             ..Self::default()
@@ -187,10 +187,13 @@
     }
 
     /// Takes settings, at the start or while running.
-    fn settle(&mut self, config: &Config) {
-        let aims = config.classes.iter().map(|class| class.aim);
+    fn settle(&mut self, config: &BalancerConfig) {
+        let aims = config.classes.iter().map(|class| class.latency_objective);
         self.wake = (aims.fold(f64::INFINITY, f64::min) * WAKE_SHARE).clamp(0.01, 1.0);
-        let aims = config.classes.iter().filter_map(|class| class.message_aim);
+        let aims = config
+            .classes
+            .iter()
+            .filter_map(|class| class.message_latency_objective);
         self.busy_at = aims.fold(f64::INFINITY, f64::min) * BUSY_FROM;
         // What failed at the old discovery must not delay the first calls to a new one.
         (self.started, self.asks_failed) = (false, 0);
@@ -199,33 +202,38 @@
 
     /// Takes one event and appends what is to be done, in order.
     pub fn handle(&mut self, now: Time, event: &Event, out: &mut Vec<Action>) {
-        if let Event::Settings(config) = event {
+        if let Event::ConfigChanged(config) = event {
             self.settle(config);
         }
         // At the start, and again with new settings, which may name another discovery.
-        if !std::mem::replace(&mut self.started, true) && self.config.discovery == Discovery::Ask {
-            out.push(Action::Watch);
+        if !std::mem::replace(&mut self.started, true)
+            && self.config.discovery_mode == DiscoveryMode::Polled
+        {
+            out.push(Action::PollDiscovery);
         }
         match event {
-            Event::Request(known) | Event::Open(known, _) if self.live.contains_key(&known.id) => {}
-            Event::List(kind, entries) => self.members(now, *kind, entries),
-            Event::ListFailed => self.ask_again(out),
+            Event::Request(known) | Event::AlreadyEstablished(known, _)
+                if self.live.contains_key(&known.id) => {}
+            Event::EndpointsUpdated(kind, entries) => self.members(now, *kind, entries),
+            Event::DiscoveryFailed => self.ask_again(out),
             Event::Request(request) => self.accept(now, request, out),
-            Event::Open(request, server) => self.open(now, request, *server),
-            Event::Standing(id, server) => self.stand(now, *id, *server, out),
-            Event::Ended(ended) => self.ended(now, ended, out),
-            Event::Load(id, load) => self.loaded(*id, *load),
-            Event::Delay(server, delay) => self.noted(now, *server, delay / self.busy_at, out),
-            Event::Probed(id, shut) => self.probed(now, *id, *shut),
-            Event::Gone(id) => self.left(*id, out),
-            Event::Timer(ASK) => out.push(Action::Watch),
-            Event::Leave(id) => self.finish(*id, out),
+            Event::AlreadyEstablished(request, server) => self.open(now, request, *server),
+            Event::Established(id, server) => self.stand(now, *id, *server, out),
+            Event::AttemptEnded(ended) => self.ended(now, ended, out),
+            Event::LoadReport(id, load) => self.loaded(*id, *load),
+            Event::LatencyReport(server, delay) => {
+                self.noted(now, *server, delay / self.busy_at, out)
+            }
+            Event::HealthChecked(id, shut) => self.probed(now, *id, *shut),
+            Event::ClientDisconnected(id) => self.left(*id, out),
+            Event::Timer(ASK) => out.push(Action::PollDiscovery),
+            Event::ShutdownDeadline(id) => self.finish(*id, out),
             Event::Timer(WAKE) => {
                 for id in std::mem::take(&mut self.waiting) {
                     self.attempt(now, id, out);
                 }
             }
-            Event::Settings(_) | Event::Timer(_) | Event::Peer(_) => {}
+            Event::ConfigChanged(_) | Event::Timer(_) | Event::PeerMessage(_) => {}
         }
     }
 
@@ -243,19 +251,22 @@
     fn ask_again(&mut self, out: &mut Vec<Action>) {
         let share = (ASK_PAUSE * f64::from(1 << self.asks_failed.min(4))).min(0.5);
         self.asks_failed += 1;
-        let after = (self.config.ask_within * share).min(ASK_LONGEST) * (0.5 + self.random());
-        out.push(Action::Timer { after, token: ASK });
+        let after = (self.config.poll_interval * share).min(ASK_LONGEST) * (0.5 + self.random());
+        out.push(Action::SetTimer { after, token: ASK });
     }
 
-    fn members(&mut self, now: Time, kind: ListKind, entries: &[Member]) {
+    fn members(&mut self, now: Time, kind: UpdateKind, entries: &[Endpoint]) {
         self.asks_failed = 0;
-        let all = self.servers.iter_mut().filter(|_| kind != ListKind::Delta);
-        all.for_each(|server| server.at.state = MemberState::Gone);
+        let all = self
+            .servers
+            .iter_mut()
+            .filter(|_| kind != UpdateKind::Delta);
+        all.for_each(|server| server.at.state = EndpointState::Removed);
         for entry in entries {
             let (mut at, usable) = (*entry, entry.weight.is_finite() && entry.weight > 0.0);
             at.started = at.started.min(now);
             at.weight = if usable { at.weight } else { 1.0 };
-            let part = f64::from(self.config.number) * GOLDEN + fraction(mix64(at.id.0));
+            let part = f64::from(self.config.balancer_index) * GOLDEN + fraction(mix64(at.id.0));
             let fresh = Server {
                 at,
                 sick: f64::NEG_INFINITY,
@@ -272,13 +283,13 @@
                 Ok(place) => self.servers[place].at = at,
             }
         }
-        let ready = |s: &&Server| s.at.state == MemberState::Ready;
+        let ready = |s: &&Server| s.at.state == EndpointState::Ready;
         let ready = self.servers.iter().filter(ready);
         self.size = ready.map(|s| s.at.weight).sum();
         // A list that drops a cold server and names it again must not bring it a fresh budget.
-        let cold = now - self.config.warm_up;
+        let cold = now - self.config.slow_start_window;
         self.servers.retain(|server| {
-            server.at.state != MemberState::Gone
+            server.at.state != EndpointState::Removed
                 || !server.held.is_empty()
                 || server.at.started > cold
         });
@@ -287,7 +298,7 @@
     fn accept(&mut self, now: Time, request: &Request, out: &mut Vec<Action>) {
         let (first, all, since) = self.rate;
         let (kept, one) = (libm::exp((since - now) / RATE_SPAN), 1.0 / RATE_SPAN);
-        let first = first * kept + if request.returned { 0.0 } else { one };
+        let first = first * kept + if request.is_reconnect { 0.0 } else { one };
         self.rate = (first, all * kept + one, now);
         let live = Live::new(now, request, Phase::Held, self.mean_load());
         self.live.insert(request.id, live);
@@ -305,11 +316,11 @@
 
     /// The share of its capacity that a server has at least by now: it grows evenly while it is cold.
     fn warmth(&self, now: Time, server: &Server) -> f64 {
-        let age = (now - server.at.started) / self.config.warm_up;
+        let age = (now - server.at.started) / self.config.slow_start_window;
         if server.at.started <= 0.0 || age.is_nan() || age >= 1.0 {
             return 1.0;
         }
-        self.config.cold_from + (1.0 - self.config.cold_from) * age.max(0.0)
+        self.config.cold_capacity_share + (1.0 - self.config.cold_capacity_share) * age.max(0.0)
     }
 
     /// Attempts that a cold server may be sent by now: this node's part of the budget. What is not used in
@@ -317,22 +328,23 @@
     fn budget(&self, now: Time, server: &Server, warmth: f64) -> f64 {
         let (tokens, since) = server.tokens;
         // This node's part of what fills the server over a warm-up.
-        let nodes = f64::from(self.config.nodes.max(1));
-        let part = UNIT * server.at.weight / self.mean_load() / self.config.warm_up / nodes;
+        let nodes = f64::from(self.config.balancer_count.max(1));
+        let part =
+            UNIT * server.at.weight / self.mean_load() / self.config.slow_start_window / nodes;
         let fill = if warmth < 1.0 {
             let warmth = (warmth + self.warmth(since, server)) / 2.0;
-            COLD_SAFETY * self.config.fall_multiple * warmth * part
+            COLD_SAFETY * self.config.overload_multiple * warmth * part
         } else {
-            let recovered = (now - server.sick) / self.config.warm_up;
+            let recovered = (now - server.sick) / self.config.slow_start_window;
             let rate = RECOVERY * (self.rate.0 * libm::exp2(RECOVERY * recovered));
             // One that drowned and is quick again is held back less where the fleet has room.
             let load = f64::from(self.standing) * self.mean_load() * nodes;
             let quick = server.level > 0.0 && server.level < 1.0 && load < LIGHT * UNIT * self.size;
             (rate / self.servers.len() as f64).max(if quick { part } else { 0.0 })
         };
-        let most = (fill * self.config.fall).max(1.0);
+        let most = (fill * self.config.overload_window).max(1.0);
         let tokens = tokens + fill * (now - since);
-        if warmth < 1.0 && tokens >= 1.0 && tokens.fract() > fill * self.config.fall {
+        if warmth < 1.0 && tokens >= 1.0 && tokens.fract() > fill * self.config.overload_window {
             return tokens.fract();
         }
         tokens.min(most)
@@ -342,19 +354,20 @@
     fn choose(&self, now: Time, live: &Live, but: Option<ServerId>) -> Option<ServerId> {
         let request = &live.request;
         let key = request.group.or(request.key).unwrap_or(Key(request.id.0));
-        let scope = match (self.class(live)?.effect, live.maybe_ran) {
-            (Effect::Keyed { scope, .. }, Some((_, zone, cell))) => Some((scope, zone, cell)),
+        let scope = match (self.class(live)?.idempotency, live.maybe_ran) {
+            (Idempotency::Keyed { scope, .. }, Some((_, zone, cell))) => Some((scope, zone, cell)),
             _ => None,
         };
         // The best clear server, else the least busy one.
         let mut best: Option<(f64, f64, ServerId, f64, f64)> = None;
         for server in &self.servers {
-            let flows =
-                request.mid_flow && live.attempts == 0 && server.at.state == MemberState::Draining;
-            let listed = server.at.state == MemberState::Ready || flows;
+            let flows = request.mid_flow
+                && live.attempts == 0
+                && server.at.state == EndpointState::Draining;
+            let listed = server.at.state == EndpointState::Ready || flows;
             let in_scope = match scope {
-                Some((Scope::Zone, zone, _)) => server.at.zone == zone,
-                Some((Scope::Cell, _, cell)) => server.at.cell == cell,
+                Some((DeduplicationScope::Zone, zone, _)) => server.at.zone == zone,
+                Some((DeduplicationScope::Cell, _, cell)) => server.at.cell == cell,
                 _ => true,
             };
             let tried = live.tried.contains(&server.at.id) || but == Some(server.at.id);
@@ -362,7 +375,7 @@
                 continue;
             }
             let warmth = self.warmth(now, server);
-            let sick = now < server.sick + self.config.warm_up;
+            let sick = now < server.sick + self.config.slow_start_window;
             if (warmth < 1.0 || sick) && self.budget(now, server, warmth) < 1.0 {
                 continue;
             }
@@ -396,8 +409,8 @@
     fn home(&self, key: Key, server: &Server) -> bool {
         let full = |s: &Server| score(key, s.at.id, s.at.weight);
         let own = full(server);
-        let before = |s: &&Server| s.at.state == MemberState::Ready && full(s) > own;
-        let arrivals = self.rate.1 * self.config.fall;
+        let before = |s: &&Server| s.at.state == EndpointState::Ready && full(s) > own;
+        let arrivals = self.rate.1 * self.config.overload_window;
         let share = (FEW / (arrivals * arrivals)).clamp(HOMES, 1.0);
         (self.servers.iter().filter(before).count() as f64) < share * self.servers.len() as f64
     }
@@ -407,16 +420,21 @@
         let Some(live) = self.live.get(&id) else {
             return;
         };
-        let (due, load) = (live.request.due, live.load);
+        let (due, load) = (live.request.deadline, live.load);
         let arrives = now + self.config.connect_timeout;
         // A second run of what may have run must be harmless, or discarded by the servers, in time.
-        let barred = match (self.class(live).map(|class| class.effect), live.maybe_ran) {
-            (Some(Effect::Unsafe), Some(_)) => true,
-            (Some(Effect::Keyed { window, .. }), Some((sent, ..))) => arrives >= sent + window,
+        let barred = match (
+            self.class(live).map(|class| class.idempotency),
+            live.maybe_ran,
+        ) {
+            (Some(Idempotency::NonIdempotent), Some(_)) => true,
+            (Some(Idempotency::Keyed { window, .. }), Some((sent, ..))) => arrives >= sent + window,
             _ => false,
         };
         let may = live.attempts < self.config.max_attempts && now < due && !barred;
-        let aim = self.class(live).map_or(due, |class| class.aim);
+        let aim = self
+            .class(live)
+            .map_or(due, |class| class.latency_objective);
         // Leave room for another try before the client gives up, unless this is the last.
         let last = live.attempts + 1 >= self.config.max_attempts;
         let patience = if last { f64::INFINITY } else { aim * PATIENCE };
@@ -436,7 +454,7 @@
             let gap = unit * f64::from(1 << self.strain);
             self.next_send = now + gap * (0.5 + self.random());
         }
-        out.push(Action::Send { id, server, until });
+        out.push(Action::StartAttempt { id, server, until });
         if let Ok(at) = self.servers.binary_search_by_key(&server, |s| s.at.id) {
             let warmth = self.warmth(now, &self.servers[at]);
             let tokens = self.budget(now, &self.servers[at], warmth) - 1.0;
@@ -451,14 +469,14 @@
         }
     }
 
-    fn class(&self, live: &Live) -> Option<&Class> {
+    fn class(&self, live: &Live) -> Option<&RequestClass> {
         self.config.classes.get(live.request.class)
     }
 
     fn wait(&mut self, id: RequestId, out: &mut Vec<Action>) {
         if self.waiting.is_empty() {
             let after = self.wake * (0.5 + self.random());
-            out.push(Action::Timer { after, token: WAKE });
+            out.push(Action::SetTimer { after, token: WAKE });
         }
         self.waiting.push(id);
     }
@@ -466,14 +484,14 @@
     /// The final answer where no attempt may follow: a refusal only if a retry by the client is harmless.
     fn finish(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(live) = self.forget(id) else { return };
-        let repeats = match self.class(&live).map(|class| class.effect) {
-            Some(Effect::Unsafe) => false,
-            Some(Effect::Keyed { scope, .. }) => scope == Scope::All,
+        let repeats = match self.class(&live).map(|class| class.idempotency) {
+            Some(Idempotency::NonIdempotent) => false,
+            Some(Idempotency::Keyed { scope, .. }) => scope == DeduplicationScope::All,
             _ => true,
         };
         let harmless = repeats || (live.maybe_ran.is_none() && live.phase == Phase::Held);
         let retry_after = self.config.max_retry_after.unwrap_or(0.0) * self.random();
-        let refuse = Action::Refuse { id, retry_after };
+        let refuse = Action::Reject { id, retry_after };
         out.push(if harmless { refuse } else { Action::Fail(id) });
     }
 
@@ -522,7 +540,7 @@
         }
     }
 
-    fn ended(&mut self, now: Time, ended: &Ended, out: &mut Vec<Action>) {
+    fn ended(&mut self, now: Time, ended: &AttemptEnded, out: &mut Vec<Action>) {
         let (id, to, how) = (ended.id, ended.server, ended.outcome);
         let Some(live) = self.live.get(&id) else {
             return;
@@ -537,7 +555,7 @@
         if let Some(server) = self.find(to) {
             (zone, cell) = (server.at.zone, server.at.cell);
             let failing = match how {
-                Outcome::Full | Outcome::ConnectFailed | Outcome::Timeout => true,
+                Outcome::Rejected | Outcome::ConnectFailed | Outcome::Timeout => true,
                 // One error may be the request's own fault, and one reset the network's.
                 Outcome::Error | Outcome::Reset => {
                     server.errors += (1.0 - server.errors) * ERROR_STEP;
@@ -564,7 +582,10 @@
         self.detach(id, phase, load);
         if let Some(live) = self.live.get_mut(&id) {
             live.phase = Phase::Held;
-            let never_ran = matches!(how, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot);
+            let never_ran = matches!(
+                how,
+                Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
+            );
             if !never_ran && live.maybe_ran.is_none() {
                 live.maybe_ran = Some((sent, zone, cell));
             }
@@ -604,7 +625,7 @@
             return 0.0;
         }
         let whole = FULL_FROM * UNIT * server.at.weight * warmth;
-        let part = whole / f64::from(self.config.nodes.max(1));
+        let part = whole / f64::from(self.config.balancer_count.max(1));
         let mean = self.mean_load();
         // Whose part is less than a connection learns nothing from holding one or none: a guess would send
         // a group's clients to a server each, and every server that holds one pays for the group.
@@ -636,7 +657,7 @@
         heavy.truncate((count + random) as usize);
         // What stands on a drowned server is served nothing: shed it even if it must wait for room.
         heavy.retain(|live| level >= DROWNED || self.choose(now, live, Some(id)).is_some());
-        out.extend(heavy.iter().map(|live| Action::Move(live.request.id)));
+        out.extend(heavy.iter().map(|live| Action::Migrate(live.request.id)));
     }
 
     /// A probe has reached a server, or not: then it is left alone until that time, or until one does.
@@ -654,10 +675,10 @@
     fn left(&mut self, id: RequestId, out: &mut Vec<Action>) {
         if let Some(live) = self.forget(id)
             && matches!(live.phase, Phase::Out(_))
-            && self.config.may_cancel
+            && self.config.can_cancel_attempts
         {
             let attempt = live.attempts - 1;
-            out.push(Action::Cancel { id, attempt });
+            out.push(Action::CancelAttempt { id, attempt });
         }
     }
 }
@@ -671,7 +692,7 @@
             tried: Vec::new(),
             sent: now,
             maybe_ran: None,
-            load: request.hint.unwrap_or(usual_load),
+            load: request.load_hint.unwrap_or(usual_load),
             errors: 0,
         }
     }
--- a/src/config.rs
+++ b/src/config.rs
@@ -89,7 +89,7 @@
     /// The list of servers as last known.
     pub known: List,
     /// The module's settings.
-    pub config: Config,
+    pub config: BalancerConfig,
     /// The classes' names, in the order of the settings.
     pub classes: Vec<String>,
     /// The longest time that a client waits for its answer.
@@ -238,15 +238,18 @@
     Key::of(name.unwrap_or("")).0 as u32
 }
 
-fn class_of(raw: &RawClass, message_aim: Option<f64>) -> Result<Class, String> {
+fn class_of(
+    raw: &RawClass,
+    message_latency_objective: Option<f64>,
+) -> Result<RequestClass, String> {
     let effect = match raw.semantics.as_deref() {
-        None | Some("free") => Effect::Safe,
-        Some("single_shot") => Effect::Unsafe,
-        Some("guarded") => Effect::Keyed {
+        None | Some("free") => Idempotency::Idempotent,
+        Some("single_shot") => Idempotency::NonIdempotent,
+        Some("guarded") => Idempotency::Keyed {
             scope: match raw.group.as_deref() {
-                None | Some("all") => Scope::All,
-                Some("zone") => Scope::Zone,
-                Some("cell") => Scope::Cell,
+                None | Some("all") => DeduplicationScope::All,
+                Some("zone") => DeduplicationScope::Zone,
+                Some("cell") => DeduplicationScope::Cell,
                 Some(other) => {
                     return Err(format!("class '{}': group '{other}' is unknown", raw.name));
                 }
@@ -260,16 +263,18 @@
             ));
         }
     };
-    Ok(Class {
-        aim: sane(raw.on_time, "onTime")?,
-        effect,
-        message_aim: message_aim.map(|aim| sane(aim, "messageAim")).transpose()?,
+    Ok(RequestClass {
+        latency_objective: sane(raw.on_time, "onTime")?,
+        idempotency: effect,
+        message_latency_objective: message_latency_objective
+            .map(|aim| sane(aim, "messageAim"))
+            .transpose()?,
     })
 }
 
 impl Settings {
     /// The module's settings and the names of the classes.
-    pub fn read(self) -> Result<(Config, Vec<String>), String> {
+    pub fn read(self) -> Result<(BalancerConfig, Vec<String>), String> {
         let settings = self;
         let classes = settings.classes.unwrap_or_default();
         if classes.is_empty() {
@@ -284,30 +289,29 @@
             .iter()
             .enumerate()
             .map(|(i, class)| class_of(class, aim(i)));
-        let config = Config {
-            nodes: settings.balancers.unwrap_or(1),
-            number: settings.my_number.unwrap_or(0),
+        let config = BalancerConfig {
+            balancer_count: settings.balancers.unwrap_or(1),
+            balancer_index: settings.my_number.unwrap_or(0),
             zone: zone_of(settings.zone.as_deref()),
             classes: read.collect::<Result<_, _>>()?,
-            discovery: match settings.membership_mode.as_deref() {
-                None | Some("pushed") => Discovery::Push,
-                Some("on_request") => Discovery::Ask,
+            discovery_mode: match settings.membership_mode.as_deref() {
+                None | Some("pushed") => DiscoveryMode::Pushed,
+                Some("on_request") => DiscoveryMode::Polled,
                 Some(other) => return Err(format!("membershipMode '{other}' is unknown")),
             },
             max_attempts: limits.max_attempts.unwrap_or(1),
             connect_timeout: figure(limits.connect_timeout, 0.25, "connectTimeout")?,
-            may_cancel: limits.cancel.unwrap_or(false),
-            may_tell: limits.may_tell.unwrap_or(false),
+            can_cancel_attempts: limits.cancel.unwrap_or(false),
             max_retry_after: match limits.retry_after {
                 Some(true) => Some(figure(limits.max_retry_after, 0.0, "maxRetryAfter")?),
                 _ => None,
             },
-            tells_delay: domain.tells_delay.unwrap_or(false),
-            ask_within: figure(rules.ask_within, 10.0, "askWithin")?,
-            cold_from: figure(rules.cold_from, 1.0, "coldFrom")?,
-            warm_up: figure(rules.warm_up, 0.0, "warmUp")?,
-            fall_multiple: figure(rules.fall_multiple, 1.0, "fallMultiple")?,
-            fall: figure(rules.fall, 1.0, "fall")?,
+            reports_latency: domain.tells_delay.unwrap_or(false),
+            poll_interval: figure(rules.ask_within, 10.0, "askWithin")?,
+            cold_capacity_share: figure(rules.cold_from, 1.0, "coldFrom")?,
+            slow_start_window: figure(rules.warm_up, 0.0, "warmUp")?,
+            overload_multiple: figure(rules.fall_multiple, 1.0, "fallMultiple")?,
+            overload_window: figure(rules.fall, 1.0, "fall")?,
         };
         Ok((
             config,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -9,20 +9,20 @@
 //! use spanspur::api::*;
 //! use std::sync::Arc;
 //!
-//! let config = Config { classes: vec![Class { aim: 0.3, ..Class::default() }], ..Config::default() };
+//! let config = BalancerConfig { classes: vec![RequestClass { latency_objective: 0.3, ..RequestClass::default() }], ..BalancerConfig::default() };
 //! let mut balancer = Balancer::new(config, 7);
 //! let mut actions = Vec::new();
 //!
-//! let servers: Arc<[Member]> = ["10.0.0.1:80", "10.0.0.2:80"]
-//!     .map(|name| Member { id: ServerId::of(name), zone: 0, state: MemberState::Ready, weight: 1.0, started: 0.0, cell: 0 })
+//! let servers: Arc<[Endpoint]> = ["10.0.0.1:80", "10.0.0.2:80"]
+//!     .map(|name| Endpoint { id: ServerId::of(name), zone: 0, state: EndpointState::Ready, weight: 1.0, started: 0.0, cell: 0 })
 //!     .into();
-//! balancer.handle(0.0, &Event::List(ListKind::Full, servers), &mut actions);
+//! balancer.handle(0.0, &Event::EndpointsUpdated(UpdateKind::Full, servers), &mut actions);
 //!
 //! let request = Request { key: Some(Key::of("till 4")), ..Request::new(RequestId(1), 0, 2.0) };
 //! balancer.handle(0.1, &Event::Request(request), &mut actions);
 //! for action in actions.drain(..) {
 //!     match action {
-//!         Action::Send { id, server, until } => println!("open {id:?} at {server:?}, give up at {until}"),
+//!         Action::StartAttempt { id, server, until } => println!("open {id:?} at {server:?}, give up at {until}"),
 //!         other => println!("carry out {other:?}"),
 //!     }
 //! }
--- a/src/list.rs
+++ b/src/list.rs
@@ -13,7 +13,7 @@
     /// It names every server; otherwise only what changed.
     pub complete: bool,
     /// The servers, each with the address at which this node reaches it.
-    pub members: Vec<(Member, SocketAddr)>,
+    pub members: Vec<(Endpoint, SocketAddr)>,
     /// Entries left out because this node could not connect there: the first of them, to be logged.
     pub unusable: Option<String>,
 }
@@ -61,17 +61,17 @@
 }
 
 impl RawMember {
-    fn member(&self) -> Member {
+    fn member(&self) -> Endpoint {
         let started = self.up_since_ms.unwrap_or(0.0) / 1000.0;
-        Member {
+        Endpoint {
             // The id is the same at every balancer and so ranks alike there; the address is not.
             id: ServerId::of(&self.id),
             zone: zone_of(self.locality.as_deref()),
             state: match self.phase.as_str() {
-                "SERVING" => MemberState::Ready,
-                "DELETED" => MemberState::Gone,
+                "SERVING" => EndpointState::Ready,
+                "DELETED" => EndpointState::Removed,
                 // A phase that is not known yet takes nothing new.
-                _ => MemberState::Draining,
+                _ => EndpointState::Draining,
             },
             weight: self.size.unwrap_or(1.0),
             started: if started.is_finite() {
--- a/src/main.rs
+++ b/src/main.rs
@@ -10,7 +10,7 @@
 use net::service::{Service, listener};
 use net::signals::{Reload, Signals};
 use net::{check, director, drain, req};
-use spanspur::api::ListKind;
+use spanspur::api::UpdateKind;
 use spanspur::config::{Node, When};
 use spanspur_operator::{Format, Operator};
 use std::io::IsTerminal;
@@ -116,7 +116,7 @@
     let listed = match service.resumed() {
         Some(revision) => revision,
         None => {
-            host.list(ListKind::Cached, known);
+            host.list(UpdateKind::Cached, known);
             listed
         }
     };
--- a/src/net/delay.rs
+++ b/src/net/delay.rs
@@ -5,12 +5,15 @@
 //! it is told by the figure: a message time comes once a second while it is long, is far smaller than any load
 //! but an idle connection's, and goes on from the last one.
 
-use spanspur::api::{Config, Event, ServerId, Time};
+use spanspur::api::{BalancerConfig, Event, ServerId, Time};
 use std::collections::HashMap;
 
 /// The shortest aim for a message, where the settings name one.
-fn shortest_aim(config: &Config) -> Option<Time> {
-    let aims = config.classes.iter().filter_map(|class| class.message_aim);
+fn shortest_aim(config: &BalancerConfig) -> Option<Time> {
+    let aims = config
+        .classes
+        .iter()
+        .filter_map(|class| class.message_latency_objective);
     aims.reduce(f64::min)
 }
 
@@ -30,7 +33,7 @@
 
 impl Delays {
     /// Takes the shortest aim for a message from the settings.
-    pub fn new(config: &Config) -> Self {
+    pub fn new(config: &BalancerConfig) -> Self {
         Self {
             threshold: shortest_aim(config).unwrap_or(f64::INFINITY) / 3.0,
             slow: HashMap::new(),
@@ -43,7 +46,7 @@
             return self
                 .slow
                 .remove(&server)
-                .map(|_| Event::Delay(server, took));
+                .map(|_| Event::LatencyReport(server, took));
         }
         match self.slow.get_mut(&server) {
             Some(slow) if now < slow.told + REPEAT => return None,
@@ -52,7 +55,7 @@
                 self.slow.insert(server, Slow { told: now });
             }
         }
-        Some(Event::Delay(server, took))
+        Some(Event::LatencyReport(server, took))
     }
 }
 
@@ -94,8 +97,8 @@
 
 impl Reports {
     /// Takes from the settings whether message times are reported at all, and how long they may be.
-    pub fn new(config: &Config) -> Self {
-        let aim = shortest_aim(config).filter(|_| config.tells_delay);
+    pub fn new(config: &BalancerConfig) -> Self {
+        let aim = shortest_aim(config).filter(|_| config.reports_latency);
         Self {
             most_delay: aim.map_or(0.0, |aim| MOST_DELAY * aim * 1000.0),
             usual: (0.0, 0.0),
--- a/src/net/delay/tests.rs
+++ b/src/net/delay/tests.rs
@@ -1,7 +1,7 @@
 //! What a figure on a connection is taken for.
 
 use super::*;
-use spanspur::api::Class;
+use spanspur::api::RequestClass;
 
 const SERVER: ServerId = ServerId(1);
 
@@ -24,14 +24,14 @@
 
 /// At a site of another scale: its aim and all its loads are so many times the usual ones.
 fn read_at(scale: f64, figures: &[(Time, f64, bool)]) -> Vec<Report> {
-    let class = Class {
-        message_aim: Some(0.25 * scale),
-        ..Class::default()
+    let class = RequestClass {
+        message_latency_objective: Some(0.25 * scale),
+        ..RequestClass::default()
     };
-    let config = Config {
-        tells_delay: true,
+    let config = BalancerConfig {
+        reports_latency: true,
         classes: vec![class],
-        ..Config::default()
+        ..BalancerConfig::default()
     };
     let mut reports = Reports::new(&config);
     let one = |f: &(Time, f64, bool)| reports.read(f.0, SERVER, f.1 * scale, f.2);
@@ -66,7 +66,7 @@
 
 #[test]
 fn where_the_settings_name_no_message_times_all_figures_are_loads() {
-    let mut reports = Reports::new(&Config::default());
+    let mut reports = Reports::new(&BalancerConfig::default());
     assert_eq!(reports.read(0.0, SERVER, 90.0, false), Report::Load(90.0));
 }
 
--- a/src/net/director.rs
+++ b/src/net/director.rs
@@ -5,7 +5,7 @@
 use super::host::Host;
 use super::http::{Connection, Response};
 use super::service::handover;
-use spanspur::api::{Event, ListKind};
+use spanspur::api::{Event, UpdateKind};
 use spanspur::list::List;
 use std::io;
 use std::net::SocketAddr;
@@ -76,7 +76,7 @@
                     }
                     // A wish from before was met by the call that has failed: the pause from here on is the module's.
                     pin!(host.watch.notified()).enable();
-                    host.event(Event::ListFailed);
+                    host.event(Event::DiscoveryFailed);
                     break;
                 }
             }
@@ -147,9 +147,9 @@
         *listed = Some(list.revision);
         host.heard.set(true);
         let kind = if list.complete {
-            ListKind::Full
+            UpdateKind::Full
         } else {
-            ListKind::Delta
+            UpdateKind::Delta
         };
         if let Some(news) = news {
             news.watched(&list);
--- a/src/net/drain.rs
+++ b/src/net/drain.rs
@@ -94,7 +94,7 @@
         }
         if now >= kill - ANSWER_BEFORE {
             // Refused or failed, by what may have run: the module knows.
-            let leave = |id| host.event(Event::Leave(id));
+            let leave = |id| host.event(Event::ShutdownDeadline(id));
             waiting.into_iter().for_each(leave);
             host.ending.send_replace(true);
         }
--- a/src/net/duties/list/tests.rs
+++ b/src/net/duties/list/tests.rs
@@ -1,7 +1,7 @@
 //! When a balancer outside the cluster takes the list that its sources have brought.
 
 use super::*;
-use spanspur::api::{Member, MemberState, ServerId};
+use spanspur::api::{Endpoint, EndpointState, ServerId};
 
 const MAX_AGE: Millis = 5000;
 
@@ -11,12 +11,12 @@
     news
 }
 
-fn row(id: u64, state: MemberState) -> Row {
-    let member = Member {
+fn row(id: u64, state: EndpointState) -> Row {
+    let member = Endpoint {
         id: ServerId(id),
         state,
         weight: 1.0,
-        ..Member::default()
+        ..Endpoint::default()
     };
     Row::of(&member, "127.0.0.1:9".parse().expect("an address"))
 }
@@ -37,13 +37,13 @@
 /// The servers that a list names, each with whether it takes new connections.
 fn named(list: Option<List>) -> (bool, Vec<(u64, bool)>) {
     let list = list.expect("a list");
-    let ready = |m: &Member| (m.id.0, m.state == MemberState::Ready);
+    let ready = |m: &Endpoint| (m.id.0, m.state == EndpointState::Ready);
     let members = list.members.iter().map(|(member, _)| ready(member));
     (list.complete, members.collect())
 }
 
 fn two() -> Vec<Row> {
-    vec![row(1, MemberState::Ready), row(2, MemberState::Ready)]
+    vec![row(1, EndpointState::Ready), row(2, EndpointState::Ready)]
 }
 
 #[test]
@@ -59,7 +59,10 @@
     );
     assert!(news.fresh_until().is_some(), "discovery can be left alone");
 
-    let drained = vec![row(1, MemberState::Ready), row(2, MemberState::Draining)];
+    let drained = vec![
+        row(1, EndpointState::Ready),
+        row(2, EndpointState::Draining),
+    ];
     let entries = told(&drained, 8, 20);
     let (complete, members) = named(news.follow(&entries, Some(100)));
     assert!(!complete && members.contains(&(2, false)), "{members:?}");
@@ -86,12 +89,12 @@
 #[test]
 fn a_list_behind_what_discovery_has_told_is_not_taken() {
     let news = follower();
-    let drained = row(2, MemberState::Draining);
+    let drained = row(2, EndpointState::Draining);
     let own = List {
         revision: 8,
         complete: true,
         members: vec![
-            (row(1, MemberState::Ready).member(), drained.address),
+            (row(1, EndpointState::Ready).member(), drained.address),
             (drained.member(), drained.address),
         ],
         unusable: None,
@@ -107,7 +110,10 @@
 #[test]
 fn a_list_that_names_nobody_is_not_taken() {
     let news = follower();
-    let gone = [row(1, MemberState::Gone), row(2, MemberState::Gone)];
+    let gone = [
+        row(1, EndpointState::Removed),
+        row(2, EndpointState::Removed),
+    ];
     assert!(news.follow(&told(&gone, 7, 10), Some(0)).is_none());
     assert!(news.fresh_until().is_none());
 }
--- a/src/net/duties/mod.rs
+++ b/src/net/duties/mod.rs
@@ -201,7 +201,7 @@
                 self.distribute(&entry);
                 // A head confirms what is known and changes nothing.
                 if let Some(list) = self.news.take(&entry) {
-                    self.host.list(api::ListKind::Delta, list);
+                    self.host.list(api::UpdateKind::Delta, list);
                 }
                 continue;
             }
@@ -236,7 +236,7 @@
         let shut = probed
             .is_down()
             .then(|| self.host.now() + every * HOLDS_PERIODS);
-        self.host.event(Event::Probed(server, shut));
+        self.host.event(Event::HealthChecked(server, shut));
         if let Probed::Answered { ms } | Probed::Slow { ms } = probed {
             self.host.message_took(server, f64::from(ms) / 1000.0);
         }
--- a/src/net/duties/rows.rs
+++ b/src/net/duties/rows.rs
@@ -1,7 +1,7 @@
 //! The list of servers as entries of a board: a row for each server, and heads that say what all rows come to.
 
 use serde::{Deserialize, Serialize};
-use spanspur::api::{Member, MemberState, ServerId};
+use spanspur::api::{Endpoint, EndpointState, ServerId};
 use spanspur_duties::DutyId;
 use spanspur_duties::board::Entry;
 use std::collections::BTreeMap;
@@ -82,7 +82,7 @@
 }
 
 impl Row {
-    pub fn of(member: &Member, address: SocketAddr) -> Self {
+    pub fn of(member: &Endpoint, address: SocketAddr) -> Self {
         Self {
             id: member.id.0,
             zone: member.zone,
@@ -94,14 +94,14 @@
         }
     }
 
-    pub fn member(&self) -> Member {
-        Member {
+    pub fn member(&self) -> Endpoint {
+        Endpoint {
             id: ServerId(self.id),
             zone: self.zone,
             state: match self.state {
-                0 => MemberState::Ready,
-                1 => MemberState::Draining,
-                _ => MemberState::Gone,
+                0 => EndpointState::Ready,
+                1 => EndpointState::Draining,
+                _ => EndpointState::Removed,
             },
             weight: self.weight,
             started: self.started,
@@ -110,12 +110,12 @@
     }
 
     pub fn is_gone(&self) -> bool {
-        self.member().state == MemberState::Gone
+        self.member().state == EndpointState::Removed
     }
 
     /// The server is no longer listed.
     pub fn go(&mut self) {
-        self.state = MemberState::Gone as u8;
+        self.state = EndpointState::Removed as u8;
     }
 
     fn key(&self) -> u64 {
--- a/src/net/fetch.rs
+++ b/src/net/fetch.rs
@@ -37,7 +37,7 @@
     first: impl Fn(u64) -> Option<String>,
 ) -> Result<Backend, Outcome> {
     let Some(address) = host.address(server) else {
-        return Err(Outcome::Moot);
+        return Err(Outcome::NotSent);
     };
     let end = host.instant(until);
     let up_by = end.min(tokio::time::Instant::now() + duration(host.node().config.connect_timeout));
@@ -49,10 +49,10 @@
     // the attempt's time may have run out: nothing may be sent then.
     let left = duration(until - host.now());
     if left < Duration::from_millis(1) || (kind == Kind::New && !host.takes_new(server)) {
-        return Err(Outcome::Moot);
+        return Err(Outcome::NotSent);
     }
     let Some(line) = first(left.as_millis() as u64) else {
-        return Err(Outcome::Moot);
+        return Err(Outcome::NotSent);
     };
     if stream.set_nodelay(true).is_err() || stream.write_all(line.as_bytes()).await.is_err() {
         return Err(Outcome::ConnectFailed);
--- a/src/net/host.rs
+++ b/src/net/host.rs
@@ -1,7 +1,6 @@
 //! The module's host: it owns the balancer, the clock, the timers and the map from ids to addresses, has one
 //! inbox for each req, and carries out the module's actions in their order.
 
-use super::check;
 use super::delay::{Delays, Report, Reports};
 use super::room::Room;
 use super::service::handover::{self, Giving, Known};
@@ -46,9 +45,9 @@
 /// A listed backend.
 struct Listed {
     /// As discovery names it.
-    raw: Member,
+    raw: Endpoint,
     /// As the module knows it.
-    seen: Member,
+    seen: Endpoint,
     address: SocketAddr,
 }
 
@@ -162,7 +161,7 @@
         (state.delays, state.reports) = (Delays::new(&config), Reports::new(&config));
         drop(state);
         self.node.replace(Rc::new(node));
-        self.event(Event::Settings(config));
+        self.event(Event::ConfigChanged(config));
     }
 
     /// The time now, on a clock that never goes back.
@@ -187,17 +186,17 @@
         for action in actions.drain(..) {
             tracing::trace!(?action);
             match action {
-                Action::Send { id, server, until } => state.order(id, Order::Send(server, until)),
-                Action::Refuse { id, retry_after } => {
+                Action::StartAttempt { id, server, until } => {
+                    state.order(id, Order::Send(server, until))
+                }
+                Action::Reject { id, retry_after } => {
                     state.order(id, Order::Refuse((retry_after * 1000.0) as u64));
                 }
                 Action::Fail(id) => state.order(id, Order::Fail),
-                Action::Cancel { id, attempt } => state.order(id, Order::Cancel(attempt)),
-                Action::Move(id) => state.order(id, Order::Move),
-                Action::Watch => self.watch.notify_one(),
-                Action::Tell { .. } => check::count("peers are not spoken to"),
-                Action::Timer { after, token } => self.wake(after, token),
-                Action::Log(text) => tracing::info!("{text}"),
+                Action::CancelAttempt { id, attempt } => state.order(id, Order::Cancel(attempt)),
+                Action::Migrate(id) => state.order(id, Order::Move),
+                Action::PollDiscovery => self.watch.notify_one(),
+                Action::SetTimer { after, token } => self.wake(after, token),
             }
         }
         state.actions = actions;
@@ -213,30 +212,30 @@
     }
 
     /// Takes a list from discovery: first the addresses, then the module.
-    pub fn list(self: &Rc<Self>, kind: ListKind, list: List) {
+    pub fn list(self: &Rc<Self>, kind: UpdateKind, list: List) {
         if let Some(entry) = list.unusable {
             tracing::warn!(entry, "discovery names an address that cannot be used");
         }
         let now = self.now();
-        let warm_up = self.node().config.warm_up;
+        let slow_start_window = self.node().config.slow_start_window;
         let mut state = self.state.borrow_mut();
         self.revision.set(list.revision);
         let State { listed, outs, .. } = &mut *state;
-        if kind != ListKind::Delta {
+        if kind != UpdateKind::Delta {
             listed.clear();
         }
         let mut members = Vec::with_capacity(list.members.len());
         for (raw, address) in list.members {
             outs.listed(raw.id.0);
-            let seen = masked(outs, raw, now, warm_up, self.handed.get());
+            let seen = masked(outs, raw, now, slow_start_window, self.handed.get());
             tracing::debug!(member = ?raw, as_draining = seen.state != raw.state, %address, "listed");
             members.push(seen);
             match raw.state {
-                MemberState::Gone => drop(listed.remove(&raw.id)),
+                EndpointState::Removed => drop(listed.remove(&raw.id)),
                 _ => drop(listed.insert(raw.id, Listed { raw, seen, address })),
             }
         }
-        let event = Event::List(kind, members.into());
+        let event = Event::EndpointsUpdated(kind, members.into());
         // The module's turn takes the state again.
         drop(state);
         self.event(event);
@@ -247,8 +246,8 @@
     /// if it had come from there.
     pub fn followed(self: &Rc<Self>, list: List) {
         let kind = match list.complete {
-            true => ListKind::Full,
-            false => ListKind::Delta,
+            true => UpdateKind::Full,
+            false => UpdateKind::Delta,
         };
         tracing::debug!(
             revision = list.revision,
@@ -282,12 +281,12 @@
     /// Looks at all listed backends anew: the module hears of those that count as something else now, as if
     /// discovery had told.
     fn mask(self: &Rc<Self>) {
-        let (now, warm_up) = (self.now(), self.node().config.warm_up);
+        let (now, slow_start_window) = (self.now(), self.node().config.slow_start_window);
         let mut state = self.state.borrow_mut();
         let State { listed, outs, .. } = &mut *state;
         let mut changed = Vec::new();
         for at in listed.values_mut() {
-            let seen = masked(outs, at.raw, now, warm_up, self.handed.get());
+            let seen = masked(outs, at.raw, now, slow_start_window, self.handed.get());
             if (seen.state, seen.started) != (at.seen.state, at.seen.started) {
                 at.seen = seen;
                 changed.push(seen);
@@ -295,7 +294,7 @@
         }
         drop(state);
         if !changed.is_empty() {
-            self.event(Event::List(ListKind::Delta, changed.into()));
+            self.event(Event::EndpointsUpdated(UpdateKind::Delta, changed.into()));
             self.listed.notify_one();
         }
     }
@@ -308,8 +307,8 @@
                 tracing::warn!(error = %e, "what the process before has learnt cannot be read")
             }
         }
-        self.event(Event::Settings(self.node().config.clone()));
-        self.list(ListKind::Full, known.list());
+        self.event(Event::ConfigChanged(self.node().config.clone()));
+        self.list(UpdateKind::Full, known.list());
     }
 
     /// What another process of this balancer needs to go on from here.
@@ -365,12 +364,12 @@
         state
             .listed
             .get(&server)
-            .is_some_and(|at| at.seen.state == MemberState::Ready)
+            .is_some_and(|at| at.seen.state == EndpointState::Ready)
     }
 
     /// Lists are pushed: what the agent has counts as told, from the first moment of this process on.
     pub fn pushed(&self) -> bool {
-        self.node().config.discovery == Discovery::Push
+        self.node().config.discovery_mode == DiscoveryMode::Pushed
     }
 
     /// Any backend is known: requests can be decided. Where lists are pushed, the agent is heard first, if it speaks.
@@ -437,10 +436,10 @@
             .reports
             .read(now, server, figure, first);
         match report {
-            Report::Load(load) => self.event(Event::Load(id, load)),
+            Report::Load(load) => self.event(Event::LoadReport(id, load)),
             Report::Delay(took) => {
                 tracing::debug!(%server, took, "a backend reports how long messages take");
-                self.event(Event::Delay(server, took));
+                self.event(Event::LatencyReport(server, took));
             }
             Report::Unclear => {}
         }
@@ -467,16 +466,24 @@
 }
 
 /// What the module is told of a backend: one that is taken out drains, whatever its list says.
-fn masked(outs: &Outs, raw: Member, now: Time, warm_up: Time, handed: bool) -> Member {
-    let mask = outs.mask(raw.id.0, raw.started, now, warm_up);
+fn masked(
+    outs: &Outs,
+    raw: Endpoint,
+    now: Time,
+    slow_start_window: Time,
+    handed: bool,
+) -> Endpoint {
+    let mask = outs.mask(raw.id.0, raw.started, now, slow_start_window);
     let state = match raw.state {
-        MemberState::Ready if mask.out => MemberState::Draining,
+        EndpointState::Ready if mask.out => EndpointState::Draining,
         // Two processes that both use a cold server's budget use it twice.
-        MemberState::Ready if handed && mask.started > now - warm_up => MemberState::Draining,
+        EndpointState::Ready if handed && mask.started > now - slow_start_window => {
+            EndpointState::Draining
+        }
         state => state,
     };
     let started = mask.started;
-    Member {
+    Endpoint {
         state,
         started,
         ..raw
--- a/src/net/line.rs
+++ b/src/net/line.rs
@@ -132,12 +132,12 @@
                 "g" => groups && request.group.replace(Key::of(value)).is_some(),
                 "at" => at.replace(ServerId::of(value)).is_some(),
                 "again" => {
-                    request.returned = value == "1";
+                    request.is_reconnect = value == "1";
                     false
                 }
                 "h" => {
                     let hint = value.parse::<f64>().ok();
-                    request.hint = hint.filter(|h| h.is_finite() && *h >= 0.0);
+                    request.load_hint = hint.filter(|h| h.is_finite() && *h >= 0.0);
                     false
                 }
                 _ => false,
@@ -168,7 +168,7 @@
 pub fn first_answer(line: &str) -> Result<(), Outcome> {
     match line.split(' ').next().unwrap_or("") {
         "UP" => Ok(()),
-        "BUSY" => Err(Outcome::Full),
+        "BUSY" => Err(Outcome::Rejected),
         "MOVE" => Err(Outcome::Cancelled),
         "ERR" => Err(Outcome::Error),
         // It is the backend that is broken here, not the request.
--- a/src/net/relay.rs
+++ b/src/net/relay.rs
@@ -8,7 +8,7 @@
 use super::service::handover::Handed;
 use serde::{Deserialize, Serialize};
 use socket2::SockRef;
-use spanspur::api::{Ended, Event, Outcome, Request, RequestId, ServerId};
+use spanspur::api::{AttemptEnded, Event, Outcome, Request, RequestId, ServerId};
 use std::collections::VecDeque;
 use std::io::ErrorKind;
 use std::net::Shutdown;
@@ -453,7 +453,7 @@
                     let first = !std::mem::replace(&mut self.reported, true);
                     self.host.reported(self.id, self.server, figure, first);
                 }
-                Said::Bye => self.last_word = Some(Outcome::Ok),
+                Said::Bye => self.last_word = Some(Outcome::Success),
                 Said::Move => self.last_word = Some(Outcome::Cancelled),
                 Said::Reply => {
                     if let Some(asked) = self.asked.pop_front() {
@@ -498,7 +498,7 @@
         if !std::mem::replace(&mut self.told, true) {
             tracing::debug!(req = %self.id, server = %self.server, ?outcome, "is over");
             let (id, server, attempt) = (self.id, self.server, self.attempt);
-            self.host.event(Event::Ended(Ended {
+            self.host.event(Event::AttemptEnded(AttemptEnded {
                 id,
                 attempt,
                 server,
@@ -512,7 +512,7 @@
     fn gone(&mut self) {
         if !std::mem::replace(&mut self.told, true) {
             tracing::debug!(req = %self.id, server = %self.server, "the client left");
-            self.host.event(Event::Gone(self.id));
+            self.host.event(Event::ClientDisconnected(self.id));
         }
     }
 }
--- a/src/net/req.rs
+++ b/src/net/req.rs
@@ -8,7 +8,7 @@
 use super::room::Place;
 use super::service::handover::{self, Handed};
 use socket2::SockRef;
-use spanspur::api::{Ended, Event, Outcome, Request, ServerId, Time};
+use spanspur::api::{AttemptEnded, Event, Outcome, Request, ServerId, Time};
 use std::cell::Cell;
 use std::io::ErrorKind;
 use std::mem::MaybeUninit;
@@ -145,7 +145,7 @@
         check::count("a connection that was handed over is here already");
         return;
     };
-    host.event(Event::Open(request, server));
+    host.event(Event::AlreadyEstablished(request, server));
     host.stands(request.id);
     resume(host, stands, client, backend, orders).await;
     drop((ticket, place));
@@ -275,8 +275,8 @@
         None => host.node().longest_wait,
     };
     let request = &mut opening.request;
-    request.due = host.now() + opening.wait.min(longest) - MARGIN;
-    let (id, due) = (request.id, request.due);
+    request.deadline = host.now() + opening.wait.min(longest) - MARGIN;
+    let (id, due) = (request.id, request.deadline);
     let Some((ticket, mut orders)) = host.enter(id) else {
         return unread("the id is in use");
     };
@@ -289,7 +289,7 @@
             return failed();
         };
         tracing::debug!(req = %id, server = %server, group = ?opening.request.group, "is open");
-        host.event(Event::Open(opening.request, server));
+        host.event(Event::AlreadyEstablished(opening.request, server));
         host.stands(id);
         let stands = Box::new(Stands::new(opening.request, server, 0));
         return Opened::Stands(ticket, stands, backend, orders);
@@ -297,10 +297,10 @@
     let Request {
         class,
         group,
-        returned,
+        is_reconnect: returned,
         ..
     } = opening.request;
-    tracing::debug!(req = %id, class, ?group, returned, wait = opening.wait, "asks");
+    tracing::debug!(req = %id, class, ?group, is_reconnect = returned, wait = opening.wait, "request received");
     host.event(Event::Request(opening.request));
     let mut attempt = 0;
     // Nothing here waits past the deadline; if something does, the client is still owed its answer.
@@ -310,13 +310,13 @@
         let order = tokio::select! {
             biased;
             early = speaks(client) => {
-                host.event(Event::Gone(id));
+                host.event(Event::ClientDisconnected(id));
                 return early;
             }
             order = orders.recv() => order,
             () = &mut overdue => {
                 check::holds(false, "the module answers before the deadline");
-                host.event(Event::Gone(id));
+                host.event(Event::ClientDisconnected(id));
                 Some(Order::Fail)
             }
         };
@@ -333,7 +333,7 @@
         let ended = tokio::select! {
             biased;
             early = speaks(client) => {
-                host.event(Event::Gone(id));
+                host.event(Event::ClientDisconnected(id));
                 return early;
             }
             order = called_off(&mut orders, attempt) => match order {
@@ -344,20 +344,20 @@
             ended = fetch(host, server, Kind::New, until.min(due), line) => ended,
         };
         if ended.is_err() && has_left(client) {
-            host.event(Event::Gone(id));
+            host.event(Event::ClientDisconnected(id));
             return Opened::Left;
         }
         match ended {
             Ok(backend) => {
                 tracing::debug!(req = %id, server = %server, attempt, "stands");
-                host.event(Event::Standing(id, server));
+                host.event(Event::Established(id, server));
                 host.stands(id);
                 let stands = Box::new(Stands::new(opening.request, server, attempt));
                 return Opened::Stands(ticket, stands, backend, orders);
             }
             Err(outcome) => {
                 tracing::debug!(req = %id, server = %server, attempt, ?outcome, "an attempt has ended");
-                host.event(Event::Ended(Ended {
+                host.event(Event::AttemptEnded(AttemptEnded {
                     id,
                     attempt,
                     server,
@@ -395,7 +395,7 @@
 
 /// Opens a connection again at the backend that it is open at: no decision, so no outcome for the module.
 async fn reopen(host: &Host, opening: &Opening, server: ServerId) -> Option<Backend> {
-    let due = opening.request.due;
+    let due = opening.request.deadline;
     let listed_by = host.now() + UNLISTED;
     loop {
         let outcome = match fetch(host, server, Kind::Again, due, |ms| {
@@ -413,8 +413,11 @@
             "is not open there"
         );
         // The backend's own word stands; a server that nobody knows is not worth the whole wait.
-        let said = matches!(outcome, Outcome::Error | Outcome::Full | Outcome::Cancelled);
-        let unknown = outcome == Outcome::Moot && host.now() >= listed_by;
+        let said = matches!(
+            outcome,
+            Outcome::Error | Outcome::Rejected | Outcome::Cancelled
+        );
+        let unknown = outcome == Outcome::NotSent && host.now() >= listed_by;
         if said || unknown || host.now() >= due {
             return None;
         }
--- a/src/net/service/handover.rs
+++ b/src/net/service/handover.rs
@@ -6,7 +6,7 @@
 use crate::net::relay::Stands;
 use crate::net::req;
 use serde::{Deserialize, Serialize};
-use spanspur::api::{ListKind, Member};
+use spanspur::api::{Endpoint, UpdateKind};
 use spanspur::list::List;
 use spanspur_handover::frame::{Frame, MAX_DESCRIPTORS, VERSION};
 use spanspur_handover::link::{Receiver, Sender, link};
@@ -45,7 +45,7 @@
     pub discovery: SocketAddr,
     /// The list, as discovery tells it.
     pub revision: u64,
-    pub members: Vec<(Member, SocketAddr)>,
+    pub members: Vec<(Endpoint, SocketAddr)>,
     /// What the module has learnt.
     pub module: Vec<u8>,
     /// The file of those that are taken out.
@@ -421,9 +421,9 @@
             // Each watches by itself: what came here first is not undone by what the other heard before.
             Ok(list) if list.revision > host.revision() => {
                 let kind = if list.complete {
-                    ListKind::Full
+                    UpdateKind::Full
                 } else {
-                    ListKind::Delta
+                    UpdateKind::Delta
                 };
                 host.list(kind, list);
             }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -140,21 +140,12 @@
         who: u64,
         want: bool,
     },
-    WritePeer {
-        who: u64,
-        neighbour_id: Option<u32>,
-        payload: String,
-    },
     SetAlarm {
         who: u64,
         #[serde(rename = "in")]
         after: f64,
         tag: u64,
     },
-    SayLog {
-        who: u64,
-        reason_text: String,
-    },
 }
 
 /// One node of the bench: its balancer, and the names that its settings gave.
@@ -167,7 +158,7 @@
 #[derive(Default)]
 pub struct Adapter {
     instances: BTreeMap<u64, Instance>,
-    lists: BTreeMap<u64, Arc<[Member]>>,
+    lists: BTreeMap<u64, Arc<[Endpoint]>>,
     names: HashMap<ServerId, Arc<str>>,
     steps: Vec<Step>,
     actions: Vec<Action>,
@@ -212,27 +203,27 @@
 
 fn outcome(word: Option<Text>) -> Result<Outcome, String> {
     Ok(match need(word, "status")?.0.as_ref() {
-        "ok" => Outcome::Ok,
+        "ok" => Outcome::Success,
         "error" => Outcome::Error,
-        "full" => Outcome::Full,
+        "full" => Outcome::Rejected,
         "timeout" => Outcome::Timeout,
         "connect_failed" => Outcome::ConnectFailed,
         "reset" => Outcome::Reset,
         "cancelled" => Outcome::Cancelled,
-        "moot" => Outcome::Moot,
+        "moot" => Outcome::NotSent,
         other => return Err(format!("field 'status' is '{other}', which is no outcome")),
     })
 }
 
 /// What an entry of a list says, for the module.
-fn member(id: ServerId, entry: &Entry) -> Result<Member, String> {
-    Ok(Member {
+fn member(id: ServerId, entry: &Entry) -> Result<Endpoint, String> {
+    Ok(Endpoint {
         id,
         zone: zone_of(entry.hall.as_deref()),
         state: match entry.readiness {
-            1 => MemberState::Ready,
-            2 => MemberState::Draining,
-            0 => MemberState::Gone,
+            1 => EndpointState::Ready,
+            2 => EndpointState::Draining,
+            0 => EndpointState::Removed,
             other => {
                 return Err(format!(
                     "host '{}': readiness {other} is unknown",
@@ -342,10 +333,10 @@
 
     fn members(&self, raw: &Raw) -> Result<Event, String> {
         let kind = match need(raw.mode, "mode")? {
-            0 => ListKind::Delta,
-            1 => ListKind::Full,
-            2 => ListKind::Cached,
-            3 => return Ok(Event::ListFailed),
+            0 => UpdateKind::Delta,
+            1 => UpdateKind::Full,
+            2 => UpdateKind::Cached,
+            3 => return Ok(Event::DiscoveryFailed),
             other => return Err(format!("field 'mode' is {other}, which is no kind of list")),
         };
         need(raw.version, "gen")?;
@@ -354,7 +345,7 @@
             .lists
             .get(&slot)
             .ok_or_else(|| format!("list {slot} was never defined"))?;
-        Ok(Event::List(kind, list.clone()))
+        Ok(Event::EndpointsUpdated(kind, list.clone()))
     }
 
     fn request(&self, raw: &Raw, id: RequestId, instance: &Instance) -> Result<Request, String> {
@@ -366,10 +357,10 @@
                 .ok_or_else(|| format!("class '{}' does not exist", class.0))?,
             key: raw.partition_key.as_ref().map(|k| Key::of(&k.0)),
             group: raw.team_id.as_ref().map(|k| Key::of(&k.0)),
-            due: time(raw.due, "due")?,
-            hint: raw.cost.filter(|_| opts & 1 != 0),
+            deadline: time(raw.due, "due")?,
+            load_hint: raw.cost.filter(|_| opts & 1 != 0),
             mid_flow: opts & 8 != 0,
-            returned: opts & 16 != 0,
+            is_reconnect: opts & 16 != 0,
         })
     }
 
@@ -383,17 +374,17 @@
             }
             "takenOver" => {
                 let id = request_id(raw.id.take())?;
-                Event::Open(self.request(&raw, id, instance)?, self.host(&raw)?)
+                Event::AlreadyEstablished(self.request(&raw, id, instance)?, self.host(&raw)?)
             }
             "underWay" => {
                 let server = self.host(&raw)?;
                 need(raw.shot, "shot")?;
                 time(raw.time_taken, "timeTaken")?;
-                Event::Standing(request_id(raw.id)?, server)
+                Event::Established(request_id(raw.id)?, server)
             }
             "done" => {
                 time(raw.time_taken, "timeTaken")?;
-                Event::Ended(Ended {
+                Event::AttemptEnded(AttemptEnded {
                     server: self.host(&raw)?,
                     id: request_id(raw.id)?,
                     attempt: need(raw.shot, "shot")?,
@@ -407,12 +398,12 @@
                 need(raw.shot, "shot")?;
                 let level = time(raw.level, "level")?;
                 match need(raw.topic, "topic")? {
-                    1 => Event::Load(id, level),
-                    2 => Event::Delay(server, level / 1000.0),
+                    1 => Event::LoadReport(id, level),
+                    2 => Event::LatencyReport(server, level / 1000.0),
                     other => return Err(format!("field 'topic' is {other}, which is no news")),
                 }
             }
-            "cancelledByClient" => Event::Gone(request_id(raw.id)?),
+            "cancelledByClient" => Event::ClientDisconnected(request_id(raw.id)?),
             "fired" => {
                 let tag = need(raw.tag, "tag")?;
                 if tag > MAX_WHOLE {
@@ -431,7 +422,7 @@
                 need(raw.sender, "sender")?;
                 let payload = need(raw.payload, "payload")?.0;
                 let bytes = BASE64.decode(payload.as_bytes());
-                Event::Peer(bytes.map_err(|e| format!("field 'payload': {e}"))?)
+                Event::PeerMessage(bytes.map_err(|e| format!("field 'payload': {e}"))?)
             }
             other => return Err(format!("event kind '{other}' is unknown")),
         }))
@@ -445,36 +436,30 @@
                 .ok_or("a server without an address")
         };
         Ok(match action {
-            Action::Send { id, server, until } => Step::Relay {
+            Action::StartAttempt { id, server, until } => Step::Relay {
                 who,
                 id: hex(id),
                 host: name(server)?,
                 until,
             },
-            Action::Refuse { id, retry_after } => Step::Shed {
+            Action::Reject { id, retry_after } => Step::Shed {
                 who,
                 id: hex(id),
                 hold_off: retry_after,
             },
             Action::Fail(id) => Step::FinishError { who, id: hex(id) },
-            Action::Cancel { id, attempt } => Step::Withdraw {
+            Action::CancelAttempt { id, attempt } => Step::Withdraw {
                 who,
                 id: hex(id),
                 shot: attempt,
             },
-            Action::Move(id) => Step::GoAway { who, id: hex(id) },
-            Action::Watch => Step::Track { who, want: true },
-            Action::Tell { to, bytes } => Step::WritePeer {
-                who,
-                neighbour_id: to,
-                payload: BASE64.encode(bytes),
-            },
-            Action::Timer { after, token } => Step::SetAlarm {
+            Action::Migrate(id) => Step::GoAway { who, id: hex(id) },
+            Action::PollDiscovery => Step::Track { who, want: true },
+            Action::SetTimer { after, token } => Step::SetAlarm {
                 who,
                 after,
                 tag: token,
             },
-            Action::Log(reason_text) => Step::SayLog { who, reason_text },
         })
     }
 }
