--- a/crates/cluster/src/hook.rs
+++ b/crates/cluster/src/hook.rs
@@ -2,7 +2,7 @@
 //!
 //! ```
 //! use spanspur_cluster::hook::{Duty, Outcome, Work};
-//! use spanspur_duties::Permit;
+//! use spanspur_leases::Permit;
 //!
 //! /// Writes a line about the cluster once a minute, wherever the duty is.
 //! struct Heartbeat;
@@ -27,8 +27,8 @@
 //! }
 //! ```
 
-use spanspur_duties::board::Entry;
-use spanspur_duties::{Millis, Permit};
+use spanspur_leases::board::Entry;
+use spanspur_leases::{Millis, Permit};
 use std::future::Future;
 use std::pin::Pin;
 use std::time::Instant;
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -2,10 +2,10 @@
 //! three travel. What can be replayed in virtual time is all of an instance but its sockets.
 
 use serde::{Deserialize, Serialize};
-use spanspur_duties::board::{Entry, News};
-use spanspur_duties::division::Ranking;
-use spanspur_duties::instance::Status;
-use spanspur_duties::{
+use spanspur_leases::board::{Entry, News};
+use spanspur_leases::division::Ranking;
+use spanspur_leases::instance::Status;
+use spanspur_leases::{
     Board, DutyId, Instance, InstanceId, Item, Millis, Now, Output, Permit, Settings,
 };
 use spanspur_membership::seal::{Kind, MAX_DATAGRAM, OVERHEAD, Refusal};
--- a/crates/cluster/src/port.rs
+++ b/crates/cluster/src/port.rs
@@ -1,6 +1,6 @@
 //! A datagram socket with a clock, and the loop that serves whatever lives on it without I/O of its own.
 
-use spanspur_duties::Millis;
+use spanspur_leases::Millis;
 use spanspur_membership::seal::MAX_DATAGRAM;
 use std::cell::Cell;
 use std::io;
--- a/crates/distribution/tests/claims.rs
+++ b/crates/distribution/tests/claims.rs
@@ -1,10 +1,10 @@
 //! Versions as the claims of today give them are believed, and those beyond are not.
 
 use spanspur_distribution::store::{MAX_VERSION, Store, Unfit};
-use spanspur_duties::board::Entry;
-use spanspur_duties::division::Ranking;
-use spanspur_duties::instance::Settings;
-use spanspur_duties::{DutyId, Instance, InstanceId, Now, Output};
+use spanspur_leases::board::Entry;
+use spanspur_leases::division::Ranking;
+use spanspur_leases::instance::Settings;
+use spanspur_leases::{DutyId, Instance, InstanceId, Now, Output};
 use std::collections::BTreeMap;
 
 /// The first period that a lone voter gives when its wall clock says this.
--- a/crates/fleet-rig/src/capacity/data.rs
+++ b/crates/fleet-rig/src/capacity/data.rs
@@ -11,7 +11,7 @@
 
 /// What would make a placement cheap while many servers are cold.
 const COLD: &str =
-    "a placement that does not look at each cold server for each: missing (`src/choice.rs`)";
+    "a placement that does not look at each cold server for each: missing (`src/balancer/mod.rs`)";
 
 /// Connections that stand at one balancer.
 pub fn connections(book: &Book) -> Figure {
@@ -46,9 +46,9 @@
 /// The data path's rows.
 pub fn rows(book: &Book) -> Vec<Row> {
     let core = || Limit::Own(Figure::of(1.0), "one process runs on one core");
-    let relay = Mechanism::Is("src/net/relay.rs", "pub fn relay(");
-    let place = Mechanism::Is("src/choice.rs", "fn choose");
-    let list = Mechanism::Is("src/net/director.rs", "async fn follow");
+    let relay = Mechanism::Is("src/proxy/relay.rs", "pub fn relay(");
+    let place = Mechanism::Is("src/balancer/mod.rs", "fn choose");
+    let list = Mechanism::Is("src/discovery/watcher.rs", "async fn follow");
     let stand = connections(book);
     let memory = || Limit::Own(book.given("balancer-memory") * 1e9, "assumed");
     let zones = book.given("zones");
@@ -63,7 +63,10 @@
             Unit::Count,
             stand.clone() * 2.0,
         )
-        .by(Mechanism::Is("src/net/room.rs", "pub struct Room")),
+        .by(Mechanism::Is(
+            "src/proxy/connection_limit.rs",
+            "pub struct ConnectionLimit",
+        )),
         Row::new(
             "memory of the process for what stands",
             "all",
@@ -207,13 +210,10 @@
             "restart without a successor",
             Unit::Rate,
             stand
-                / (book.code("src/net/service/mod.rs", "EMPTY_BY")
-                    - book.code("src/net/service/mod.rs", "ARRIVALS")),
+                / (book.code("src/admin/mod.rs", "EMPTY_BY")
+                    - book.code("src/admin/mod.rs", "ARRIVALS")),
         )
-        .by(Mechanism::Is(
-            "crates/service/src/pace.rs",
-            "pub struct Pace",
-        )),
+        .by(Mechanism::Is("crates/admin/src/pace.rs", "pub struct Pace")),
     );
     rows
 }
--- a/crates/fleet-rig/src/capacity/edges.rs
+++ b/crates/fleet-rig/src/capacity/edges.rs
@@ -7,14 +7,14 @@
 use super::row::{Limit, Mechanism, Row};
 use std::fmt::Write;
 
-const WATCH: Mechanism = Mechanism::Is("src/net/director.rs", "async fn follow");
-const ONE_WATCH: Mechanism = Mechanism::Is("src/net/duties/list.rs", "pub struct ListNews");
-const OUTS: Mechanism = Mechanism::Is("crates/service/src/outs.rs", "pub struct Outs");
+const WATCH: Mechanism = Mechanism::Is("src/discovery/watcher.rs", "async fn follow");
+const ONE_WATCH: Mechanism = Mechanism::Is("src/cluster/endpoint_list.rs", "pub struct ListNews");
+const OUTS: Mechanism = Mechanism::Is("crates/admin/src/outs.rs", "pub struct Outs");
 const OUTS_SHARED: &str = "what is out as entries of the distribution: missing";
 
 /// Calls a second at discovery: what waits is renewed so often, and each change ends the wait of all.
 fn calls(book: &Book, watchers: Figure, changes: Figure) -> Figure {
-    let wait = book.code("src/net/director.rs", "WAIT");
+    let wait = book.code("src/discovery/watcher.rs", "WAIT");
     watchers.clone() / wait + watchers * changes
 }
 
@@ -54,7 +54,7 @@
             whole,
         )
         .limit(Limit::Code(
-            book.code("src/net/http.rs", "MAX_BODY"),
+            book.code("src/discovery/http.rs", "MAX_BODY"),
             "MAX_BODY",
         ))
         .by(WATCH)
@@ -89,9 +89,10 @@
     let held = book.given("connections") / servers();
     let room = held.clone() / book.given("server-fill");
     let topic = book.given("largest-topic");
-    let place = Mechanism::Is("src/choice.rs", "fn choose");
-    let budget = Mechanism::Is("src/choice.rs", "fn budget");
-    let cold = book.code("src/choice.rs", "COLD_SAFETY") * room.clone() / book.given("warm-up");
+    let place = Mechanism::Is("src/balancer/mod.rs", "fn choose");
+    let budget = Mechanism::Is("src/balancer/mod.rs", "fn budget");
+    let cold =
+        book.code("src/balancer/mod.rs", "COLD_SAFETY") * room.clone() / book.given("warm-up");
     vec![
         Row::new("connections that stand", "mean", Unit::Count, held.clone())
             .limit(Limit::Own(room.clone(), "assumed"))
@@ -188,7 +189,7 @@
                 ),
         )
         .limit(Limit::Own(room.clone(), "assumed"))
-        .by(Mechanism::Is("src/net/delay.rs", "pub struct Delays"))
+        .by(Mechanism::Is("src/proxy/latency_tracker.rs", "pub struct LatencyTracker"))
         .answer("servers that tell loads or delays (docs/QUESTIONS.md); without them: missing"),
     ]
 }
@@ -308,7 +309,7 @@
     let out = |share: Figure| servers() / share;
     let bound = || {
         Limit::Code(
-            book.code("crates/service/src/outs.rs", "MAX_ENTRIES"),
+            book.code("crates/admin/src/outs.rs", "MAX_ENTRIES"),
             "outs::MAX_ENTRIES",
         )
     };
--- a/crates/fleet-rig/src/data_path.rs
+++ b/crates/fleet-rig/src/data_path.rs
@@ -4,7 +4,7 @@
 use crate::series::{Measured, Series};
 use spanspur::Balancer;
 use spanspur::api::*;
-use spanspur::list::List;
+use spanspur::discovery::endpoint_list::EndpointList;
 use std::collections::HashSet;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -332,7 +332,7 @@
         };
         bytes = text.len();
         let start = Instant::now();
-        let list = List::parse(text.as_bytes())?;
+        let list = EndpointList::parse(text.as_bytes())?;
         let kind = [UpdateKind::Delta, UpdateKind::Full][usize::from(list.complete)];
         let members = list.members.iter().map(|(member, _)| *member).collect();
         let now = NOW + round as f64;
--- a/crates/fleet-rig/src/distribution/chaos.rs
+++ b/crates/fleet-rig/src/distribution/chaos.rs
@@ -5,7 +5,7 @@
 use super::world::{CONTROLS, Fault, Plan, Planted, REGIONS, World, key};
 use rand::{Rng, RngExt};
 use rand_chacha::ChaCha8Rng;
-use spanspur_duties::Millis;
+use spanspur_leases::Millis;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The control instances find each other and the first rows are written.
--- a/crates/fleet-rig/src/distribution/checker.rs
+++ b/crates/fleet-rig/src/distribution/checker.rs
@@ -1,7 +1,7 @@
 //! What was written, what each follower holds, and what of it is wrong.
 
-use spanspur_duties::Millis;
-use spanspur_duties::board::Entry;
+use spanspur_leases::Millis;
+use spanspur_leases::board::Entry;
 use std::collections::{BTreeMap, HashMap};
 use xxhash_rust::xxh3::xxh3_64;
 
--- a/crates/fleet-rig/src/distribution/measure.rs
+++ b/crates/fleet-rig/src/distribution/measure.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 use spanspur_distribution::Limits;
 use spanspur_distribution::pace::SLOT_KEPT;
-use spanspur_duties::Millis;
+use spanspur_leases::Millis;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::path::Path;
--- a/crates/fleet-rig/src/distribution/sockets.rs
+++ b/crates/fleet-rig/src/distribution/sockets.rs
@@ -13,7 +13,7 @@
 use spanspur_cluster::driver::{Cluster, Handle};
 use spanspur_cluster::node::Setup;
 use spanspur_distribution::{AskPace, Entry, FollowerSetup, Limits, SourceAt, SourceSetup};
-use spanspur_duties::DutyId;
+use spanspur_leases::DutyId;
 use spanspur_membership::{Identity, Key, Keys};
 use std::cell::{Cell, RefCell};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, UdpSocket};
--- a/crates/fleet-rig/src/distribution/world.rs
+++ b/crates/fleet-rig/src/distribution/world.rs
@@ -16,8 +16,8 @@
 use spanspur_distribution::{
     AskPace, Follower, FollowerSetup, Limits, Place, SourceAt, SourceSetup,
 };
-use spanspur_duties::board::Entry;
-use spanspur_duties::{DutyId, InstanceId, Millis, Now, Permit};
+use spanspur_leases::board::Entry;
+use spanspur_leases::{DutyId, InstanceId, Millis, Now, Permit};
 use spanspur_membership::{Identity, Key, Keys, Pace, Sessions};
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
--- a/crates/fleet-rig/src/judge.rs
+++ b/crates/fleet-rig/src/judge.rs
@@ -1,6 +1,6 @@
 //! Judges by what the acted-upon side saw, and by what is true of the cluster: nothing that a node says counts.
 
-use spanspur_duties::Millis;
+use spanspur_leases::Millis;
 use std::collections::BTreeMap;
 
 /// One act, as the side that was acted upon recorded it.
--- a/crates/fleet-rig/src/measure.rs
+++ b/crates/fleet-rig/src/measure.rs
@@ -5,7 +5,7 @@
 use crate::world::{Fault, Plan, World};
 use hdrhistogram::Histogram;
 use serde::Serialize;
-use spanspur_duties::{DutyId, InstanceId};
+use spanspur_leases::{DutyId, InstanceId};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::path::Path;
--- a/crates/fleet-rig/src/meter.rs
+++ b/crates/fleet-rig/src/meter.rs
@@ -2,8 +2,8 @@
 
 use rustix::time::{ClockId, clock_gettime};
 use spanspur_cluster::node::Notice;
-use spanspur_duties::Millis;
-use spanspur_duties::board::Entry;
+use spanspur_leases::Millis;
+use spanspur_leases::board::Entry;
 use std::collections::BTreeMap;
 
 /// Readings behind the cost of one.
--- a/crates/fleet-rig/src/sockets.rs
+++ b/crates/fleet-rig/src/sockets.rs
@@ -7,7 +7,7 @@
 use crate::world::{name, pace};
 use spanspur_cluster::driver::{Cluster, Handle, Traffic};
 use spanspur_cluster::node::Setup;
-use spanspur_duties::board::Entry;
+use spanspur_leases::board::Entry;
 use spanspur_membership::{Identity, Key, Keys};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/crates/fleet-rig/src/world.rs
+++ b/crates/fleet-rig/src/world.rs
@@ -7,8 +7,8 @@
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use spanspur_cluster::node::{Effect, Node, Notice, Setup};
-use spanspur_duties::board::Entry;
-use spanspur_duties::{Millis, Now, Permit};
+use spanspur_leases::board::Entry;
+use spanspur_leases::{Millis, Now, Permit};
 use spanspur_membership::{Identity, Key, Keys, Pace};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
@@ -182,7 +182,7 @@
             .collect();
         let names = (0..plan.duties).map(|n| {
             let name = format!("duty-{n}");
-            let id = spanspur_duties::DutyId::of(&name).0;
+            let id = spanspur_leases::DutyId::of(&name).0;
             (name, id)
         });
         let mut world = Self {
--- a/crates/duties/tests/board.rs
+++ b/crates/leases/tests/board.rs
@@ -1,7 +1,7 @@
 //! Results reach all boards, however many, and what is lost on the way comes later.
 
-use spanspur_duties::InstanceId;
-use spanspur_duties::board::{Board, Entry, FANOUT, MAX_VALUE, News};
+use spanspur_leases::InstanceId;
+use spanspur_leases::board::{Board, Entry, FANOUT, MAX_VALUE, News};
 use std::collections::BTreeMap;
 
 fn entry(key: u64, version: u64) -> Entry {
--- a/crates/duties/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -4,9 +4,9 @@
 //! answer that comes late is left out: until it comes the claimant does nothing that it could not do later as well,
 //! and what it asks meanwhile of the other voters may itself be late.
 
-use spanspur_duties::claim::{Claim, Stage, Step};
-use spanspur_duties::vote::Voter;
-use spanspur_duties::{DutyId, Item, Now, Why};
+use spanspur_leases::claim::{Claim, Stage, Step};
+use spanspur_leases::vote::Voter;
+use spanspur_leases::{DutyId, Item, Now, Why};
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/operator/tests/file.rs
+++ b/crates/operator-config/tests/file.rs
@@ -1,6 +1,6 @@
 //! The operator's file: its schema and its example stand in the repository, and every fault is named at once.
 
-use spanspur_operator::{Operator, parse, schema, sentence};
+use spanspur_operator_config::{Operator, parse, schema, sentence};
 
 const EXAMPLE: &str = include_str!("../../../deploy/operator.json");
 const SCHEMA: &str = include_str!("../../../deploy/operator.schema.json");
--- a/src/net/service/kept.rs
+++ b/src/admin/maintenance_store.rs
@@ -1,18 +1,18 @@
 //! The file under `$TMPDIR` that keeps which backends are taken out.
 
-use crate::net::check;
-use spanspur_service::outs::{MAX_FILE, Outs};
+use crate::invariants;
+use spanspur_admin::outs::{MAX_FILE, Outs};
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
 /// Where it is; nowhere without `$TMPDIR`, which is this balancer's alone.
 #[derive(Clone)]
-pub struct Kept {
+pub struct MaintenanceStore {
     path: Option<PathBuf>,
 }
 
-impl Kept {
+impl MaintenanceStore {
     /// The file of the balancer with this name.
     pub fn open(name: &str) -> Self {
         let folder = std::env::var_os("TMPDIR").filter(|path| !path.is_empty());
@@ -45,7 +45,7 @@
         match Outs::read(&text) {
             Ok(outs) => Some(outs),
             Err(what) => {
-                check::count("a file of servers taken out cannot be trusted");
+                invariants::count("a file of servers taken out cannot be trusted");
                 let aside = path.with_extension("outs.bad");
                 let done = fs::rename(path, &aside);
                 tracing::warn!(file = %path.display(), what, aside = %aside.display(), ?done, "is set aside");
--- a/src/net/service/mod.rs
+++ b/src/admin/mod.rs
@@ -1,15 +1,13 @@
-//! What the staff does to a running balancer: the driver of `spanspur-service`.
+//! What the staff does to a running balancer: the driver of `spanspur-admin`.
 
-mod calls;
-pub mod handover;
-mod kept;
-pub mod listener;
+mod maintenance_store;
+mod server;
 
-use super::drain::Mover;
-use super::host::Host;
-use handover::{Predecessor, Succession};
-use spanspur_handover::stage::Heard;
-use spanspur_service::pace::Pace;
+use crate::lifecycle::graceful_shutdown::Migrator;
+use crate::lifecycle::hot_restart::{HotRestart, Predecessor};
+use crate::runtime::Runtime;
+use spanspur_admin::pace::Pace;
+use spanspur_hot_restart::stage::Heard;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -26,33 +24,33 @@
 
 /// The staff's part of this process.
 pub struct Service {
-    succession: Option<Rc<Succession>>,
+    succession: Option<Rc<HotRestart>>,
     predecessor: RefCell<Option<Predecessor>>,
 }
 
 impl Service {
     /// Takes up which backends are taken out, and what another process of this balancer knows; answers calls if
     /// there is an address for them.
-    pub async fn start(host: &Rc<Host>, calls: Option<TcpListener>) -> Self {
-        let node = host.node();
-        let kept = Rc::new(kept::Kept::open(&node.name));
+    pub async fn start(runtime: &Rc<Runtime>, calls: Option<TcpListener>) -> Self {
+        let node = runtime.process_config();
+        let kept = Rc::new(maintenance_store::MaintenanceStore::open(&node.name));
         if let Some(outs) = kept.read() {
             let out: Vec<&str> = outs.out().collect();
             tracing::info!(out = out.join(" "), "stream servers that are taken out");
-            host.take_outs(&outs);
+            runtime.merge_maintenance(&outs);
         }
         // Only where the platform holds the clients' socket can two processes take clients one after the other.
         let place = kept.beside("sock").filter(|_| node.accept_fd.is_some());
-        let succession = place.map(|path| Succession::new(host.clone(), &path));
+        let succession = place.map(|path| HotRestart::new(runtime.clone(), &path));
         let predecessor = match &succession {
             Some(succession) => succession.meet().await,
             None => None,
         };
         // The one before takes them until this one is ready.
-        host.accepting.send_replace(predecessor.is_none());
+        runtime.accepting.send_replace(predecessor.is_none());
         if let Some(listener) = calls {
-            spawn_local(calls::run(host.clone(), listener, kept));
-            spawn_local(lameduck(host.clone()));
+            spawn_local(server::run(runtime.clone(), listener, kept));
+            spawn_local(lameduck(runtime.clone()));
         }
         Self {
             succession,
@@ -69,12 +67,12 @@
     }
 
     /// All is set up: this process takes clients.
-    pub async fn takes_clients(&self, host: &Host) {
+    pub async fn takes_clients(&self, runtime: &Runtime) {
         let predecessor = self.predecessor.take();
         if let Some(succession) = &self.succession {
             succession.ready(predecessor).await;
         }
-        host.accepting.send_replace(true);
+        runtime.accepting.send_replace(true);
     }
 
     /// This process is told to leave.
@@ -86,23 +84,26 @@
 }
 
 /// Empties the balancer whenever the staff says so, until it says that it may take clients again.
-async fn lameduck(host: Rc<Host>) {
-    let mut on = host.lameduck.subscribe();
+async fn lameduck(runtime: Rc<Runtime>) {
+    let mut on = runtime.lameduck.subscribe();
     loop {
         if on.wait_for(|on| *on).await.is_err() {
             return;
         }
-        let now = host.now();
+        let now = runtime.now();
         let pace = Pace {
             from: now + ARRIVALS,
             until: now + EMPTY_BY,
         };
-        tracing::info!(standing = host.reqs(true).len(), "is emptied");
-        let mut mover = Mover::new(host.clone(), pace);
+        tracing::info!(standing = runtime.request_ids(true).len(), "is emptied");
+        let mut mover = Migrator::new(runtime.clone(), pace);
         while *on.borrow_and_update() {
             mover.look(TICK);
             sleep(TICK).await;
         }
-        tracing::info!(standing = host.reqs(true).len(), "takes clients again");
+        tracing::info!(
+            standing = runtime.request_ids(true).len(),
+            "takes clients again"
+        );
     }
 }
--- a/src/net/service/calls.rs
+++ b/src/admin/server.rs
@@ -1,14 +1,14 @@
 //! The second address: the staff's calls, one to a connection.
 
-use super::kept::Kept;
-use crate::net::check;
-use crate::net::host::Host;
-use crate::net::relay::say_last;
-use crate::net::room::Room;
-use spanspur::api::ServerId;
-use spanspur_handover::frame::Frame;
-use spanspur_service::call::{Answer, Call, MAX_BODY, MAX_HEAD, read};
-use spanspur_service::outs::No;
+use super::maintenance_store::MaintenanceStore;
+use crate::api::ServerId;
+use crate::invariants;
+use crate::proxy::connection_limit::ConnectionLimit;
+use crate::proxy::relay::say_last;
+use crate::runtime::Runtime;
+use spanspur_admin::call::{Answer, Call, MAX_BODY, MAX_HEAD, read};
+use spanspur_admin::outs::No;
+use spanspur_hot_restart::frame::Frame;
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
@@ -26,17 +26,17 @@
 
 /// What the calls change.
 struct Desk {
-    host: Rc<Host>,
-    kept: Rc<Kept>,
+    runtime: Rc<Runtime>,
+    kept: Rc<MaintenanceStore>,
     /// One change at a time: each is written before it counts.
     writing: Mutex<()>,
 }
 
 /// Answers calls, as long as the process lives.
-pub async fn run(host: Rc<Host>, listener: TcpListener, kept: Rc<Kept>) {
-    let room = Rc::new(Room::default());
+pub async fn run(runtime: Rc<Runtime>, listener: TcpListener, kept: Rc<MaintenanceStore>) {
+    let room = Rc::new(ConnectionLimit::default());
     let desk = Rc::new(Desk {
-        host,
+        runtime,
         kept,
         writing: Mutex::new(()),
     });
@@ -44,14 +44,14 @@
         let caller = match listener.accept().await {
             Ok((caller, _)) => caller,
             Err(e) => {
-                check::count("accepting a caller failed");
+                invariants::count("accepting a caller failed");
                 tracing::debug!(error = %e, "accept");
                 sleep(ACCEPT_PAUSE).await;
                 continue;
             }
         };
         let Some(mut place) = room.enter_of(CALLERS) else {
-            check::count("a caller finds no room");
+            invariants::count("a caller finds no room");
             continue;
         };
         let desk = desk.clone();
@@ -94,22 +94,24 @@
     }
 
     async fn carry_out(&self, call: &Call) -> Answer {
-        let host = &self.host;
+        let runtime = &self.runtime;
         match call {
             Call::Ready => match (
-                host.ready(),
-                *host.accepting.borrow(),
-                *host.lameduck.borrow(),
+                runtime.is_ready(),
+                *runtime.accepting.borrow(),
+                *runtime.lameduck.borrow(),
             ) {
                 (false, ..) => Answer::new(503, "no stream server is known yet"),
                 (_, false, _) => Answer::new(503, "another process takes the clients"),
-                (_, _, true) if host.told_lameduck.get() => Answer::new(503, "is emptied"),
+                (_, _, true) if runtime.lameduck_requested_here.get() => {
+                    Answer::new(503, "is emptied")
+                }
                 _ => Answer::new(200, "takes clients"),
             },
             Call::Lameduck(on) => {
-                host.told_lameduck.set(*on);
-                host.tell(|| Frame::Lameduck(*on));
-                let changed = host
+                runtime.lameduck_requested_here.set(*on);
+                runtime.notify_peer_processes(|| Frame::Lameduck(*on));
+                let changed = runtime
                     .lameduck
                     .send_if_modified(|was| std::mem::replace(was, *on) != *on);
                 Answer::new(
@@ -130,7 +132,7 @@
     /// Takes a backend out or puts it back. Written first, then it counts, then the caller hears.
     async fn change(&self, name: &str, out: bool) -> Answer {
         let _one = self.writing.lock().await;
-        let (mut outs, now) = (self.host.outs(), self.host.now());
+        let (mut outs, now) = (self.runtime.maintenance(), self.runtime.now());
         let id = ServerId::of(name).0;
         let changed = match out {
             true => outs.detach(name, id, now),
@@ -145,14 +147,15 @@
             Ok(false) => return Answer::new(200, "was not out"),
             Ok(true) => {}
         }
-        let (kept, written) = (Kept::clone(&self.kept), outs.clone());
+        let (kept, written) = (MaintenanceStore::clone(&self.kept), outs.clone());
         let written = spawn_blocking(move || kept.write(&written)).await;
         if let Err(e) = written.map_err(io::Error::other).flatten() {
-            check::count("the servers taken out could not be written");
+            invariants::count("the servers taken out could not be written");
             return Answer::new(503, format!("cannot be kept, so nothing changes: {e}"));
         }
-        self.host.take_outs(&outs);
-        self.host.tell(|| Frame::Outs(outs.write()));
+        self.runtime.merge_maintenance(&outs);
+        self.runtime
+            .notify_peer_processes(|| Frame::Outs(outs.write()));
         Answer::new(200, if out { "is out" } else { "may serve again" })
     }
 }
--- a/src/choice.rs
+++ b/src/balancer/mod.rs
@@ -1,9 +1,11 @@
-//! Every decision of the balancer. Its interface (types, events, actions) is `src/api.rs`.
+//! Every decision of the balancer. Its interface (types, events, actions) is `src/balancer/api.rs`.
 //!
 //! Read it from `Balancer::handle`, what can happen, and `Balancer::choose`, where connections go: the
 //! highest weighted rendezvous score, skipping down the key's own ranking past busy and cold servers.
 
-use crate::api::*;
+pub mod api;
+
+use api::*;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/bin/spanspur-benchlink.rs
+++ b/src/bin/spanspur-simulator-adapter.rs
@@ -4,7 +4,10 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    match spanspur::wire::serve(io::stdin().lock(), BufWriter::new(io::stdout().lock())) {
+    match spanspur::protocol::simulator::serve(
+        io::stdin().lock(),
+        BufWriter::new(io::stdout().lock()),
+    ) {
         Ok(()) => ExitCode::SUCCESS,
         Err(what) => {
             eprintln!("spanspur-benchlink: {what}");
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,13 +1,13 @@
 //! The command line: `serve`, and sub-commands that need no running process or ask one.
 
+use crate::config::{LoadReason, ProcessConfig};
 use clap::{Args, Parser, Subcommand};
 use comfy_table::{Table, presets};
-use spanspur::config::{Node, When};
 use spanspur_cluster::control::{DutiesAnswer, MembersAnswer, ask};
 use spanspur_cluster::distribution::{ChangesAnswer, End};
 use spanspur_distribution::follower::FollowerStatus;
 use spanspur_distribution::source::{Behind, SourceStatus};
-use spanspur_operator as operator;
+use spanspur_operator_config as operator;
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -115,7 +115,7 @@
         let file = self.file.display();
         let text = std::fs::read_to_string(&self.file).map_err(|e| format!("{file}: {e}"))?;
         if self.config {
-            let node = Node::parse(text.as_bytes(), When::Start, |_| None);
+            let node = ProcessConfig::parse(text.as_bytes(), LoadReason::Start, |_| None);
             node.map_err(|e| format!("{file}: {e}"))?;
         } else {
             operator::parse(&text).map_err(|faults| {
--- a/src/net/duties/distribute.rs
+++ b/src/cluster/distribution.rs
@@ -1,17 +1,17 @@
 //! The list of servers on its way from the control instances to the balancers outside their cluster, at both ends.
 
-use super::list::ListNews;
+use super::endpoint_list::ListNews;
 use super::rows::{Told, View};
 use super::{keys, score_of};
-use crate::net::host::Host;
-use spanspur::api;
+use crate::api;
+use crate::runtime::Runtime;
 use spanspur_cluster::control;
 use spanspur_cluster::distribution::{ChangesAnswer, Distributor, Following};
 use spanspur_distribution::wire::MAX_WINDOW;
 use spanspur_distribution::{AskPace, FollowerSetup, Limits, Place, SourceAt, SourceSetup};
-use spanspur_duties::board::Entry;
+use spanspur_leases::board::Entry;
 use spanspur_membership::Identity;
-use spanspur_operator::{Distribute, Follow, Operator};
+use spanspur_operator_config::{Distribute, Follow, Operator};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -92,11 +92,14 @@
 
 impl Followed {
     /// Follows the sources that the operator's file names; `None` if it names none.
-    pub async fn start(host: &Rc<Host>, operator: &Operator) -> Result<Option<Rc<Self>>, String> {
+    pub async fn start(
+        runtime: &Rc<Runtime>,
+        operator: &Operator,
+    ) -> Result<Option<Rc<Self>>, String> {
         let Some(follow) = &operator.follow else {
             return Ok(None);
         };
-        let node = host.node();
+        let node = runtime.process_config();
         let name = follow.name.clone().unwrap_or_else(|| node.name.clone());
         if name.is_empty() {
             return Err("follow.name: is missing, and the balancer has no name either".into());
@@ -118,10 +121,10 @@
         // It tells nobody anything.
         let news = Rc::new(ListNews::new(Box::new(|_| {}), false));
         news.configure(Some(follow.max_age_ms));
-        let (list, of) = (news.clone(), host.clone());
+        let (list, of) = (news.clone(), runtime.clone());
         let told = Box::new(move |entries: &[Entry], age| {
             if let Some(list) = list.follow(entries, age) {
-                of.followed(list);
+                of.update_from_distribution(list);
             }
         });
         let following = Following::start(setup, told).await;
--- a/src/net/duties/list.rs
+++ b/src/cluster/endpoint_list.rs
@@ -4,10 +4,10 @@
 //! discovery themselves, from the revision that was last confirmed.
 
 use super::rows::{Head, NAME, Row, Told, View, hash};
-use spanspur::list::List;
+use crate::discovery::endpoint_list::EndpointList;
 use spanspur_cluster::hook::{Duty, Outcome, Work};
-use spanspur_duties::board::Entry;
-use spanspur_duties::{Millis, Permit};
+use spanspur_leases::board::Entry;
+use spanspur_leases::{Millis, Permit};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -128,7 +128,7 @@
     }
 
     /// Takes an entry of the board: what of the list it changes here.
-    pub fn take(&self, entry: &Entry) -> Option<List> {
+    pub fn take(&self, entry: &Entry) -> Option<EndpointList> {
         match Told::read(entry)? {
             Told::Beat(head) => {
                 self.head.set(Some((entry.version, head)));
@@ -141,9 +141,9 @@
                 let member = (row.member(), row.address);
                 self.rows.borrow_mut().insert(row.id, row);
                 self.confirm();
-                Some(List {
+                Some(EndpointList {
                     members: vec![member],
-                    ..List::default()
+                    ..EndpointList::default()
                 })
             }
         }
@@ -155,7 +155,7 @@
     /// It is trusted while it is whole, young enough, and not behind what discovery itself has told this balancer:
     /// a source that was cut off for an hour must not undo what is known here. Where discovery has never answered
     /// and does not now, an old list is better than none.
-    pub fn follow(&self, entries: &[Entry], age: Option<Millis>) -> Option<List> {
+    pub fn follow(&self, entries: &[Entry], age: Option<Millis>) -> Option<EndpointList> {
         let before = self.fresh_until().is_some();
         let mut view = self.view.borrow_mut();
         let came: Vec<Row> = entries.iter().filter_map(|e| view.take(e)).collect();
@@ -178,7 +178,7 @@
         if trusted && !before {
             *rows = view.rows().map(|row| (row.id, row.clone())).collect();
             self.changed.notify_waiters();
-            return Some(List {
+            return Some(EndpointList {
                 revision,
                 complete: true,
                 members: members(&mut rows.values().filter(|row| !row.is_gone())),
@@ -197,7 +197,7 @@
             return None;
         }
         rows.extend(came.iter().map(|row| (row.id, row.clone())));
-        Some(List {
+        Some(EndpointList {
             revision,
             complete: false,
             members: members(&mut came.iter()),
@@ -229,7 +229,7 @@
     }
 
     /// Takes what our own watch on discovery has brought, and tells the others if the duty is ours.
-    pub fn watched(&self, list: &List) {
+    pub fn watched(&self, list: &EndpointList) {
         let mut changed = Vec::new();
         {
             let mut rows = self.rows.borrow_mut();
--- a/src/net/duties/list/tests.rs
+++ b/src/cluster/endpoint_list/tests.rs
@@ -1,7 +1,7 @@
 //! When a balancer outside the cluster takes the list that its sources have brought.
 
 use super::*;
-use spanspur::api::{Endpoint, EndpointState, ServerId};
+use crate::api::{Endpoint, EndpointState, ServerId};
 
 const MAX_AGE: Millis = 5000;
 
@@ -35,7 +35,7 @@
 }
 
 /// The servers that a list names, each with whether it takes new connections.
-fn named(list: Option<List>) -> (bool, Vec<(u64, bool)>) {
+fn named(list: Option<EndpointList>) -> (bool, Vec<(u64, bool)>) {
     let list = list.expect("a list");
     let ready = |m: &Endpoint| (m.id.0, m.state == EndpointState::Ready);
     let members = list.members.iter().map(|(member, _)| ready(member));
@@ -90,7 +90,7 @@
 fn a_list_behind_what_discovery_has_told_is_not_taken() {
     let news = follower();
     let drained = row(2, EndpointState::Draining);
-    let own = List {
+    let own = EndpointList {
         revision: 8,
         complete: true,
         members: vec![
--- a/src/net/duties/probe.rs
+++ b/src/cluster/health_check.rs
@@ -1,13 +1,13 @@
 //! One look at one stream server, for all instances: connect, and send a line and wait for its answer where the
 //! operator gives one.
 
+use crate::api::ServerId;
 use serde::{Deserialize, Serialize};
-use spanspur::api::ServerId;
 use spanspur_cluster::Handle;
 use spanspur_cluster::hook::{Duty, Outcome, Work};
-use spanspur_duties::board::Entry;
-use spanspur_duties::{DutyId, Permit};
-use spanspur_operator::Probe;
+use spanspur_leases::board::Entry;
+use spanspur_leases::{DutyId, Permit};
+use spanspur_operator_config::Probe;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
--- a/src/net/duties/mod.rs
+++ b/src/cluster/mod.rs
@@ -2,26 +2,26 @@
 //! All of it is off unless the operator's file has the section `cluster`. Balancers outside the cluster follow it for
 //! the list: that is off unless the file has `distribute` there and `follow` here.
 
-mod distribute;
-mod list;
-mod probe;
+mod distribution;
+mod endpoint_list;
+mod health_check;
 mod rows;
 
-pub use distribute::Followed;
-pub use list::ListNews;
+pub use distribution::Followed;
+pub use endpoint_list::ListNews;
 
-use super::host::Host;
-use distribute::Distribution;
-use list::ListDuty;
-use probe::{ProbeDuty, Probed};
-use spanspur::api::{Event, ServerId};
-use spanspur::{api, score};
+use crate::api::{Event, ServerId};
+use crate::runtime::Runtime;
+use crate::{api, score};
+use distribution::Distribution;
+use endpoint_list::ListDuty;
+use health_check::{ProbeDuty, Probed};
 use spanspur_cluster::control;
 use spanspur_cluster::{Cluster, Duty, Handle, Setup};
-use spanspur_duties::board::Entry;
-use spanspur_duties::division::Ranking;
+use spanspur_leases::board::Entry;
+use spanspur_leases::division::Ranking;
 use spanspur_membership::{Identity, Key, Keys, Pace};
-use spanspur_operator::Operator;
+use spanspur_operator_config::Operator;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -34,7 +34,7 @@
 
 /// This instance's part in the cluster.
 pub struct Shared {
-    host: Rc<Host>,
+    runtime: Rc<Runtime>,
     handle: Handle,
     name: Rc<str>,
     operator: RefCell<Operator>,
@@ -48,11 +48,14 @@
 
 impl Shared {
     /// Joins the cluster that the operator's file names; `None` if it names none.
-    pub async fn start(host: &Rc<Host>, operator: &Operator) -> Result<Option<Rc<Self>>, String> {
+    pub async fn start(
+        runtime: &Rc<Runtime>,
+        operator: &Operator,
+    ) -> Result<Option<Rc<Self>>, String> {
         let Some(cluster) = &operator.cluster else {
             return Ok(None);
         };
-        let node = host.node();
+        let node = runtime.process_config();
         let name = cluster.name.clone().unwrap_or_else(|| node.name.clone());
         if name.is_empty() {
             return Err("cluster.name: is missing, and the balancer has no name either".into());
@@ -108,7 +111,7 @@
             board.publish(entries);
         });
         let shared = Rc::new(Self {
-            host: host.clone(),
+            runtime: runtime.clone(),
             news: Rc::new(ListNews::new(publish, distribution.is_some())),
             handle,
             distribution,
@@ -151,19 +154,19 @@
     async fn follow_list(self: Rc<Self>) {
         loop {
             self.register();
-            self.host.listed.notified().await;
+            self.runtime.endpoints_changed.notified().await;
         }
     }
 
     fn register(&self) {
-        if self.host.leaving.get() {
+        if self.runtime.shutting_down.get() {
             return;
         }
         let operator = self.operator.borrow();
         let mut duties: Vec<Rc<dyn Duty>> = Vec::new();
         let mut probed = BTreeMap::new();
         if let Some(settings) = &operator.duties.probe {
-            for (server, address) in self.host.addresses() {
+            for (server, address) in self.runtime.endpoint_addresses() {
                 let duty = ProbeDuty {
                     server,
                     address,
@@ -201,7 +204,7 @@
                 self.distribute(&entry);
                 // A head confirms what is known and changes nothing.
                 if let Some(list) = self.news.take(&entry) {
-                    self.host.list(api::UpdateKind::Delta, list);
+                    self.runtime.update_endpoints(api::UpdateKind::Delta, list);
                 }
                 continue;
             }
@@ -235,10 +238,12 @@
         tracing::debug!(%server, ?probed, "probed");
         let shut = probed
             .is_down()
-            .then(|| self.host.now() + every * HOLDS_PERIODS);
-        self.host.event(Event::HealthChecked(server, shut));
+            .then(|| self.runtime.now() + every * HOLDS_PERIODS);
+        self.runtime
+            .handle_event(Event::HealthChecked(server, shut));
         if let Probed::Answered { ms } | Probed::Slow { ms } = probed {
-            self.host.message_took(server, f64::from(ms) / 1000.0);
+            self.runtime
+                .report_message_time(server, f64::from(ms) / 1000.0);
         }
     }
 }
--- a/src/net/duties/rows.rs
+++ b/src/cluster/rows.rs
@@ -1,9 +1,9 @@
 //! The list of servers as entries of a board: a row for each server, and heads that say what all rows come to.
 
+use crate::api::{Endpoint, EndpointState, ServerId};
 use serde::{Deserialize, Serialize};
-use spanspur::api::{Endpoint, EndpointState, ServerId};
-use spanspur_duties::DutyId;
-use spanspur_duties::board::Entry;
+use spanspur_leases::DutyId;
+use spanspur_leases::board::Entry;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/src/config.rs
+++ b/src/config/mod.rs
@@ -2,7 +2,7 @@
 //! what a node reads at its start. It is read, checked and given defaults here; errors name the key at fault.
 
 use crate::api::*;
-use crate::list::List;
+use crate::discovery::endpoint_list::EndpointList;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
@@ -63,7 +63,7 @@
 
 /// When the file is read.
 #[derive(Clone, Copy, PartialEq)]
-pub enum When {
+pub enum LoadReason {
     /// At the start: the environment goes before the file.
     Start,
     /// While running: the environment cannot have changed since, so the file's discovery goes before it.
@@ -71,7 +71,7 @@
 }
 
 /// What a node is told at its start, and again at each reload.
-pub struct Node {
+pub struct ProcessConfig {
     /// Its name, the same after a restart.
     pub name: String,
     /// Where clients connect.
@@ -87,10 +87,10 @@
     /// The most file descriptors that it may hold.
     pub sockets: usize,
     /// The list of servers as last known.
-    pub known: List,
+    pub known: EndpointList,
     /// The module's settings.
     pub config: BalancerConfig,
-    /// The classes' names, in the order of the settings.
+    /// The classes' names, in the command of the settings.
     pub classes: Vec<String>,
     /// The longest time that a client waits for its answer.
     pub longest_wait: Time,
@@ -120,9 +120,9 @@
 /// The wait of a class that names none.
 const HARD_LIMIT: Time = 2.0;
 
-impl Node {
+impl ProcessConfig {
     /// Reads the file that `BALANCER_CONFIG` names, and the other variables where set.
-    pub fn from_env(when: When) -> Result<Self, String> {
+    pub fn from_env(when: LoadReason) -> Result<Self, String> {
         let var = |key: &str| std::env::var(key).ok().filter(|text| !text.is_empty());
         let path = need_key(var("BALANCER_CONFIG"), "BALANCER_CONFIG")?;
         let text = std::fs::read(&path).map_err(|e| format!("BALANCER_CONFIG: {path}: {e}"))?;
@@ -132,7 +132,7 @@
     /// Reads the file's text; `var` looks up a variable of the environment.
     pub fn parse(
         text: &[u8],
-        when: When,
+        when: LoadReason,
         var: impl Fn(&str) -> Option<String>,
     ) -> Result<Self, String> {
         let raw: RawNode =
@@ -144,8 +144,8 @@
         };
         let listen = var("BALANCER_LISTEN").or(raw.listen);
         let discovery = match when {
-            When::Start => var("BALANCER_DISCOVERY").or(raw.discovery),
-            When::Reload => raw.discovery.or_else(|| var("BALANCER_DISCOVERY")),
+            LoadReason::Start => var("BALANCER_DISCOVERY").or(raw.discovery),
+            LoadReason::Reload => raw.discovery.or_else(|| var("BALANCER_DISCOVERY")),
         };
         let operator = var("BALANCER_OPERATOR").or(raw.operator);
         let accept_fd = var("BALANCER_ACCEPT_FD").map(|text| {
@@ -180,8 +180,10 @@
                 .map_err(|_| format!("key 'seed' is '{seed}', not a hexadecimal number"))?,
             sockets: raw.limits.and_then(|l| l.sockets).unwrap_or(SOCKETS),
             known: match raw.known {
-                Some(known) => List::read(known).map_err(|e| format!("key 'known': {e}"))?,
-                None => List::default(),
+                Some(known) => {
+                    EndpointList::read(known).map_err(|e| format!("key 'known': {e}"))?
+                }
+                None => EndpointList::default(),
             },
             config,
             classes,
@@ -191,7 +193,7 @@
     }
 }
 
-impl Node {
+impl ProcessConfig {
     /// Takes the place of `running` at a reload: the error names what cannot change while running. A new place
     /// to listen waits for a restart; the seed and the list as last known matter at a start only.
     pub fn replace(mut self, running: &Self) -> Result<Self, String> {
--- a/src/list.rs
+++ b/src/discovery/endpoint_list.rs
@@ -7,7 +7,7 @@
 
 /// A list, or the changes to one.
 #[derive(Debug, Default, Serialize, Deserialize)]
-pub struct List {
+pub struct EndpointList {
     /// Its version.
     pub revision: u64,
     /// It names every server; otherwise only what changed.
@@ -36,7 +36,7 @@
     up_since_ms: Option<f64>,
 }
 
-impl List {
+impl EndpointList {
     /// Reads a JSON value in discovery's form.
     pub fn read(value: serde_json::Value) -> Result<Self, String> {
         let raw: RawList = serde_json::from_value(value).map_err(|e| e.to_string())?;
--- a/src/net/http.rs
+++ b/src/discovery/http.rs
@@ -12,7 +12,7 @@
 /// A connection, kept open between calls.
 pub struct Connection {
     stream: BufReader<TcpStream>,
-    host: SocketAddr,
+    runtime: SocketAddr,
     /// The other side keeps it open after the last answer.
     pub alive: bool,
 }
@@ -31,12 +31,12 @@
 
 impl Connection {
     /// Connects.
-    pub async fn open(host: SocketAddr) -> io::Result<Self> {
-        let stream = TcpStream::connect(host).await?;
+    pub async fn open(runtime: SocketAddr) -> io::Result<Self> {
+        let stream = TcpStream::connect(runtime).await?;
         stream.set_nodelay(true)?;
         Ok(Self {
             stream: BufReader::new(stream),
-            host,
+            runtime,
             alive: true,
         })
     }
@@ -50,9 +50,9 @@
 
     /// Sends a GET and reads the answer.
     pub async fn get(&mut self, path: &str) -> io::Result<Response> {
-        let host = self.host;
+        let runtime = self.runtime;
         let head =
-            format!("GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n");
+            format!("GET {path} HTTP/1.1\r\nHost: {runtime}\r\nAccept: application/json\r\n\r\n");
         self.alive = false;
         self.stream.write_all(head.as_bytes()).await?;
         let status = self.line(MAX_HEAD).await?;
--- /dev/null
+++ b/src/discovery/mod.rs
@@ -0,0 +1,5 @@
+//! Service discovery: the list of endpoints, the watcher that keeps it current, and its HTTP client.
+
+pub mod endpoint_list;
+pub mod http;
+pub mod watcher;
--- a/src/net/director.rs
+++ b/src/discovery/watcher.rs
@@ -1,12 +1,12 @@
 //! The director: discovery's list, watched call by call on one kept-alive connection.
 
-use super::check;
-use super::duties::ListNews;
-use super::host::Host;
-use super::http::{Connection, Response};
-use super::service::handover;
-use spanspur::api::{Event, UpdateKind};
-use spanspur::list::List;
+use crate::api::{Event, UpdateKind};
+use crate::cluster::ListNews;
+use crate::discovery::endpoint_list::EndpointList;
+use crate::discovery::http::{Connection, Response};
+use crate::invariants;
+use crate::lifecycle::hot_restart;
+use crate::runtime::Runtime;
 use std::io;
 use std::net::SocketAddr;
 use std::pin::pin;
@@ -36,15 +36,15 @@
 /// Watches whenever the module asks for it, until the watch fails; when to try again is the module's choice. Where lists
 /// are pushed the module never asks: the agent, which pushes to whoever watches, is watched all the time.
 pub async fn run(
-    host: Rc<Host>,
+    runtime: Rc<Runtime>,
     mut discovery: watch::Receiver<SocketAddr>,
     mut listed: Option<u64>,
     news: Option<Rc<ListNews>>,
 ) {
     let mut at = *discovery.borrow_and_update();
     loop {
-        if !host.pushed() {
-            host.watch.notified().await;
+        if !runtime.has_pushed_discovery() {
+            runtime.poll_requested.notified().await;
         }
         loop {
             // Another discovery counts its versions as it likes: it is asked for everything first.
@@ -63,9 +63,9 @@
                 () = relieved(news.as_deref()) => {
                     listed = outsourced(news.as_deref()).await.or(listed);
                 }
-                what = follow(&host, at, &mut listed, news.as_deref()) => {
-                    if host.pushed() {
-                        check::count("a watch on the agent that pushes lists has ended");
+                what = follow(&runtime, at, &mut listed, news.as_deref()) => {
+                    if runtime.has_pushed_discovery() {
+                        invariants::count("a watch on the agent that pushes lists has ended");
                         tracing::debug!(what, agent = %at, "the watch ends");
                         sleep(AGENT_PAUSE).await;
                         continue;
@@ -75,8 +75,8 @@
                         news.failed();
                     }
                     // A wish from before was met by the call that has failed: the pause from here on is the module's.
-                    pin!(host.watch.notified()).enable();
-                    host.event(Event::DiscoveryFailed);
+                    pin!(runtime.poll_requested.notified()).enable();
+                    runtime.handle_event(Event::DiscoveryFailed);
                     break;
                 }
             }
@@ -102,7 +102,7 @@
 
 /// Takes list after list, until a call fails: says why.
 async fn follow(
-    host: &Rc<Host>,
+    runtime: &Rc<Runtime>,
     at: SocketAddr,
     listed: &mut Option<u64>,
     news: Option<&ListNews>,
@@ -112,7 +112,7 @@
         let (path, wait) = match listed {
             Some(revision) => {
                 // What an agent has counts from our first moment on: its first answer is not waited for.
-                let now = host.pushed() && !host.heard.get();
+                let now = runtime.has_pushed_discovery() && !runtime.discovery_answered.get();
                 let wait = if now { Duration::ZERO } else { WAIT };
                 let ms = wait.as_millis();
                 let path = format!("/api/targets?since={revision}&timeout_ms={ms}");
@@ -122,7 +122,7 @@
         };
         // An agent has one caller, so nobody stands in line there.
         let patience = match listed {
-            None if !host.pushed() => LINE,
+            None if !runtime.has_pushed_discovery() => LINE,
             _ => wait + SILENCE,
         };
         tracing::debug!(path, "calls discovery");
@@ -131,10 +131,10 @@
         let list = call
             .map_err(|e| e.to_string())
             .and_then(|answer| match answer.status {
-                200 => List::parse(&answer.body),
+                200 => EndpointList::parse(&answer.body),
                 status => Err(format!("status {status}")),
             });
-        let list = match list.and_then(|list| plausible(host, list, listed)) {
+        let list = match list.and_then(|list| plausible(runtime, list, listed)) {
             Ok(list) => list,
             Err(what) => return what,
         };
@@ -145,7 +145,7 @@
             "a list"
         );
         *listed = Some(list.revision);
-        host.heard.set(true);
+        runtime.discovery_answered.set(true);
         let kind = if list.complete {
             UpdateKind::Full
         } else {
@@ -154,23 +154,27 @@
         if let Some(news) = news {
             news.watched(&list);
         }
-        host.tell(|| handover::news(&list));
-        host.list(kind, list);
+        runtime.notify_peer_processes(|| hot_restart::news(&list));
+        runtime.update_endpoints(kind, list);
         sleep(PAUSE).await;
     }
 }
 
 /// A list that goes back, or leaves nobody, may be a fault of discovery's: the last good one stands, and the whole list
 /// is asked for. What comes whole then is believed.
-fn plausible(host: &Host, list: List, listed: &mut Option<u64>) -> Result<List, String> {
+fn plausible(
+    runtime: &Runtime,
+    list: EndpointList,
+    listed: &mut Option<u64>,
+) -> Result<EndpointList, String> {
     let nobody = list.complete && list.members.is_empty();
     let odd = match *listed {
         None if !list.complete => "changes where the whole list was asked for",
         Some(last) if list.revision < last => "a list older than the last one",
-        Some(_) if nobody && host.ready() => "a list that names nobody",
+        Some(_) if nobody && runtime.is_ready() => "a list that names nobody",
         _ => return Ok(list),
     };
-    check::count("a list from discovery is not plausible");
+    invariants::count("a list from discovery is not plausible");
     *listed = None;
     Err(odd.to_owned())
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -30,10 +30,18 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod api;
-mod choice;
+pub mod admin;
+pub mod balancer;
+pub mod cli;
+pub mod cluster;
 pub mod config;
-pub mod list;
-pub mod wire;
+pub mod discovery;
+pub mod invariants;
+pub mod lifecycle;
+pub mod protocol;
+pub mod proxy;
+pub mod runtime;
 
-pub use choice::{Balancer, score};
+pub use balancer::api;
+pub use balancer::{Balancer, score};
+pub use lifecycle::startup::run;
--- a/src/net/drain.rs
+++ b/src/lifecycle/graceful_shutdown.rs
@@ -1,10 +1,10 @@
 //! SIGTERM: serve what still arrives, answer all, move every standing connection, and leave.
 
-use super::check;
-use super::host::{Host, Order, duration};
-use super::service::Service;
-use spanspur::api::{Event, RequestId};
-use spanspur_service::pace::Pace;
+use crate::admin::Service;
+use crate::api::{Event, RequestId};
+use crate::invariants;
+use crate::runtime::{Command, Runtime, duration};
+use spanspur_admin::pace::Pace;
 use std::collections::HashSet;
 use std::rc::Rc;
 use std::time::Duration;
@@ -28,55 +28,61 @@
 const EMPTY_LOOKS: u32 = 2;
 
 /// Moves what stands, each connection once, at a pace.
-pub struct Mover {
-    host: Rc<Host>,
+pub struct Migrator {
+    runtime: Rc<Runtime>,
     pace: Pace,
     moved: HashSet<RequestId>,
 }
 
-impl Mover {
+impl Migrator {
     /// Nothing is moved yet.
-    pub fn new(host: Rc<Host>, pace: Pace) -> Self {
+    pub fn new(runtime: Rc<Runtime>, pace: Pace) -> Self {
         let moved = HashSet::new();
-        Self { host, pace, moved }
+        Self {
+            runtime,
+            pace,
+            moved,
+        }
     }
 
     /// Moves what is due where the next look comes after `tick`; returns how many stand that were not told.
     pub fn look(&mut self, tick: Duration) -> usize {
-        let mut standing = self.host.reqs(true);
+        let mut standing = self.runtime.request_ids(true);
         standing.retain(|id| !self.moved.contains(id));
         let left = standing.len();
-        let count = self.pace.count(self.host.now(), tick.as_secs_f64(), left);
+        let count = self
+            .pace
+            .count(self.runtime.now(), tick.as_secs_f64(), left);
         for id in standing.into_iter().take(count) {
             self.moved.insert(id);
-            self.host.order(id, Order::Move);
+            self.runtime.send_command(id, Command::Migrate);
         }
         left - count
     }
 }
 
 /// Empties the process; returns when it may exit.
-pub async fn run(host: Rc<Host>, service: &Service) {
-    let longest_wait = duration(host.node().longest_wait);
-    host.leaving.set(true);
+pub async fn run(runtime: Rc<Runtime>, service: &Service) {
+    let longest_wait = duration(runtime.process_config().longest_wait);
+    runtime.shutting_down.set(true);
     service.leave();
-    tracing::info!(standing = host.reqs(true).len(), "told to stop");
+    tracing::info!(standing = runtime.request_ids(true).len(), "told to stop");
     let start = Instant::now();
     let kill = start + longest_wait.min(LONGEST_WAIT) + GRACE;
-    let from = host.now() + ARRIVALS.as_secs_f64();
+    let from = runtime.now() + ARRIVALS.as_secs_f64();
     let until = from + SPREAD.as_secs_f64();
-    let mut mover = Mover::new(host.clone(), Pace { from, until });
+    let mut mover = Migrator::new(runtime.clone(), Pace { from, until });
     let mut left = 0;
     let mut offered = HashSet::new();
     let mut empty = 0;
     while Instant::now() < kill - EXIT_BEFORE {
         sleep(TICK).await;
         let now = Instant::now();
-        if host.giving.borrow().is_some() {
+        if runtime.successor.borrow().is_some() {
             // Another process goes on with what stands, and nobody arrives here any more.
-            for id in host.reqs(true) {
+            for id in runtime.request_ids(true) {
                 if offered.insert(id) {
-                    host.order(id, Order::Give);
+                    runtime.send_command(id, Command::Transfer);
                 }
             }
         } else if now < start + ARRIVALS {
@@ -84,32 +90,34 @@
         } else {
             left = mover.look(TICK);
         }
-        let waiting = host.reqs(false);
+        let waiting = runtime.request_ids(false);
         // One that has not said yet what it wants may take its time, and is owed an answer then.
-        let none = host.reqs(true).is_empty() && waiting.is_empty() && host.reading.get() == 0;
+        let none = runtime.request_ids(true).is_empty()
+            && waiting.is_empty()
+            && runtime.clients_without_request.get() == 0;
         empty = if none { empty + 1 } else { 0 };
         // Where another process takes the clients, nobody is accepted here.
-        if empty >= EMPTY_LOOKS || (none && host.giving.borrow().is_some()) {
+        if empty >= EMPTY_LOOKS || (none && runtime.successor.borrow().is_some()) {
             break;
         }
         if now >= kill - ANSWER_BEFORE {
             // Refused or failed, by what may have run: the module knows.
-            let leave = |id| host.event(Event::ShutdownDeadline(id));
+            let leave = |id| runtime.handle_event(Event::ShutdownDeadline(id));
             waiting.into_iter().for_each(leave);
-            host.ending.send_replace(true);
+            runtime.exiting.send_replace(true);
         }
     }
     let end = (Instant::now() + LAST_WORDS).min(kill - EXIT_BEFORE / 2);
-    if host.answering.get() > 0 {
+    if runtime.clients_with_pending_close.get() > 0 {
         tracing::info!(
-            clients = host.answering.get(),
+            clients = runtime.clients_with_pending_close.get(),
             "waits for clients that have their answer to end"
         );
     }
-    while host.answering.get() > 0 && Instant::now() < end {
+    while runtime.clients_with_pending_close.get() > 0 && Instant::now() < end {
         sleep(TICK).await;
     }
     if left > 0 {
-        check::count("connections that stood at the exit");
+        invariants::count("connections that stood at the exit");
     }
 }
--- a/src/net/service/handover.rs
+++ b/src/lifecycle/hot_restart.rs
@@ -1,17 +1,17 @@
 //! The driver of a replacement: the older process holds a Unix socket under `$TMPDIR`, the newer one comes to it,
 //! takes over what is known, takes the clients, and then, when the older one is told to leave, its connections.
 
-use crate::net::check;
-use crate::net::host::{Host, duration};
-use crate::net::relay::Stands;
-use crate::net::req;
+use crate::api::{Endpoint, UpdateKind};
+use crate::discovery::endpoint_list::EndpointList;
+use crate::invariants;
+use crate::proxy::relay::EstablishedConnection;
+use crate::proxy::request;
+use crate::runtime::{Runtime, duration};
 use serde::{Deserialize, Serialize};
-use spanspur::api::{Endpoint, UpdateKind};
-use spanspur::list::List;
-use spanspur_handover::frame::{Frame, MAX_DESCRIPTORS, VERSION};
-use spanspur_handover::link::{Receiver, Sender, link};
-use spanspur_handover::stage::{Does, Heard, Stage};
-use spanspur_service::outs::Outs;
+use spanspur_admin::outs::Outs;
+use spanspur_hot_restart::frame::{Frame, MAX_DESCRIPTORS, VERSION};
+use spanspur_hot_restart::link::{Receiver, Sender, link};
+use spanspur_hot_restart::stage::{Does, Heard, Stage};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::future::Future;
@@ -40,11 +40,12 @@
 
 /// What the newer process goes on from.
 #[derive(Serialize, Deserialize)]
-pub struct Known {
+pub struct Snapshot {
     /// Whose list it is.
     pub discovery: SocketAddr,
     /// The list, as discovery tells it.
     pub revision: u64,
+    /// Its endpoints, each with the address at which this process reaches it.
     pub members: Vec<(Endpoint, SocketAddr)>,
     /// What the module has learnt.
     pub module: Vec<u8>,
@@ -54,10 +55,10 @@
     pub lameduck: bool,
 }
 
-impl Known {
+impl Snapshot {
     /// Its list.
-    pub fn list(self) -> List {
-        List {
+    pub fn list(self) -> EndpointList {
+        EndpointList {
             revision: self.revision,
             complete: true,
             members: self.members,
@@ -68,21 +69,21 @@
 
 /// A connection that goes over.
 #[derive(Serialize, Deserialize)]
-pub enum Handed {
+pub enum TransferredConnection {
     /// A client's and its backend's.
-    Standing(Stands),
+    Standing(EstablishedConnection),
     /// A client's that has said so much, and has so many seconds left to say the rest.
     Reading(Vec<u8>, f64),
 }
 
 /// News of the list for the other process.
-pub fn news(list: &List) -> Frame {
+pub fn news(list: &EndpointList) -> Frame {
     Frame::List(postcard::to_stdvec(list).unwrap_or_default())
 }
 
 /// Waits until there is a process that takes over what is open here.
-pub async fn giving(host: &Host) -> Rc<Giving> {
-    let mut giving = host.giving.subscribe();
+pub async fn giving(runtime: &Runtime) -> Rc<ConnectionSender> {
+    let mut giving = runtime.successor.subscribe();
     match giving.wait_for(Option::is_some).await.as_deref() {
         Ok(Some(giving)) => giving.clone(),
         _ => std::future::pending().await,
@@ -90,14 +91,14 @@
 }
 
 /// Gives connections away, each until the other process has it or has gone.
-pub struct Giving {
+pub struct ConnectionSender {
     sender: Sender,
     waiting: RefCell<HashMap<u64, oneshot::Sender<bool>>>,
     next: Cell<u64>,
     closed: Cell<bool>,
 }
 
-impl Giving {
+impl ConnectionSender {
     fn new(sender: Sender) -> Rc<Self> {
         Rc::new(Self {
             sender,
@@ -109,7 +110,7 @@
 
     /// Whether the other process has it. Where it has not, all goes on here; there is no third way, so nothing but
     /// its word or its end is waited for. Not to be dropped halfway.
-    pub async fn give(&self, what: Handed, descriptors: &[BorrowedFd<'_>]) -> bool {
+    pub async fn give(&self, what: TransferredConnection, descriptors: &[BorrowedFd<'_>]) -> bool {
         let Ok(what) = postcard::to_stdvec(&what) else {
             return false;
         };
@@ -146,11 +147,11 @@
 }
 
 /// Where processes of this balancer meet, and how far that has come.
-pub struct Succession {
-    host: Rc<Host>,
+pub struct HotRestart {
+    runtime: Rc<Runtime>,
     path: PathBuf,
     stage: RefCell<Stage>,
-    givings: RefCell<HashMap<u64, Rc<Giving>>>,
+    givings: RefCell<HashMap<u64, Rc<ConnectionSender>>>,
 }
 
 /// The process before this one, which still serves.
@@ -162,11 +163,11 @@
     pub revision: Option<u64>,
 }
 
-impl Succession {
+impl HotRestart {
     /// The meeting place at this path.
-    pub fn new(host: Rc<Host>, path: &Path) -> Rc<Self> {
+    pub fn new(runtime: Rc<Runtime>, path: &Path) -> Rc<Self> {
         Rc::new(Self {
-            host,
+            runtime,
             path: path.to_owned(),
             stage: RefCell::default(),
             givings: RefCell::default(),
@@ -203,12 +204,12 @@
                 return None;
             }
         };
-        let known: Known = postcard::from_bytes(&known)
+        let known: Snapshot = postcard::from_bytes(&known)
             .inspect_err(
                 |e| tracing::warn!(error = %e, "what the process before knows cannot be read"),
             )
             .ok()?;
-        let host = &self.host;
+        let runtime = &self.runtime;
         tracing::info!(
             revision = known.revision,
             servers = known.members.len(),
@@ -216,14 +217,15 @@
             "goes on from the process before"
         );
         match Outs::read(known.outs.as_bytes()) {
-            Ok(outs) => host.take_outs(&outs),
+            Ok(outs) => runtime.merge_maintenance(&outs),
             Err(what) => tracing::warn!(what, "which servers are out cannot be read"),
         }
-        host.lameduck.send_replace(known.lameduck);
-        let revision = (known.discovery == host.node().discovery).then_some(known.revision);
+        runtime.lameduck.send_replace(known.lameduck);
+        let revision =
+            (known.discovery == runtime.process_config().discovery).then_some(known.revision);
         let (link, news) = mpsc::channel(MAX_NEWS);
-        host.link(link);
-        host.resume(known);
+        runtime.add_peer_process(link);
+        runtime.restore(known);
         Some(Predecessor {
             sender,
             receiver,
@@ -237,7 +239,7 @@
         match self.bind() {
             Ok(listener) => drop(spawn_local(self.clone().accept(listener))),
             Err(e) => {
-                check::count("no process can replace this one without moving its clients");
+                invariants::count("no process can replace this one without moving its clients");
                 tracing::warn!(path = %self.path.display(), error = %e, "nobody can meet here");
             }
         }
@@ -253,13 +255,13 @@
         if sender.send(&Frame::Ready, &[]).await.is_err() {
             tracing::warn!("the process before has gone");
         }
-        let host = self.host.clone();
+        let runtime = self.runtime.clone();
         spawn_local(async move {
             let read = async {
                 while let Ok(Some((frame, beside))) = receiver.next().await {
                     match frame {
                         Frame::Connection(number, what) => {
-                            let taken = take(&host, &what, beside);
+                            let taken = take(&runtime, &what, beside);
                             if sender
                                 .send(&Frame::Taken(number, taken), &[])
                                 .await
@@ -268,17 +270,17 @@
                                 return;
                             }
                         }
-                        frame => hear(&host, frame),
+                        frame => hear(&runtime, frame),
                     }
                 }
             };
             tokio::select! {
                 () = read => {}
-                () = write(&sender, news, || host.room.held()) => {}
+                () = write(&sender, news, || runtime.connection_limit.held()) => {}
             }
-            host.others.set(0);
+            runtime.peer_process_descriptors.set(0);
             tracing::info!(
-                standing = host.reqs(true).len(),
+                standing = runtime.request_ids(true).len(),
                 "the process before has gone"
             );
         });
@@ -303,7 +305,7 @@
                 Ok((stream, _)) if self.givings.borrow().len() < MAX_SUCCESSORS => {
                     spawn_local(self.clone().successor(stream, number));
                 }
-                Ok(_) => check::count("too many processes come to replace this one"),
+                Ok(_) => invariants::count("too many processes come to replace this one"),
                 Err(e) => {
                     tracing::warn!(error = %e, "a process that replaces this one is not accepted");
                     sleep(HELD_EVERY).await;
@@ -314,19 +316,19 @@
 
     /// The part of the older process.
     async fn successor(self: Rc<Self>, stream: UnixStream, number: u64) {
-        let host = &self.host;
+        let runtime = &self.runtime;
         let (sender, mut receiver) = link(stream);
         let Ok(Ok(Some((Frame::Hello(version), _)))) = timeout(ANSWER, receiver.next()).await
         else {
-            return check::count("one that comes to replace this process says nothing");
+            return invariants::count("one that comes to replace this process says nothing");
         };
         let (link, news) = mpsc::channel(MAX_NEWS);
         let known = match version {
-            VERSION => postcard::to_stdvec(&host.known()).unwrap_or_default(),
+            VERSION => postcard::to_stdvec(&runtime.snapshot()).unwrap_or_default(),
             // Understood by all versions: there is no going on from this one.
             _ => Vec::new(),
         };
-        host.link(link);
+        runtime.add_peer_process(link);
         if sender
             .send(&Frame::State(VERSION, known), &[])
             .await
@@ -339,18 +341,23 @@
                 "no process that can go on from this one"
             );
         }
-        let giving = Giving::new(sender);
+        let giving = ConnectionSender::new(sender);
         self.givings.borrow_mut().insert(number, giving.clone());
         let read = async {
             while let Ok(Some((frame, _))) = receiver.next().await {
                 match frame {
                     Frame::Ready => self.hear(Heard::Ready(number)),
                     Frame::Taken(number, taken) => giving.taken(number, taken),
-                    frame => hear(host, frame),
+                    frame => hear(runtime, frame),
                 }
             }
         };
-        let held = || host.room.held().saturating_sub(giving.on_its_way());
+        let held = || {
+            runtime
+                .connection_limit
+                .held()
+                .saturating_sub(giving.on_its_way())
+        };
         tokio::select! {
             () = read => {}
             () = write(&giving.sender, news, held) => {}
@@ -359,7 +366,7 @@
         self.givings.borrow_mut().remove(&number);
         // One that came and went beside another says nothing of what that one holds.
         if self.givings.borrow().is_empty() {
-            host.others.set(0);
+            runtime.peer_process_descriptors.set(0);
         }
         self.hear(Heard::Gone(number));
     }
@@ -367,12 +374,12 @@
     /// Carries out what the stage says.
     pub fn hear(&self, heard: Heard) {
         let does = self.stage.borrow_mut().hear(heard);
-        let host = &self.host;
+        let runtime = &self.runtime;
         if does != Does::Nothing {
             tracing::info!(
                 ?heard,
                 ?does,
-                standing = host.reqs(true).len(),
+                standing = runtime.request_ids(true).len(),
                 "replacement"
             );
         }
@@ -382,8 +389,8 @@
             Does::Give(number) => (true, self.givings.borrow().get(&number).cloned()),
             Does::TakeBack => (false, None),
         };
-        host.hand(handed);
-        host.giving.send_replace(giving);
+        runtime.set_clients_handed_over(handed);
+        runtime.successor.send_replace(giving);
     }
 }
 
@@ -414,54 +421,63 @@
 }
 
 /// News from another process of this balancer.
-fn hear(host: &Rc<Host>, frame: Frame) {
+fn hear(runtime: &Rc<Runtime>, frame: Frame) {
     match frame {
-        Frame::Held(held) => host.others.set(held as usize + FIXED),
-        Frame::List(list) => match postcard::from_bytes::<List>(&list) {
+        Frame::Held(held) => runtime.peer_process_descriptors.set(held as usize + FIXED),
+        Frame::List(list) => match postcard::from_bytes::<EndpointList>(&list) {
             // Each watches by itself: what came here first is not undone by what the other heard before.
-            Ok(list) if list.revision > host.revision() => {
+            Ok(list) if list.revision > runtime.list_revision() => {
                 let kind = if list.complete {
                     UpdateKind::Full
                 } else {
                     UpdateKind::Delta
                 };
-                host.list(kind, list);
+                runtime.update_endpoints(kind, list);
             }
             Ok(_) => {}
             Err(e) => tracing::warn!(error = %e, "news of the list cannot be read"),
         },
         Frame::Outs(text) => match Outs::read(text.as_bytes()) {
-            Ok(outs) => host.take_outs(&outs),
+            Ok(outs) => runtime.merge_maintenance(&outs),
             Err(what) => tracing::warn!(what, "news of servers taken out cannot be read"),
         },
         Frame::Lameduck(on) => {
-            host.lameduck
+            runtime
+                .lameduck
                 .send_if_modified(|was| std::mem::replace(was, on) != on);
         }
-        _ => check::count("a frame that is none of this process's business"),
+        _ => invariants::count("a frame that is none of this process's business"),
     }
 }
 
 /// Goes on with a connection from the process before; whether it can.
-fn take(host: &Rc<Host>, what: &[u8], beside: Vec<OwnedFd>) -> bool {
+fn take(runtime: &Rc<Runtime>, what: &[u8], beside: Vec<OwnedFd>) -> bool {
     let stream = |fd: OwnedFd| TcpStream::from_std(std::net::TcpStream::from(fd)).ok();
     // They were counted there until now.
-    let others = host.others.get();
-    host.others.set(others.saturating_sub(beside.len()));
+    let others = runtime.peer_process_descriptors.get();
+    runtime
+        .peer_process_descriptors
+        .set(others.saturating_sub(beside.len()));
     let mut streams = beside.into_iter().map_while(stream);
     let taken = match postcard::from_bytes(what) {
-        Ok(Handed::Standing(stands)) => {
+        Ok(TransferredConnection::Standing(stands)) => {
             let (client, backend) = (streams.next(), streams.next());
             let both = client.zip(backend);
             both.map(|(client, backend)| {
-                let place = host.room.take(true);
-                start(req::go_on(host.clone(), stands, client, backend, place));
+                let place = runtime.connection_limit.take(true);
+                start(request::go_on(
+                    runtime.clone(),
+                    stands,
+                    client,
+                    backend,
+                    place,
+                ));
             })
         }
-        Ok(Handed::Reading(said, left)) => streams.next().map(|client| {
-            let place = host.room.take(false);
-            let reader = req::Reader::after(host, said, duration(left));
-            start(req::serve(host.clone(), client, place, reader));
+        Ok(TransferredConnection::Reading(said, left)) => streams.next().map(|client| {
+            let place = runtime.connection_limit.take(false);
+            let reader = request::Reader::after(runtime, said, duration(left));
+            start(request::serve(runtime.clone(), client, place, reader));
         }),
         Err(e) => {
             tracing::warn!(error = %e, "a connection cannot be read");
@@ -469,7 +485,7 @@
         }
     };
     taken.is_some() || {
-        check::count("a connection could not be taken over");
+        invariants::count("a connection could not be taken over");
         false
     }
 }
--- a/src/net/signals.rs
+++ b/src/lifecycle/signals.rs
@@ -1,11 +1,11 @@
 //! The signals of the process: SIGHUP takes over the configuration as it is now, SIGTERM ends it.
 
-use super::duties::{Followed, Shared};
-use super::host::Host;
 use crate::cli::Serve;
-use crate::read_operator;
-use spanspur::config::{Node, When};
-use spanspur_operator::Operator;
+use crate::cluster::{Followed, Shared};
+use crate::config::{LoadReason, ProcessConfig};
+use crate::lifecycle::startup::read_operator;
+use crate::runtime::Runtime;
+use spanspur_operator_config::Operator;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -40,7 +40,7 @@
 
 /// What SIGHUP takes over, and from where.
 pub struct Reload {
-    host: Rc<Host>,
+    runtime: Rc<Runtime>,
     discovery: watch::Sender<SocketAddr>,
     serve: Serve,
     operator: Operator,
@@ -51,7 +51,7 @@
 impl Reload {
     /// What runs now.
     pub fn new(
-        host: Rc<Host>,
+        runtime: Rc<Runtime>,
         discovery: watch::Sender<SocketAddr>,
         serve: Serve,
         operator: Operator,
@@ -59,7 +59,7 @@
         followed: Option<Rc<Followed>>,
     ) -> Self {
         Self {
-            host,
+            runtime,
             discovery,
             serve,
             operator,
@@ -79,7 +79,7 @@
         // First the place, then the module's wish to watch it.
         self.discovery
             .send_if_modified(|at| std::mem::replace(at, node.discovery) != node.discovery);
-        self.host.configure(node);
+        self.runtime.apply_config(node);
         if let Some(shared) = &self.shared {
             shared.configure(operator.clone());
         }
@@ -89,13 +89,14 @@
         self.operator = operator;
     }
 
-    fn read(&self) -> Result<(Node, Operator), String> {
-        let node = Node::from_env(When::Reload).and_then(|node| node.replace(&self.host.node()))?;
+    fn read(&self) -> Result<(ProcessConfig, Operator), String> {
+        let node = ProcessConfig::from_env(LoadReason::Reload)
+            .and_then(|node| node.replace(&self.runtime.process_config()))?;
         let operator = read_operator(&self.serve)?;
         let faults = self.operator.fixed(&operator);
         match faults.is_empty() {
             true => Ok((node, operator)),
-            false => Err(spanspur_operator::sentence(&faults)),
+            false => Err(spanspur_operator_config::sentence(&faults)),
         }
     }
 }
--- a/src/net/line.rs
+++ b/src/protocol/client.rs
@@ -1,7 +1,7 @@
 //! Lines that end in CRLF, and what the first line of each side says. The text of the client protocol's OPEN
 //! line is known here and to `req` alone.
 
-use spanspur::api::{Key, Outcome, Request, RequestId, ServerId, Time};
+use crate::api::{Key, Outcome, Request, RequestId, ServerId, Time};
 use std::io;
 use tokio::net::TcpStream;
 
@@ -80,7 +80,7 @@
 
 /// The first line of a client that wants a connection.
 #[derive(Debug)]
-pub struct Opening {
+pub struct OpenRequest {
     /// What it asks for; `due` is left to the reader, who has the clock.
     pub request: Request,
     /// How long the client will wait.
@@ -92,7 +92,7 @@
     tail: String,
 }
 
-impl Opening {
+impl OpenRequest {
     /// Reads the line; the error says what is wrong with it.
     pub fn parse(line: &str, classes: &[String], groups: bool) -> Result<Self, &'static str> {
         let words: Vec<&str> = line.split(' ').collect();
--- a/src/net/fetch.rs
+++ b/src/proxy/attempt.rs
@@ -1,8 +1,8 @@
 //! A fetch: one attempt at one backend, from connecting to its first line.
 
-use super::host::{Host, duration};
-use super::line::{Lines, first_answer};
-use spanspur::api::{Outcome, ServerId, Time};
+use crate::api::{Outcome, ServerId, Time};
+use crate::protocol::client::{Lines, first_answer};
+use crate::runtime::{Runtime, duration};
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -10,6 +10,7 @@
 
 /// A backend that has taken the connection.
 pub struct Backend {
+    /// The connection.
     pub stream: TcpStream,
     /// Its first line, as it came.
     pub answer: String,
@@ -30,25 +31,29 @@
 /// nobody left to send it for. The connection is closed by the time an error comes back, so that the next attempt is the
 /// only one out.
 pub async fn fetch(
-    host: &Host,
+    runtime: &Runtime,
     server: ServerId,
     kind: Kind,
     until: Time,
     first: impl Fn(u64) -> Option<String>,
 ) -> Result<Backend, Outcome> {
-    let Some(address) = host.address(server) else {
+    let Some(address) = runtime.endpoint_address(server) else {
         return Err(Outcome::NotSent);
     };
-    let end = host.instant(until);
-    let up_by = end.min(tokio::time::Instant::now() + duration(host.node().config.connect_timeout));
+    let end = runtime.instant(until);
+    let up_by = end.min(
+        tokio::time::Instant::now() + duration(runtime.process_config().config.connect_timeout),
+    );
     let connecting = timeout_at(up_by, TcpStream::connect(address)).await;
     let Ok(Ok(mut stream)) = connecting else {
         return Err(Outcome::ConnectFailed);
     };
     // Connecting takes time, in which the director may have learnt that the backend drains or is gone, or
     // the attempt's time may have run out: nothing may be sent then.
-    let left = duration(until - host.now());
-    if left < Duration::from_millis(1) || (kind == Kind::New && !host.takes_new(server)) {
+    let left = duration(until - runtime.now());
+    if left < Duration::from_millis(1)
+        || (kind == Kind::New && !runtime.accepts_new_requests(server))
+    {
         return Err(Outcome::NotSent);
     }
     let Some(line) = first(left.as_millis() as u64) else {
--- a/src/net/room.rs
+++ b/src/proxy/connection_limit.rs
@@ -17,7 +17,7 @@
 
 /// Who holds descriptors.
 #[derive(Default)]
-pub struct Room {
+pub struct ConnectionLimit {
     held: Cell<usize>,
     lingering: Cell<usize>,
     /// One for each client that may be sent away; those whose other end is gone are out of date.
@@ -34,16 +34,16 @@
 }
 
 /// A client's part of the room, until it is dropped.
-pub struct Place {
-    room: Rc<Room>,
+pub struct ConnectionPermit {
+    room: Rc<ConnectionLimit>,
     held: usize,
     /// Says when the client has to go; `None` while it is served.
     evict: Option<oneshot::Receiver<()>>,
 }
 
-impl Room {
+impl ConnectionLimit {
     /// A place for a client that has said nothing yet; `None` if all room is taken by clients that are served.
-    pub fn enter(self: &Rc<Self>, sockets: usize) -> Option<Place> {
+    pub fn enter(self: &Rc<Self>, sockets: usize) -> Option<ConnectionPermit> {
         self.enter_of(sockets.saturating_sub(SPARE).max(SERVED))
     }
 
@@ -62,8 +62,8 @@
     }
 
     /// The place of a client that comes from another process of this balancer, whatever the room.
-    pub fn take(self: &Rc<Self>, served: bool) -> Place {
-        let mut place = Place {
+    pub fn take(self: &Rc<Self>, served: bool) -> ConnectionPermit {
+        let mut place = ConnectionPermit {
             room: self.clone(),
             held: if served { SERVED } else { IDLE },
             evict: None,
@@ -76,8 +76,8 @@
     }
 
     /// A place among so many descriptors.
-    pub fn enter_of(self: &Rc<Self>, limit: usize) -> Option<Place> {
-        let mut place = Place {
+    pub fn enter_of(self: &Rc<Self>, limit: usize) -> Option<ConnectionPermit> {
+        let mut place = ConnectionPermit {
             room: self.clone(),
             held: 0,
             evict: None,
@@ -89,7 +89,7 @@
     }
 }
 
-impl Place {
+impl ConnectionPermit {
     /// From here on the client is served and stays, unless all room is taken by others that do.
     pub fn serve(&mut self, sockets: usize) -> bool {
         self.evict = None;
@@ -135,7 +135,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.room.held.set(self.room.held.get() - self.held);
     }
--- a/src/net/delay.rs
+++ b/src/proxy/latency_tracker.rs
@@ -5,7 +5,7 @@
 //! it is told by the figure: a message time comes once a second while it is long, is far smaller than any load
 //! but an idle connection's, and goes on from the last one.
 
-use spanspur::api::{BalancerConfig, Event, ServerId, Time};
+use crate::api::{BalancerConfig, Event, ServerId, Time};
 use std::collections::HashMap;
 
 /// The shortest aim for a message, where the settings name one.
@@ -25,13 +25,13 @@
 }
 
 /// The backends whose messages take long.
-pub struct Delays {
+pub struct LatencyTracker {
     /// From here on they take long; infinite where no class names an aim for messages.
     threshold: Time,
     slow: HashMap<ServerId, Slow>,
 }
 
-impl Delays {
+impl LatencyTracker {
     /// Takes the shortest aim for a message from the settings.
     pub fn new(config: &BalancerConfig) -> Self {
         Self {
@@ -78,13 +78,13 @@
     /// The connection's load, in microseconds of work a second.
     Load(f64),
     /// The time that a message takes at its backend.
-    Delay(Time),
+    MessageTime(Time),
     /// It could be either: the next one will tell.
-    Unclear,
+    Ambiguous,
 }
 
 /// Tells the two kinds of figures apart.
-pub struct Reports {
+pub struct ReportClassifier {
     /// The most milliseconds that a message time may be; none is where the settings name no such reports, or no aim.
     most_delay: f64,
     /// The mean of the loads, 0 before the first, and of how many.
@@ -95,7 +95,7 @@
     unclear: HashMap<ServerId, Time>,
 }
 
-impl Reports {
+impl ReportClassifier {
     /// Takes from the settings whether message times are reported at all, and how long they may be.
     pub fn new(config: &BalancerConfig) -> Self {
         let aim = shortest_aim(config).filter(|_| config.reports_latency);
@@ -126,11 +126,11 @@
         if figure >= least && !goes_on {
             let last = self.unclear.insert(server, now);
             if !last.is_some_and(in_time) {
-                return Report::Unclear;
+                return Report::Ambiguous;
             }
         }
         self.delays.insert(server, now);
-        Report::Delay(figure / 1000.0)
+        Report::MessageTime(figure / 1000.0)
     }
 }
 
--- a/src/net/relay.rs
+++ b/src/proxy/relay.rs
@@ -1,14 +1,14 @@
 //! Standing connections: lines pass both ways until one side ends, the backend falls silent, or the client is
 //! told to move.
 
-use super::check;
-use super::fetch::Backend;
-use super::host::{Host, Order, duration};
-use super::line::{MAX_LINE, Said};
-use super::service::handover::Handed;
+use crate::api::{AttemptEnded, Event, Outcome, Request, RequestId, ServerId};
+use crate::invariants;
+use crate::lifecycle::hot_restart::TransferredConnection;
+use crate::protocol::client::{MAX_LINE, Said};
+use crate::proxy::attempt::Backend;
+use crate::runtime::{Command, Runtime, duration};
 use serde::{Deserialize, Serialize};
 use socket2::SockRef;
-use spanspur::api::{AttemptEnded, Event, Outcome, Request, RequestId, ServerId};
 use std::collections::VecDeque;
 use std::io::ErrorKind;
 use std::net::Shutdown;
@@ -104,7 +104,7 @@
             }
             // A line that never ends costs its own connection, not our memory.
             if self.buf.len() >= MAX_LINE {
-                check::count("a line of a standing connection is too long");
+                invariants::count("a line of a standing connection is too long");
                 return Err(Broken::From);
             }
             from.readable().await.map_err(|_| Broken::From)?;
@@ -149,7 +149,7 @@
 
 /// A standing connection, as another process of this balancer can go on with it.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Stands {
+pub struct EstablishedConnection {
     /// What the client asked for.
     pub request: Request,
     /// Where it stands.
@@ -165,7 +165,7 @@
     reported: bool,
 }
 
-impl Stands {
+impl EstablishedConnection {
     /// One that stands since now.
     pub fn new(request: Request, server: ServerId, attempt: u32) -> Self {
         Self {
@@ -184,7 +184,7 @@
 
 /// One standing connection.
 struct Relay {
-    host: Rc<Host>,
+    runtime: Rc<Runtime>,
     request: Request,
     id: RequestId,
     server: ServerId,
@@ -206,34 +206,34 @@
 /// Passes lines between a client and its backend until the connection is over. What is only needed to begin is gone
 /// by then: an `async fn` would hold it for as long as the connection stands.
 pub fn relay(
-    host: Rc<Host>,
-    mut stands: Box<Stands>,
+    runtime: Rc<Runtime>,
+    mut stands: Box<EstablishedConnection>,
     client: TcpStream,
     backend: Backend,
-    orders: UnboundedReceiver<Order>,
+    commands: UnboundedReceiver<Command>,
 ) -> impl Future<Output = ()> {
     stands.down = [backend.answer.as_bytes(), b"\r\n", &backend.rest].concat();
-    let mut relay = Relay::new(host, &stands);
+    let mut relay = Relay::new(runtime, &stands);
     let (up, mut down) = (Flow::new(Vec::new()), Flow::new(stands.down));
     // The first line is the answer, not a reply to a line.
     let lines = down.fresh();
     relay.backend_said(&down.buf, &lines, 1);
-    pass(relay, up, down, client, backend.stream, orders)
+    pass(relay, up, down, client, backend.stream, commands)
 }
 
 /// Goes on with a connection that stood at another process.
 pub fn resume(
-    host: Rc<Host>,
-    stands: Stands,
+    runtime: Rc<Runtime>,
+    stands: EstablishedConnection,
     client: TcpStream,
     backend: TcpStream,
-    orders: UnboundedReceiver<Order>,
+    commands: UnboundedReceiver<Command>,
 ) -> impl Future<Output = ()> {
-    let relay = Relay::new(host, &stands);
+    let relay = Relay::new(runtime, &stands);
     let (mut up, mut down) = (Flow::new(stands.up), Flow::new(stands.down));
     // The other process has heard these lines.
     drop((up.fresh(), down.fresh()));
-    pass(relay, up, down, client, backend, orders)
+    pass(relay, up, down, client, backend, commands)
 }
 
 #[expect(
@@ -246,7 +246,7 @@
     mut down: Flow,
     client: TcpStream,
     backend: TcpStream,
-    mut orders: UnboundedReceiver<Order>,
+    mut commands: UnboundedReceiver<Command>,
 ) -> impl Future<Output = ()> {
     async move {
         // The end of one side; from then on the other has its time to end too.
@@ -256,29 +256,29 @@
             let wake = linger.unwrap_or_else(|| relay.watch_until(&down));
             tokio::select! {
                 biased;
-                order = orders.recv() => match order {
+                command = commands.recv() => match command {
                     // Its backend has said its last word, or has ended, maybe in the middle of a line: that goes on in kind.
-                    Some(Order::Move) if relay.last_word.is_some() || down.ended => {
+                    Some(Command::Migrate) if relay.last_word.is_some() || down.ended => {
                         relay.over(relay.last_word.unwrap_or(Outcome::Reset));
                         linger.get_or_insert_with(|| Instant::now() + LAST_WORD);
                     }
-                    Some(Order::Move) if !relay.told => {
+                    Some(Command::Migrate) if !relay.told => {
                         relay.over(Outcome::Cancelled);
                         leave(&mut down, &backend, &mut linger);
                         up_dead = true;
                     }
                     // The module may have asked to move what has just ended.
-                    Some(Order::Move) => {}
-                    Some(Order::Give) => {
+                    Some(Command::Migrate) => {}
+                    Some(Command::Transfer) => {
                         // What is about to end, ends here.
                         let whole = linger.is_none() && !up.ended && !down.ended;
                         if whole && Box::pin(relay.given(&up, &down, &client, &backend)).await {
                             return relay.gone();
                         }
                     }
-                    Some(order) => {
-                        check::holds(false, "a standing connection gets no order but to move");
-                        tracing::warn!(?order, "for a standing connection");
+                    Some(command) => {
+                        invariants::holds(false, "a standing connection gets no command but to move");
+                        tracing::warn!(?command, "for a standing connection");
                     }
                     None => return,
                 },
@@ -338,7 +338,7 @@
                     }
                     if relay.silent(&down) {
                         // The client can go elsewhere at once; the connection is not coming back.
-                        check::count("a backend fell silent");
+                        invariants::count("a backend fell silent");
                         relay.over(Outcome::Reset);
                         leave(&mut down, &backend, &mut linger);
                         up_dead = true;
@@ -373,7 +373,7 @@
     }
 }
 
-/// Writes a last line and ends the stream in order.
+/// Writes a last line and ends the stream in command.
 pub async fn say_last(stream: &TcpStream, line: &[u8]) {
     let write = async {
         let mut left = line;
@@ -391,11 +391,11 @@
 }
 
 impl Relay {
-    fn new(host: Rc<Host>, stands: &Stands) -> Self {
+    fn new(runtime: Rc<Runtime>, stands: &EstablishedConnection) -> Self {
         let now = Instant::now();
         let ago = |age: &f64| now.checked_sub(duration(*age)).unwrap_or(now);
         Self {
-            host,
+            runtime,
             request: stands.request,
             id: stands.request.id,
             server: stands.server,
@@ -411,12 +411,12 @@
 
     /// Gives the connection to the process that takes this one's place: whether that one has it now.
     async fn given(&self, up: &Flow, down: &Flow, client: &TcpStream, backend: &TcpStream) -> bool {
-        let giving = self.host.giving.borrow().clone();
+        let giving = self.runtime.successor.borrow().clone();
         let Some(giving) = giving.filter(|_| !self.told && self.last_word.is_none()) else {
             return false;
         };
         let age = |at: &Instant| at.elapsed().as_secs_f64();
-        let stands = Stands {
+        let stands = EstablishedConnection {
             request: self.request,
             server: self.server,
             attempt: self.attempt,
@@ -428,7 +428,9 @@
             reported: self.reported,
         };
         let beside = [client.as_fd(), backend.as_fd()];
-        giving.give(Handed::Standing(stands), &beside).await
+        giving
+            .give(TransferredConnection::Standing(stands), &beside)
+            .await
     }
 
     /// Lines of the backend, which end at `ends` in the buffer; the first `skip` are not part of the talk.
@@ -451,14 +453,16 @@
             match Said::parse(line) {
                 Said::Load(figure) => {
                     let first = !std::mem::replace(&mut self.reported, true);
-                    self.host.reported(self.id, self.server, figure, first);
+                    self.runtime
+                        .report_figure(self.id, self.server, figure, first);
                 }
                 Said::Bye => self.last_word = Some(Outcome::Success),
                 Said::Move => self.last_word = Some(Outcome::Cancelled),
                 Said::Reply => {
                     if let Some(asked) = self.asked.pop_front() {
                         let took = self.heard - asked;
-                        self.host.message_took(self.server, took.as_secs_f64());
+                        self.runtime
+                            .report_message_time(self.server, took.as_secs_f64());
                     }
                 }
             }
@@ -498,7 +502,7 @@
         if !std::mem::replace(&mut self.told, true) {
             tracing::debug!(req = %self.id, server = %self.server, ?outcome, "is over");
             let (id, server, attempt) = (self.id, self.server, self.attempt);
-            self.host.event(Event::AttemptEnded(AttemptEnded {
+            self.runtime.handle_event(Event::AttemptEnded(AttemptEnded {
                 id,
                 attempt,
                 server,
@@ -512,7 +516,8 @@
     fn gone(&mut self) {
         if !std::mem::replace(&mut self.told, true) {
             tracing::debug!(req = %self.id, server = %self.server, "the client left");
-            self.host.event(Event::ClientDisconnected(self.id));
+            self.runtime
+                .handle_event(Event::ClientDisconnected(self.id));
         }
     }
 }
--- a/src/net/req.rs
+++ b/src/proxy/request.rs
@@ -1,14 +1,14 @@
 //! A req: a client's connection from its first line to its one final answer.
 
-use super::check;
-use super::fetch::{Backend, Kind, fetch};
-use super::host::{Host, Order, Ticket};
-use super::line::{Lines, MAX_LINE, Opening};
-use super::relay::{Stands, discard, relay, resume, say_last};
-use super::room::Place;
-use super::service::handover::{self, Handed};
+use crate::api::{AttemptEnded, Event, Outcome, Request, ServerId, Time};
+use crate::invariants;
+use crate::lifecycle::hot_restart::{self, TransferredConnection};
+use crate::protocol::client::{Lines, MAX_LINE, OpenRequest};
+use crate::proxy::attempt::{Backend, Kind, fetch};
+use crate::proxy::connection_limit::ConnectionPermit;
+use crate::proxy::relay::{EstablishedConnection, discard, relay, resume, say_last};
+use crate::runtime::{Command, RequestRegistration, Runtime};
 use socket2::SockRef;
-use spanspur::api::{AttemptEnded, Event, Outcome, Request, ServerId, Time};
 use std::cell::Cell;
 use std::io::ErrorKind;
 use std::mem::MaybeUninit;
@@ -46,21 +46,26 @@
 mod tests;
 
 /// Serves one connection of a client, to its end.
-pub async fn serve(host: Rc<Host>, client: TcpStream, mut place: Place, mut reader: Reader) {
+pub async fn serve(
+    runtime: Rc<Runtime>,
+    client: TcpStream,
+    mut place: ConnectionPermit,
+    mut reader: Reader,
+) {
     // Lines are short and waited for: none is held back for more to come.
     let _ = client.set_nodelay(true);
     let mut keep = false;
-    let mut ending = host.ending.subscribe();
+    let mut ending = runtime.exiting.subscribe();
     let first = loop {
         tokio::select! {
             biased;
-            first = reader.first_line(&host, &client) => break first,
-            () = place.evicted() => return turn_away(&host, &client).await,
+            first = reader.first_line(&runtime, &client) => break first,
+            () = place.evicted() => return turn_away(&runtime, &client).await,
             // Its first line may be on its way just now: it is answered before it is read.
             Ok(_) = ending.wait_for(|ending| *ending) => break First::Late,
-            giving = handover::giving(&host), if !keep => {
+            giving = hot_restart::giving(&runtime), if !keep => {
                 let left = (reader.end - Instant::now()).as_secs_f64();
-                let handed = Handed::Reading(reader.lines.read(), left);
+                let handed = TransferredConnection::Reading(reader.lines.read(), left);
                 if giving.give(handed, &[client.as_fd()]).await {
                     return;
                 }
@@ -75,28 +80,28 @@
         // A front that hears BUSY would send nobody here; at the end of its connection it asks again on another one.
         First::Late if asked => Opened::Answer(String::new()),
         First::Late => {
-            check::count("a client says nothing in its time");
+            invariants::count("a client says nothing in its time");
             refused(0)
         }
-        First::Opening(opening) => {
-            if !place.serve(host.sockets()) {
-                return turn_away(&host, &client).await;
+        First::OpenRequest(opening) => {
+            if !place.serve(runtime.descriptor_limit()) {
+                return turn_away(&runtime, &client).await;
             }
-            open(&host, &client, opening).await
+            open(&runtime, &client, opening).await
         }
         First::Unread(what) => unread(what),
     };
     let answer = match opened {
         Opened::Left => return,
-        Opened::Stands(ticket, stands, backend, orders) => {
-            relay(host, stands, client, backend, orders).await;
-            return drop(ticket);
+        Opened::Stands(registration, stands, backend, commands) => {
+            relay(runtime, stands, client, backend, commands).await;
+            return drop(registration);
         }
         Opened::Answer(line) => line,
     };
     // What is left is the client's to end.
     place.idle();
-    let _owed = Counted::new(&host, |host| &host.answering);
+    let _owed = Counted::new(&runtime, |runtime| &runtime.clients_with_pending_close);
     tokio::select! {
         () = say_last(&client, answer.as_bytes()) => {}
         () = place.evicted() => {}
@@ -104,12 +109,12 @@
 }
 
 /// One that is owed something: who leaves waits for it.
-struct Counted(Rc<Host>, fn(&Host) -> &Cell<usize>);
+struct Counted(Rc<Runtime>, fn(&Runtime) -> &Cell<usize>);
 
 impl Counted {
-    fn new(host: &Rc<Host>, counter: fn(&Host) -> &Cell<usize>) -> Self {
-        counter(host).set(counter(host).get() + 1);
-        Self(host.clone(), counter)
+    fn new(runtime: &Rc<Runtime>, counter: fn(&Runtime) -> &Cell<usize>) -> Self {
+        counter(runtime).set(counter(runtime).get() + 1);
+        Self(runtime.clone(), counter)
     }
 }
 
@@ -123,7 +128,7 @@
 /// What comes before a request.
 enum First {
     /// A line that asks for a connection.
-    Opening(Box<Opening>),
+    OpenRequest(Box<OpenRequest>),
     /// Something else.
     Unread(&'static str),
     /// Too little in its time.
@@ -134,26 +139,31 @@
 
 /// Goes on with a connection that stood at another process of this balancer.
 pub async fn go_on(
-    host: Rc<Host>,
-    stands: Stands,
+    runtime: Rc<Runtime>,
+    stands: EstablishedConnection,
     client: TcpStream,
     backend: TcpStream,
-    place: Place,
+    place: ConnectionPermit,
 ) {
     let (request, server) = (stands.request, stands.server);
-    let Some((ticket, orders)) = host.enter(request.id) else {
-        check::count("a connection that was handed over is here already");
+    let Some((registration, commands)) = runtime.register_request(request.id) else {
+        invariants::count("a connection that was handed over is here already");
         return;
     };
-    host.event(Event::AlreadyEstablished(request, server));
-    host.stands(request.id);
-    resume(host, stands, client, backend, orders).await;
-    drop((ticket, place));
+    runtime.handle_event(Event::AlreadyEstablished(request, server));
+    runtime.mark_established(request.id);
+    resume(runtime, stands, client, backend, commands).await;
+    drop((registration, place));
 }
 
 /// What comes of a first line.
 enum Opened {
-    Stands(Ticket, Box<Stands>, Backend, UnboundedReceiver<Order>),
+    Stands(
+        RequestRegistration,
+        Box<EstablishedConnection>,
+        Backend,
+        UnboundedReceiver<Command>,
+    ),
     /// Synthetic answer.
     Answer(String),
     /// The client has gone, and nothing is owed.
@@ -174,19 +184,19 @@
 
 /// A first line that cannot be read costs this connection and nothing else.
 fn unread(what: &str) -> Opened {
-    check::count("a client's first line cannot be read");
+    invariants::count("a client's first line cannot be read");
     tracing::debug!(what, "a first line is not read");
     failed()
 }
 
 /// Turns a client away for want of room. Closing over unread bytes would reset the connection and could take the
 /// answer with it: what it has said is read, and of what it says at this instant as much as room is left to wait for.
-pub async fn turn_away(host: &Host, client: &TcpStream) {
-    check::count("a client is turned away for want of descriptors");
+pub async fn turn_away(runtime: &Runtime, client: &TcpStream) {
+    invariants::count("a client is turned away for want of descriptors");
     let _ = client.set_nodelay(true);
     let _ = SockRef::from(client).send(BUSY.as_bytes());
     let _ = SockRef::from(client).shutdown(Shutdown::Write);
-    let Some(_place) = host.room.linger() else {
+    let Some(_place) = runtime.connection_limit.linger() else {
         // Not waited for, only read, past what the runtime knows: the spare descriptors are taken.
         for _ in 0..LAST_READS {
             let read = SockRef::from(client).recv(&mut [MaybeUninit::uninit(); MAX_LINE]);
@@ -217,22 +227,24 @@
 
 impl Reader {
     /// Nothing said yet.
-    pub fn new(host: &Rc<Host>) -> Self {
-        Self::after(host, Vec::new(), FIRST_LINE)
+    pub fn new(runtime: &Rc<Runtime>) -> Self {
+        Self::after(runtime, Vec::new(), FIRST_LINE)
     }
 
     /// These bytes said to another process of this balancer, and so much time left.
-    pub fn after(host: &Rc<Host>, said: Vec<u8>, left: Duration) -> Self {
+    pub fn after(runtime: &Rc<Runtime>, said: Vec<u8>, left: Duration) -> Self {
         Self {
             lines: Lines::from(said),
             end: Instant::now() + left,
-            counted: Some(Counted::new(host, |host| &host.reading)),
+            counted: Some(Counted::new(runtime, |runtime| {
+                &runtime.clients_without_request
+            })),
         }
     }
 
     /// The first line that asks for a connection. All that a client sends before its answer has to be one line: who
     /// sends more does not speak this protocol. Safe to drop halfway.
-    async fn first_line(&mut self, host: &Rc<Host>, client: &TcpStream) -> First {
+    async fn first_line(&mut self, runtime: &Rc<Runtime>, client: &TcpStream) -> First {
         loop {
             let line = match timeout_at(self.end, self.lines.next(client)).await {
                 Ok(Ok(Some(line))) if self.lines.is_empty() => line,
@@ -244,17 +256,17 @@
                 Err(_) => return First::Late,
             };
             if line != "PING" {
-                let node = host.node();
-                return match Opening::parse(&line, &node.classes, node.groups) {
-                    Ok(opening) => First::Opening(Box::new(opening)),
+                let node = runtime.process_config();
+                return match OpenRequest::parse(&line, &node.classes, node.groups) {
+                    Ok(opening) => First::OpenRequest(Box::new(opening)),
                     Err(what) => First::Unread(what),
                 };
             }
             // The front sends clients from the answer on, so it has to wait until a server is known.
-            while !host.ready() && !*host.lameduck.borrow() {
+            while !runtime.is_ready() && !*runtime.lameduck.borrow() {
                 sleep(NOT_READY).await;
             }
-            let answer = match *host.lameduck.borrow() {
+            let answer = match *runtime.lameduck.borrow() {
                 true => BUSY,
                 false => "PONG\r\n",
             };
@@ -268,31 +280,31 @@
     }
 }
 
-async fn open(host: &Rc<Host>, client: &TcpStream, mut opening: Box<Opening>) -> Opened {
+async fn open(runtime: &Rc<Runtime>, client: &TcpStream, mut opening: Box<OpenRequest>) -> Opened {
     // Nobody is kept longer than its class waits, whatever it says; an open connection has longer.
     let longest = match opening.at {
         Some(_) => REOPEN,
-        None => host.node().longest_wait,
+        None => runtime.process_config().longest_wait,
     };
     let request = &mut opening.request;
-    request.deadline = host.now() + opening.wait.min(longest) - MARGIN;
+    request.deadline = runtime.now() + opening.wait.min(longest) - MARGIN;
     let (id, due) = (request.id, request.deadline);
-    let Some((ticket, mut orders)) = host.enter(id) else {
+    let Some((registration, mut commands)) = runtime.register_request(id) else {
         return unread("the id is in use");
     };
     if let Some(server) = opening.at {
         let backend = tokio::select! {
-            backend = reopen(host, &opening, server) => backend,
+            backend = reopen(runtime, &opening, server) => backend,
             early = speaks(client) => return early,
         };
         let Some(backend) = backend else {
             return failed();
         };
         tracing::debug!(req = %id, server = %server, group = ?opening.request.group, "is open");
-        host.event(Event::AlreadyEstablished(opening.request, server));
-        host.stands(id);
-        let stands = Box::new(Stands::new(opening.request, server, 0));
-        return Opened::Stands(ticket, stands, backend, orders);
+        runtime.handle_event(Event::AlreadyEstablished(opening.request, server));
+        runtime.mark_established(id);
+        let stands = Box::new(EstablishedConnection::new(opening.request, server, 0));
+        return Opened::Stands(registration, stands, backend, commands);
     }
     let Request {
         class,
@@ -301,31 +313,31 @@
         ..
     } = opening.request;
     tracing::debug!(req = %id, class, ?group, is_reconnect = returned, wait = opening.wait, "request received");
-    host.event(Event::Request(opening.request));
+    runtime.handle_event(Event::Request(opening.request));
     let mut attempt = 0;
     // Nothing here waits past the deadline; if something does, the client is still owed its answer.
-    let mut overdue = pin!(sleep_until(host.instant(due + MARGIN)));
+    let mut overdue = pin!(sleep_until(runtime.instant(due + MARGIN)));
     loop {
         // Who has gone comes first: no attempt begins for it.
-        let order = tokio::select! {
+        let command = tokio::select! {
             biased;
             early = speaks(client) => {
-                host.event(Event::ClientDisconnected(id));
+                runtime.handle_event(Event::ClientDisconnected(id));
                 return early;
             }
-            order = orders.recv() => order,
+            command = commands.recv() => command,
             () = &mut overdue => {
-                check::holds(false, "the module answers before the deadline");
-                host.event(Event::ClientDisconnected(id));
-                Some(Order::Fail)
+                invariants::holds(false, "the module answers before the deadline");
+                runtime.handle_event(Event::ClientDisconnected(id));
+                Some(Command::Fail)
             }
         };
-        let (server, until) = match order {
-            Some(Order::Send(server, until)) => (server, until),
-            Some(Order::Refuse(ms)) => return refused(ms),
-            Some(Order::Fail) => return failed(),
+        let (server, until) = match command {
+            Some(Command::StartAttempt(server, until)) => (server, until),
+            Some(Command::Reject(ms)) => return refused(ms),
+            Some(Command::Fail) => return failed(),
             // What has been called off or moved is over already.
-            Some(Order::Cancel(_) | Order::Move | Order::Give) => continue,
+            Some(Command::CancelAttempt(_) | Command::Migrate | Command::Transfer) => continue,
             None => return Opened::Left,
         };
         let line = |ms| (!has_left(client)).then(|| opening.for_backend(ms));
@@ -333,31 +345,31 @@
         let ended = tokio::select! {
             biased;
             early = speaks(client) => {
-                host.event(Event::ClientDisconnected(id));
+                runtime.handle_event(Event::ClientDisconnected(id));
                 return early;
             }
-            order = called_off(&mut orders, attempt) => match order {
-                Some(Order::Refuse(ms)) => return refused(ms),
-                Some(Order::Fail) => return failed(),
+            command = called_off(&mut commands, attempt) => match command {
+                Some(Command::Reject(ms)) => return refused(ms),
+                Some(Command::Fail) => return failed(),
                 _ => Err(Outcome::Cancelled),
             },
-            ended = fetch(host, server, Kind::New, until.min(due), line) => ended,
+            ended = fetch(runtime, server, Kind::New, until.min(due), line) => ended,
         };
         if ended.is_err() && has_left(client) {
-            host.event(Event::ClientDisconnected(id));
+            runtime.handle_event(Event::ClientDisconnected(id));
             return Opened::Left;
         }
         match ended {
             Ok(backend) => {
                 tracing::debug!(req = %id, server = %server, attempt, "stands");
-                host.event(Event::Established(id, server));
-                host.stands(id);
-                let stands = Box::new(Stands::new(opening.request, server, attempt));
-                return Opened::Stands(ticket, stands, backend, orders);
+                runtime.handle_event(Event::Established(id, server));
+                runtime.mark_established(id);
+                let stands = Box::new(EstablishedConnection::new(opening.request, server, attempt));
+                return Opened::Stands(registration, stands, backend, commands);
             }
             Err(outcome) => {
                 tracing::debug!(req = %id, server = %server, attempt, ?outcome, "an attempt has ended");
-                host.event(Event::AttemptEnded(AttemptEnded {
+                runtime.handle_event(Event::AttemptEnded(AttemptEnded {
                     id,
                     attempt,
                     server,
@@ -370,17 +382,17 @@
     }
 }
 
-/// Waits for an order that ends the attempt that is out: it is called off, or the process leaves.
-async fn called_off(orders: &mut UnboundedReceiver<Order>, attempt: u32) -> Option<Order> {
+/// Waits for an command that ends the attempt that is out: it is called off, or the process leaves.
+async fn called_off(commands: &mut UnboundedReceiver<Command>, attempt: u32) -> Option<Command> {
     loop {
-        match orders.recv().await {
-            Some(Order::Cancel(n)) if n != attempt => {}
-            Some(Order::Send(..)) => {
+        match commands.recv().await {
+            Some(Command::CancelAttempt(n)) if n != attempt => {}
+            Some(Command::StartAttempt(..)) => {
                 // Two attempts of one request are never out at once.
-                check::holds(false, "an attempt is sent while one is out");
+                invariants::holds(false, "an attempt is sent while one is out");
             }
-            Some(Order::Move | Order::Give) => {}
-            order => return order,
+            Some(Command::Migrate | Command::Transfer) => {}
+            command => return command,
         }
     }
 }
@@ -394,11 +406,11 @@
 }
 
 /// Opens a connection again at the backend that it is open at: no decision, so no outcome for the module.
-async fn reopen(host: &Host, opening: &Opening, server: ServerId) -> Option<Backend> {
+async fn reopen(runtime: &Runtime, opening: &OpenRequest, server: ServerId) -> Option<Backend> {
     let due = opening.request.deadline;
-    let listed_by = host.now() + UNLISTED;
+    let listed_by = runtime.now() + UNLISTED;
     loop {
-        let outcome = match fetch(host, server, Kind::Again, due, |ms| {
+        let outcome = match fetch(runtime, server, Kind::Again, due, |ms| {
             Some(opening.for_backend(ms))
         })
         .await
@@ -417,8 +429,8 @@
             outcome,
             Outcome::Error | Outcome::Rejected | Outcome::Cancelled
         );
-        let unknown = outcome == Outcome::NotSent && host.now() >= listed_by;
-        if said || unknown || host.now() >= due {
+        let unknown = outcome == Outcome::NotSent && runtime.now() >= listed_by;
+        if said || unknown || runtime.now() >= due {
             return None;
         }
         sleep(AGAIN).await;
--- a/src/net/req/tests.rs
+++ b/src/proxy/request/tests.rs
@@ -20,8 +20,8 @@
 
 #[test]
 fn a_client_that_was_handed_over_costs_no_more() {
-    let bytes = size_of_future(|host, stands, (client, backend), place| {
-        go_on(host, stands, client, backend, place)
+    let bytes = size_of_future(|runtime, stands, (client, backend), place| {
+        go_on(runtime, stands, client, backend, place)
     });
     assert!(bytes <= CLIENT, "{bytes} bytes for each client");
 }
--- a/src/net/host.rs
+++ b/src/runtime/mod.rs
@@ -1,15 +1,15 @@
-//! The module's host: it owns the balancer, the clock, the timers and the map from ids to addresses, has one
-//! inbox for each req, and carries out the module's actions in their order.
-
-use super::delay::{Delays, Report, Reports};
-use super::room::Room;
-use super::service::handover::{self, Giving, Known};
-use spanspur::Balancer;
-use spanspur::api::*;
-use spanspur::config::Node;
-use spanspur::list::List;
-use spanspur_handover::frame::Frame;
-use spanspur_service::outs::Outs;
+//! The module's runtime: it owns the balancer, the clock, the timers and the map from ids to addresses, has one
+//! inbox for each req, and carries out the module's actions in their command.
+
+use crate::Balancer;
+use crate::api::*;
+use crate::config::ProcessConfig;
+use crate::discovery::endpoint_list::EndpointList;
+use crate::lifecycle::hot_restart::{self, ConnectionSender, Snapshot};
+use crate::proxy::connection_limit::ConnectionLimit;
+use crate::proxy::latency_tracker::{LatencyTracker, Report, ReportClassifier};
+use spanspur_admin::outs::Outs;
+use spanspur_hot_restart::frame::Frame;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -22,23 +22,23 @@
 
 /// What a req is to do.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Order {
+pub enum Command {
     /// Try this backend, until then.
-    Send(ServerId, Time),
+    StartAttempt(ServerId, Time),
     /// Synthetic answer: come again after so many milliseconds (0: no advice).
-    Refuse(u64),
+    Reject(u64),
     /// Synthetic answer: failed.
     Fail,
     /// Stop waiting for the attempt with this number.
-    Cancel(u32),
+    CancelAttempt(u32),
     /// End the standing connection politely.
-    Move,
+    Migrate,
     /// Give it to the process that takes this one's place.
-    Give,
+    Transfer,
 }
 
 struct Inbox {
-    orders: mpsc::UnboundedSender<Order>,
+    commands: mpsc::UnboundedSender<Command>,
     standing: bool,
 }
 
@@ -57,65 +57,65 @@
     listed: HashMap<ServerId, Listed>,
     outs: Outs,
     inboxes: HashMap<RequestId, Inbox>,
-    delays: Delays,
-    reports: Reports,
+    delays: LatencyTracker,
+    reports: ReportClassifier,
 }
 
 /// Shared by all tasks; never borrowed across an await.
-pub struct Host {
+pub struct Runtime {
     state: RefCell<State>,
     /// The monotonic clock and the Unix time at its anchor: discovery's times are Unix times.
     anchor: (Instant, Time),
     /// Wakes the director.
-    pub watch: Notify,
+    pub poll_requested: Notify,
     /// The list of servers has changed.
-    pub listed: Notify,
+    pub endpoints_changed: Notify,
     /// Discovery has answered this process.
-    pub heard: Cell<bool>,
+    pub discovery_answered: Cell<bool>,
     /// The process is told to stop.
-    pub leaving: Cell<bool>,
+    pub shutting_down: Cell<bool>,
     /// The staff empties this balancer: the front is told no.
     pub lameduck: watch::Sender<bool>,
     /// It was this process that was told so: one that takes over an emptied balancer is ready all the same.
-    pub told_lameduck: Cell<bool>,
+    pub lameduck_requested_here: Cell<bool>,
     /// Clients are accepted.
     pub accepting: watch::Sender<bool>,
     /// Clients that have not said yet what they want.
-    pub reading: Cell<usize>,
+    pub clients_without_request: Cell<usize>,
     /// Clients that are being told their answer, and have not ended their side yet.
-    pub answering: Cell<usize>,
+    pub clients_with_pending_close: Cell<usize>,
     /// The process is about to exit: who has not said yet what it wants is answered now.
-    pub ending: watch::Sender<bool>,
+    pub exiting: watch::Sender<bool>,
     /// The descriptors that clients hold here.
-    pub room: Rc<Room>,
+    pub connection_limit: Rc<ConnectionLimit>,
     /// Those of another process of this balancer.
-    pub others: Cell<usize>,
+    pub peer_process_descriptors: Cell<usize>,
     /// Another process takes the clients: what cold servers may be sent is its part alone.
-    handed: Cell<bool>,
+    clients_handed_over: Cell<bool>,
     /// Who takes over what stands here, once this process leaves.
-    pub giving: watch::Sender<Option<Rc<Giving>>>,
+    pub successor: watch::Sender<Option<Rc<ConnectionSender>>>,
     /// Other processes of this balancer that hear this one's news.
-    links: RefCell<Vec<mpsc::Sender<Frame>>>,
+    peer_processes: RefCell<Vec<mpsc::Sender<Frame>>>,
     /// The version of the list.
-    revision: Cell<u64>,
-    node: RefCell<Rc<Node>>,
+    list_revision: Cell<u64>,
+    process_config: RefCell<Rc<ProcessConfig>>,
 }
 
-/// A req's place at the host; dropped, it is gone there.
-pub struct Ticket {
-    host: Rc<Host>,
+/// A req's place at the runtime; dropped, it is gone there.
+pub struct RequestRegistration {
+    runtime: Rc<Runtime>,
     id: RequestId,
 }
 
-impl Drop for Ticket {
+impl Drop for RequestRegistration {
     fn drop(&mut self) {
-        self.host.state.borrow_mut().inboxes.remove(&self.id);
+        self.runtime.state.borrow_mut().inboxes.remove(&self.id);
     }
 }
 
-impl Host {
-    /// The host of a node, not yet told of any server.
-    pub fn new(node: Node) -> Self {
+impl Runtime {
+    /// The runtime of a node, not yet told of any server.
+    pub fn new(node: ProcessConfig) -> Self {
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
         let state = State {
             balancer: Balancer::new(node.config.clone(), node.seed),
@@ -123,45 +123,46 @@
             listed: HashMap::new(),
             outs: Outs::default(),
             inboxes: HashMap::new(),
-            delays: Delays::new(&node.config),
-            reports: Reports::new(&node.config),
+            delays: LatencyTracker::new(&node.config),
+            reports: ReportClassifier::new(&node.config),
         };
         Self {
             state: RefCell::new(state),
             anchor: (Instant::now(), unix.unwrap_or_default().as_secs_f64()),
-            watch: Notify::new(),
-            listed: Notify::new(),
-            heard: Cell::new(false),
-            leaving: Cell::new(false),
+            poll_requested: Notify::new(),
+            endpoints_changed: Notify::new(),
+            discovery_answered: Cell::new(false),
+            shutting_down: Cell::new(false),
             lameduck: watch::Sender::new(false),
-            told_lameduck: Cell::new(false),
+            lameduck_requested_here: Cell::new(false),
             accepting: watch::Sender::new(true),
-            reading: Cell::new(0),
-            answering: Cell::new(0),
-            ending: watch::Sender::new(false),
-            room: Rc::default(),
-            others: Cell::new(0),
-            handed: Cell::new(false),
-            giving: watch::Sender::new(None),
-            links: RefCell::default(),
-            revision: Cell::new(0),
-            node: RefCell::new(Rc::new(node)),
+            clients_without_request: Cell::new(0),
+            clients_with_pending_close: Cell::new(0),
+            exiting: watch::Sender::new(false),
+            connection_limit: Rc::default(),
+            peer_process_descriptors: Cell::new(0),
+            clients_handed_over: Cell::new(false),
+            successor: watch::Sender::new(None),
+            peer_processes: RefCell::default(),
+            list_revision: Cell::new(0),
+            process_config: RefCell::new(Rc::new(node)),
         }
     }
 
     /// What is configured now.
-    pub fn node(&self) -> Rc<Node> {
-        self.node.borrow().clone()
+    pub fn process_config(&self) -> Rc<ProcessConfig> {
+        self.process_config.borrow().clone()
     }
 
     /// Takes over what is configured anew.
-    pub fn configure(self: &Rc<Self>, node: Node) {
+    pub fn apply_config(self: &Rc<Self>, node: ProcessConfig) {
         let config = node.config.clone();
         let mut state = self.state.borrow_mut();
-        (state.delays, state.reports) = (Delays::new(&config), Reports::new(&config));
+        (state.delays, state.reports) =
+            (LatencyTracker::new(&config), ReportClassifier::new(&config));
         drop(state);
-        self.node.replace(Rc::new(node));
-        self.event(Event::ConfigChanged(config));
+        self.process_config.replace(Rc::new(node));
+        self.handle_event(Event::ConfigChanged(config));
     }
 
     /// The time now, on a clock that never goes back.
@@ -174,8 +175,8 @@
         (self.anchor.0 + duration(time - self.anchor.1)).into()
     }
 
-    /// Hands an event to the module and carries out what it answers, in order.
-    pub fn event(self: &Rc<Self>, event: Event) {
+    /// Hands an event to the module and carries out what it answers, in command.
+    pub fn handle_event(self: &Rc<Self>, event: Event) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let State {
@@ -187,39 +188,41 @@
             tracing::trace!(?action);
             match action {
                 Action::StartAttempt { id, server, until } => {
-                    state.order(id, Order::Send(server, until))
+                    state.send_command(id, Command::StartAttempt(server, until))
                 }
                 Action::Reject { id, retry_after } => {
-                    state.order(id, Order::Refuse((retry_after * 1000.0) as u64));
+                    state.send_command(id, Command::Reject((retry_after * 1000.0) as u64));
                 }
-                Action::Fail(id) => state.order(id, Order::Fail),
-                Action::CancelAttempt { id, attempt } => state.order(id, Order::Cancel(attempt)),
-                Action::Migrate(id) => state.order(id, Order::Move),
-                Action::PollDiscovery => self.watch.notify_one(),
-                Action::SetTimer { after, token } => self.wake(after, token),
+                Action::Fail(id) => state.send_command(id, Command::Fail),
+                Action::CancelAttempt { id, attempt } => {
+                    state.send_command(id, Command::CancelAttempt(attempt))
+                }
+                Action::Migrate(id) => state.send_command(id, Command::Migrate),
+                Action::PollDiscovery => self.poll_requested.notify_one(),
+                Action::SetTimer { after, token } => self.schedule_timer(after, token),
             }
         }
         state.actions = actions;
     }
 
-    fn wake(self: &Rc<Self>, after: Time, token: u64) {
-        let host = self.clone();
+    fn schedule_timer(self: &Rc<Self>, after: Time, token: u64) {
+        let runtime = self.clone();
         let after = duration(after);
         tokio::task::spawn_local(async move {
             tokio::time::sleep(after).await;
-            host.event(Event::Timer(token));
+            runtime.handle_event(Event::Timer(token));
         });
     }
 
     /// Takes a list from discovery: first the addresses, then the module.
-    pub fn list(self: &Rc<Self>, kind: UpdateKind, list: List) {
+    pub fn update_endpoints(self: &Rc<Self>, kind: UpdateKind, list: EndpointList) {
         if let Some(entry) = list.unusable {
             tracing::warn!(entry, "discovery names an address that cannot be used");
         }
         let now = self.now();
-        let slow_start_window = self.node().config.slow_start_window;
+        let slow_start_window = self.process_config().config.slow_start_window;
         let mut state = self.state.borrow_mut();
-        self.revision.set(list.revision);
+        self.list_revision.set(list.revision);
         let State { listed, outs, .. } = &mut *state;
         if kind != UpdateKind::Delta {
             listed.clear();
@@ -227,7 +230,13 @@
         let mut members = Vec::with_capacity(list.members.len());
         for (raw, address) in list.members {
             outs.listed(raw.id.0);
-            let seen = masked(outs, raw, now, slow_start_window, self.handed.get());
+            let seen = masked(
+                outs,
+                raw,
+                now,
+                slow_start_window,
+                self.clients_handed_over.get(),
+            );
             tracing::debug!(member = ?raw, as_draining = seen.state != raw.state, %address, "listed");
             members.push(seen);
             match raw.state {
@@ -238,13 +247,13 @@
         let event = Event::EndpointsUpdated(kind, members.into());
         // The module's turn takes the state again.
         drop(state);
-        self.event(event);
-        self.listed.notify_one();
+        self.handle_event(event);
+        self.endpoints_changed.notify_one();
     }
 
     /// Takes a list that control instances gave in discovery's stead; other processes of this balancer hear of it as
     /// if it had come from there.
-    pub fn followed(self: &Rc<Self>, list: List) {
+    pub fn update_from_distribution(self: &Rc<Self>, list: EndpointList) {
         let kind = match list.complete {
             true => UpdateKind::Full,
             false => UpdateKind::Delta,
@@ -255,38 +264,44 @@
             entries = list.members.len(),
             "a followed list"
         );
-        self.heard.set(true);
-        self.tell(|| handover::news(&list));
-        self.list(kind, list);
+        self.discovery_answered.set(true);
+        self.notify_peer_processes(|| hot_restart::news(&list));
+        self.update_endpoints(kind, list);
     }
 
     /// Which backends the staff has taken out.
-    pub fn outs(&self) -> Outs {
+    pub fn maintenance(&self) -> Outs {
         self.state.borrow().outs.clone()
     }
 
     /// Takes over which are taken out now.
-    pub fn take_outs(self: &Rc<Self>, outs: &Outs) {
+    pub fn merge_maintenance(self: &Rc<Self>, outs: &Outs) {
         self.state.borrow_mut().outs.merge(outs);
-        self.mask();
+        self.refresh_endpoints();
     }
 
     /// Another process takes the clients, or does so no more.
-    pub fn hand(self: &Rc<Self>, handed: bool) {
-        self.handed.set(handed);
-        self.mask();
+    pub fn set_clients_handed_over(self: &Rc<Self>, handed: bool) {
+        self.clients_handed_over.set(handed);
+        self.refresh_endpoints();
         self.accepting.send_replace(!handed);
     }
 
     /// Looks at all listed backends anew: the module hears of those that count as something else now, as if
     /// discovery had told.
-    fn mask(self: &Rc<Self>) {
-        let (now, slow_start_window) = (self.now(), self.node().config.slow_start_window);
+    fn refresh_endpoints(self: &Rc<Self>) {
+        let (now, slow_start_window) = (self.now(), self.process_config().config.slow_start_window);
         let mut state = self.state.borrow_mut();
         let State { listed, outs, .. } = &mut *state;
         let mut changed = Vec::new();
         for at in listed.values_mut() {
-            let seen = masked(outs, at.raw, now, slow_start_window, self.handed.get());
+            let seen = masked(
+                outs,
+                at.raw,
+                now,
+                slow_start_window,
+                self.clients_handed_over.get(),
+            );
             if (seen.state, seen.started) != (at.seen.state, at.seen.started) {
                 at.seen = seen;
                 changed.push(seen);
@@ -294,30 +309,30 @@
         }
         drop(state);
         if !changed.is_empty() {
-            self.event(Event::EndpointsUpdated(UpdateKind::Delta, changed.into()));
-            self.listed.notify_one();
+            self.handle_event(Event::EndpointsUpdated(UpdateKind::Delta, changed.into()));
+            self.endpoints_changed.notify_one();
         }
     }
 
     /// Goes on from what another process of this balancer knows.
-    pub fn resume(self: &Rc<Self>, known: Known) {
+    pub fn restore(self: &Rc<Self>, known: Snapshot) {
         match postcard::from_bytes(&known.module) {
             Ok(balancer) => self.state.borrow_mut().balancer = balancer,
             Err(e) => {
                 tracing::warn!(error = %e, "what the process before has learnt cannot be read")
             }
         }
-        self.event(Event::ConfigChanged(self.node().config.clone()));
-        self.list(UpdateKind::Full, known.list());
+        self.handle_event(Event::ConfigChanged(self.process_config().config.clone()));
+        self.update_endpoints(UpdateKind::Full, known.list());
     }
 
     /// What another process of this balancer needs to go on from here.
-    pub fn known(&self) -> Known {
+    pub fn snapshot(&self) -> Snapshot {
         let state = self.state.borrow();
         let members = state.listed.values().map(|at| (at.raw, at.address));
-        Known {
-            discovery: self.node().discovery,
-            revision: self.revision.get(),
+        Snapshot {
+            discovery: self.process_config().discovery,
+            revision: self.list_revision.get(),
             members: members.collect(),
             module: postcard::to_stdvec(&state.balancer).unwrap_or_default(),
             outs: state.outs.write(),
@@ -326,40 +341,42 @@
     }
 
     /// The version of the list as it is known here.
-    pub fn revision(&self) -> u64 {
-        self.revision.get()
+    pub fn list_revision(&self) -> u64 {
+        self.list_revision.get()
     }
 
     /// The descriptors that this process may hold.
-    pub fn sockets(&self) -> usize {
-        self.node().sockets.saturating_sub(self.others.get())
+    pub fn descriptor_limit(&self) -> usize {
+        self.process_config()
+            .sockets
+            .saturating_sub(self.peer_process_descriptors.get())
     }
 
     /// From here on news go into this queue too.
-    pub fn link(&self, news: mpsc::Sender<Frame>) {
-        self.links.borrow_mut().push(news);
+    pub fn add_peer_process(&self, news: mpsc::Sender<Frame>) {
+        self.peer_processes.borrow_mut().push(news);
     }
 
     /// Tells other processes of this balancer. One that does not keep up hears nothing any more.
-    pub fn tell(&self, frame: impl Fn() -> Frame) {
-        let mut links = self.links.borrow_mut();
+    pub fn notify_peer_processes(&self, frame: impl Fn() -> Frame) {
+        let mut links = self.peer_processes.borrow_mut();
         links.retain(|link| link.try_send(frame()).is_ok());
     }
 
     /// The address of a listed backend.
-    pub fn address(&self, server: ServerId) -> Option<SocketAddr> {
+    pub fn endpoint_address(&self, server: ServerId) -> Option<SocketAddr> {
         self.state.borrow().listed.get(&server).map(|at| at.address)
     }
 
     /// All listed backends with their addresses.
-    pub fn addresses(&self) -> Vec<(ServerId, SocketAddr)> {
+    pub fn endpoint_addresses(&self) -> Vec<(ServerId, SocketAddr)> {
         let state = self.state.borrow();
         let listed = state.listed.iter();
         listed.map(|(id, at)| (*id, at.address)).collect()
     }
 
     /// Whether the director still says that this backend takes new work.
-    pub fn takes_new(&self, server: ServerId) -> bool {
+    pub fn accepts_new_requests(&self, server: ServerId) -> bool {
         let state = self.state.borrow();
         state
             .listed
@@ -368,22 +385,24 @@
     }
 
     /// Lists are pushed: what the agent has counts as told, from the first moment of this process on.
-    pub fn pushed(&self) -> bool {
-        self.node().config.discovery_mode == DiscoveryMode::Pushed
+    pub fn has_pushed_discovery(&self) -> bool {
+        self.process_config().config.discovery_mode == DiscoveryMode::Pushed
     }
 
     /// Any backend is known: requests can be decided. Where lists are pushed, the agent is heard first, if it speaks.
-    pub fn ready(&self) -> bool {
-        let heard = self.heard.get() || !self.pushed() || self.anchor.0.elapsed() >= AGENT;
+    pub fn is_ready(&self) -> bool {
+        let heard = self.discovery_answered.get()
+            || !self.has_pushed_discovery()
+            || self.anchor.0.elapsed() >= AGENT;
         heard && !self.state.borrow().listed.is_empty()
     }
 
     /// Opens an inbox; `None` if there is a live req with this id.
-    pub fn enter(
+    pub fn register_request(
         self: &Rc<Self>,
         id: RequestId,
-    ) -> Option<(Ticket, mpsc::UnboundedReceiver<Order>)> {
-        let (orders, inbox) = mpsc::unbounded_channel();
+    ) -> Option<(RequestRegistration, mpsc::UnboundedReceiver<Command>)> {
+        let (commands, inbox) = mpsc::unbounded_channel();
         let mut state = self.state.borrow_mut();
         if state.inboxes.contains_key(&id) {
             return None;
@@ -391,14 +410,14 @@
         state.inboxes.insert(
             id,
             Inbox {
-                orders,
+                commands,
                 standing: false,
             },
         );
         drop(state);
         Some((
-            Ticket {
-                host: self.clone(),
+            RequestRegistration {
+                runtime: self.clone(),
                 id,
             },
             inbox,
@@ -406,14 +425,14 @@
     }
 
     /// Notes that a req's connection stands.
-    pub fn stands(&self, id: RequestId) {
+    pub fn mark_established(&self, id: RequestId) {
         if let Some(inbox) = self.state.borrow_mut().inboxes.get_mut(&id) {
             inbox.standing = true;
         }
     }
 
     /// The reqs here: those that stand, or those that still wait for an answer.
-    pub fn reqs(&self, standing: bool) -> Vec<RequestId> {
+    pub fn request_ids(&self, standing: bool) -> Vec<RequestId> {
         let state = self.state.borrow();
         let of = state
             .inboxes
@@ -422,13 +441,19 @@
         of.map(|(id, _)| *id).collect()
     }
 
-    /// Puts an order into a req's inbox that the module did not give: the process is leaving.
-    pub fn order(&self, id: RequestId, order: Order) {
-        self.state.borrow_mut().order(id, order);
+    /// Puts an command into a req's inbox that the module did not give: the process is leaving.
+    pub fn send_command(&self, id: RequestId, command: Command) {
+        self.state.borrow_mut().send_command(id, command);
     }
 
     /// Takes a figure that a backend has reported on a connection; `first` if none was before.
-    pub fn reported(self: &Rc<Self>, id: RequestId, server: ServerId, figure: f64, first: bool) {
+    pub fn report_figure(
+        self: &Rc<Self>,
+        id: RequestId,
+        server: ServerId,
+        figure: f64,
+        first: bool,
+    ) {
         let now = self.now();
         let report = self
             .state
@@ -436,31 +461,31 @@
             .reports
             .read(now, server, figure, first);
         match report {
-            Report::Load(load) => self.event(Event::LoadReport(id, load)),
-            Report::Delay(took) => {
+            Report::Load(load) => self.handle_event(Event::LoadReport(id, load)),
+            Report::MessageTime(took) => {
                 tracing::debug!(%server, took, "a backend reports how long messages take");
-                self.event(Event::LatencyReport(server, took));
+                self.handle_event(Event::LatencyReport(server, took));
             }
-            Report::Unclear => {}
+            Report::Ambiguous => {}
         }
     }
 
     /// Takes the time of a message at a backend.
-    pub fn message_took(self: &Rc<Self>, server: ServerId, took: Time) {
+    pub fn report_message_time(self: &Rc<Self>, server: ServerId, took: Time) {
         let now = self.now();
         let event = self.state.borrow_mut().delays.measured(now, server, took);
         if let Some(event) = event {
             tracing::debug!(?event, "a backend is slow, or clear again");
-            self.event(event);
+            self.handle_event(event);
         }
     }
 }
 
 impl State {
-    fn order(&mut self, id: RequestId, order: Order) {
+    fn send_command(&mut self, id: RequestId, command: Command) {
         // A req that has just ended has no inbox any more; what was meant for it is void.
         if let Some(inbox) = self.inboxes.get(&id) {
-            let _ = inbox.orders.send(order);
+            let _ = inbox.commands.send(command);
         }
     }
 }
--- a/tests/sockets/replace.rs
+++ b/tests/sockets/replace.rs
@@ -1,7 +1,7 @@
 //! Stories of a replacement: two processes of one balancer, the platform's socket, and what becomes of clients.
 
 use crate::peers::*;
-use spanspur_handover::frame::{Frame, VERSION, encode};
+use spanspur_hot_restart::frame::{Frame, VERSION, encode};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::unix::net::UnixStream;
