--- /dev/null
+++ b/tests/common/wire_fixtures.rs
@@ -0,0 +1,79 @@
+//! Fixture files of encoded bytes: one record a line, a name and its bytes in hexadecimal. Written by the tree at
+//! 71566bd; rewriting them (`WRITE_FIXTURES=1`) hides a change of the bytes between versions.
+
+use std::fmt::Write;
+use std::path::Path;
+
+/// Set to 1, the fixture files are written instead of compared.
+const WRITE_VARIABLE: &str = "WRITE_FIXTURES";
+/// The first line of each file.
+const HEADER: &str =
+    "# Written by the tree at 71566bd. Rewriting hides a change of the bytes between versions.";
+
+/// Some bytes and the name under which the file keeps them.
+pub struct Record {
+    pub name: String,
+    pub bytes: Vec<u8>,
+}
+
+impl Record {
+    pub fn new(name: impl Into<String>, bytes: Vec<u8>) -> Self {
+        let name = name.into();
+        Self { name, bytes }
+    }
+}
+
+/// Compares records with a fixture file of a package, all of them and in order, and returns those of the file.
+pub fn check(package_directory: &str, file: &str, records: Vec<Record>) -> Vec<Record> {
+    let path = Path::new(package_directory)
+        .join("tests/fixtures")
+        .join(file);
+    if std::env::var(WRITE_VARIABLE).as_deref() == Ok("1") {
+        std::fs::write(&path, format(&records)).expect("the fixture file can be written");
+    }
+    let text = std::fs::read_to_string(&path).expect("the fixture file can be read");
+    let golden = parse(&text);
+    for (record, golden) in records.iter().zip(&golden) {
+        assert_eq!(record.name, golden.name, "{file}");
+        assert_eq!(
+            hexadecimal(&record.bytes),
+            hexadecimal(&golden.bytes),
+            "{file}: {}",
+            record.name
+        );
+    }
+    assert_eq!(records.len(), golden.len(), "{file}: number of records");
+    assert!(!golden.is_empty(), "{file}: no records");
+    golden
+}
+
+fn format(records: &[Record]) -> String {
+    let mut text = format!("{HEADER}\n");
+    for record in records {
+        let bytes = hexadecimal(&record.bytes);
+        writeln!(text, "{} {bytes}", record.name).expect("writes to memory");
+    }
+    text
+}
+
+fn parse(text: &str) -> Vec<Record> {
+    let lines = text.lines().filter(|line| !line.starts_with('#'));
+    lines
+        .map(|line| {
+            let (name, digits) = line.split_once(' ').expect("a name and bytes");
+            Record::new(name, bytes_of(digits))
+        })
+        .collect()
+}
+
+fn hexadecimal(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn bytes_of(digits: &str) -> Vec<u8> {
+    assert!(digits.len().is_multiple_of(2), "whole bytes");
+    (0..digits.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&digits[at..at + 2], 16).expect("hexadecimal"))
+        .collect()
+}
