--- a/tests/common/wire_fixtures.rs
+++ b/tests/common/wire_fixtures.rs
@@ -9,6 +9,8 @@
 /// The first line of each file.
 const HEADER: &str =
     "# Written by the tree at 71566bd. Rewriting hides a change of the bytes between versions.";
+/// What stands for a record without bytes.
+const NO_BYTES: &str = "-";
 
 /// Some bytes and the name under which the file keeps them.
 pub struct Record {
@@ -50,7 +52,10 @@
 fn format(records: &[Record]) -> String {
     let mut text = format!("{HEADER}\n");
     for record in records {
-        let bytes = hexadecimal(&record.bytes);
+        let bytes = match record.bytes.as_slice() {
+            [] => NO_BYTES.to_owned(),
+            bytes => hexadecimal(bytes),
+        };
         writeln!(text, "{} {bytes}", record.name).expect("writes to memory");
     }
     text
@@ -61,7 +66,10 @@
     lines
         .map(|line| {
             let (name, digits) = line.split_once(' ').expect("a name and bytes");
-            Record::new(name, bytes_of(digits))
+            match digits {
+                NO_BYTES => Record::new(name, Vec::new()),
+                digits => Record::new(name, bytes_of(digits)),
+            }
         })
         .collect()
 }
