--- a/src/net/duties/mod.rs
+++ b/src/net/duties/mod.rs
@@ -6,6 +6,9 @@
 mod list;
 mod probe;
 mod rows;
+#[cfg(test)]
+#[path = "../../../tests/common/wire_fixtures.rs"]
+mod wire_fixtures;
 
 pub use distribute::Followed;
 pub use list::ListNews;
--- a/src/net/duties/probe.rs
+++ b/src/net/duties/probe.rs
@@ -15,6 +15,9 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
+#[cfg(test)]
+mod tests;
+
 /// The longest answer that is read.
 const MAX_ANSWER: u64 = 4096;
 
--- a/src/net/duties/rows.rs
+++ b/src/net/duties/rows.rs
@@ -7,6 +7,9 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
+#[cfg(test)]
+mod tests;
+
 /// The name of the duty, and of the key under which its holder confirms the rows several times a second.
 pub const NAME: &str = "list";
 /// The key of the head that is distributed: told when the list has changed, or another instance tells it.
