--- a/src/net/service/handover.rs
+++ b/src/net/service/handover.rs
@@ -477,3 +477,6 @@
 fn start(serve: impl Future<Output = ()> + 'static) {
     drop(spawn_local(serve));
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/net/service/handover/tests.rs
@@ -0,0 +1,279 @@
+//! The payloads of a hot restart in their bytes: the older and the newer process may be of different builds.
+//!
+//! The fixtures `tests/fixtures/hot_restart/*.bin` hold whole frames. They were written by the tree at 71566bd
+//! (`WRITE_FIXTURES=1` writes them anew); rewriting them hides a change of the wire. The mirrors below are the form
+//! of the wire, kept apart from the types of the code: places and types of fields, not names.
+
+use super::*;
+use spanspur::Balancer;
+use spanspur::api::{Key, MemberState, Request, RequestId, ServerId};
+use spanspur_handover::frame::{decode, encode};
+
+fn fixture(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/fixtures")
+        .join(name)
+}
+
+/// Holds a frame to its fixture, and returns it as read from there.
+fn kept(name: &str, frame: &Frame, descriptors: usize) -> Frame {
+    let path = fixture(&format!("hot_restart/{name}.bin"));
+    let written = encode(frame, descriptors).expect("in bounds");
+    if std::env::var("WRITE_FIXTURES").is_ok_and(|value| value == "1") {
+        std::fs::write(&path, &written).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
+    }
+    let kept = std::fs::read(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
+    assert_eq!(written, kept, "{name}");
+    let (read, beside, length) = decode(&kept).expect("a frame").expect("a whole one");
+    assert_eq!((beside, length), (descriptors, kept.len()), "{name}");
+    read
+}
+
+/// What a client asked for, as it goes over.
+#[derive(Debug, PartialEq, Serialize, Deserialize)]
+struct RequestMirror {
+    id: u64,
+    class: u64,
+    key: Option<u64>,
+    group: Option<u64>,
+    due: f64,
+    hint: Option<f64>,
+    mid_flow: bool,
+    returned: bool,
+}
+
+/// A connection that stands, as it goes over.
+#[derive(Debug, PartialEq, Serialize, Deserialize)]
+struct StandsMirror {
+    request: RequestMirror,
+    server: u64,
+    attempt: u32,
+    up: Vec<u8>,
+    down: Vec<u8>,
+    asked: Vec<f64>,
+    heard: f64,
+    pending_asks: u64,
+    reported: bool,
+}
+
+/// `Handed` in its order of variants.
+#[derive(Debug, PartialEq, Serialize, Deserialize)]
+enum HandedMirror {
+    Standing(StandsMirror),
+    Reading(Vec<u8>, f64),
+}
+
+fn standing() -> StandsMirror {
+    StandsMirror {
+        request: RequestMirror {
+            id: 0x0123_4567_89ab_cdef,
+            class: 2,
+            key: Some(u64::MAX),
+            group: Some(77),
+            due: 1234.5678,
+            hint: Some(0.25),
+            mid_flow: true,
+            returned: false,
+        },
+        server: ServerId::of("s-4").0,
+        attempt: 3,
+        up: b"a line of the client that is not who".to_vec(),
+        down: b"whole\r\nand half of".to_vec(),
+        asked: vec![0.125, 0.5, 7.75],
+        heard: 0.0625,
+        pending_asks: 300,
+        reported: true,
+    }
+}
+
+fn bare() -> StandsMirror {
+    StandsMirror {
+        request: RequestMirror {
+            id: 1,
+            class: 0,
+            key: None,
+            group: None,
+            due: 0.0,
+            hint: None,
+            mid_flow: false,
+            returned: true,
+        },
+        server: 0,
+        attempt: 0,
+        up: Vec::new(),
+        down: Vec::new(),
+        asked: Vec::new(),
+        heard: 0.0,
+        pending_asks: 0,
+        reported: false,
+    }
+}
+
+/// Reads the payload of a frame as the code does, writes it again and returns both.
+fn through<T: Serialize + for<'a> Deserialize<'a>>(payload: &[u8]) -> (T, Vec<u8>) {
+    let read: T = postcard::from_bytes(payload).expect("a payload");
+    let written = postcard::to_stdvec(&read).expect("written");
+    (read, written)
+}
+
+/// The payload of a connection through the code's own types, held to its fixture and to its mirror.
+fn connection(name: &str, mirror: &HandedMirror, descriptors: usize) -> Handed {
+    let bytes = postcard::to_stdvec(mirror).expect("written");
+    let (_, written) = through::<Handed>(&bytes);
+    assert_eq!(written, bytes, "{name}: not the form of the mirror");
+    let Frame::Connection(9, payload) = kept(name, &Frame::Connection(9, written), descriptors)
+    else {
+        panic!("{name}: another frame");
+    };
+    let (read, again) = through::<Handed>(&payload);
+    assert_eq!(again, payload, "{name}: written again");
+    assert_eq!(postcard::from_bytes(&payload).as_ref(), Ok(mirror));
+    read
+}
+
+fn members() -> Vec<(Member, SocketAddr)> {
+    let member = |name: &str, state, started| Member {
+        id: ServerId::of(name),
+        zone: 0xdead_beef,
+        state,
+        weight: 1.5,
+        started,
+        cell: 3,
+    };
+    let address = |text: &str| text.parse().expect("an address");
+    vec![
+        (
+            member("s-1", MemberState::Ready, 0.0),
+            address("10.1.2.3:8080"),
+        ),
+        (
+            member("s-2", MemberState::Draining, 17.25),
+            address("[2001:db8::7]:443"),
+        ),
+        (
+            member("s-3", MemberState::Gone, 99.5),
+            address("127.0.0.1:1"),
+        ),
+    ]
+}
+
+fn assert_members(read: &[(Member, SocketAddr)]) {
+    let form = |(member, address): &(Member, SocketAddr)| {
+        let Member {
+            id,
+            zone,
+            state,
+            weight,
+            started,
+            cell,
+        } = *member;
+        (id, zone, state, weight, started, cell, *address)
+    };
+    let read: Vec<_> = read.iter().map(form).collect();
+    let want: Vec<_> = members().iter().map(form).collect();
+    assert_eq!(read, want);
+}
+
+#[test]
+fn a_standing_connection_has_the_bytes_of_its_fixture() {
+    let mirror = HandedMirror::Standing(standing());
+    let Handed::Standing(stands) = connection("standing", &mirror, 2) else {
+        panic!("another kind of connection");
+    };
+    let Request {
+        id,
+        class,
+        key,
+        group,
+        due,
+        hint,
+        mid_flow,
+        returned,
+    } = stands.request;
+    assert_eq!(
+        (id, class, key, group),
+        (
+            RequestId(0x0123_4567_89ab_cdef),
+            2,
+            Some(Key(u64::MAX)),
+            Some(Key(77))
+        )
+    );
+    assert_eq!(
+        (due, hint, mid_flow, returned),
+        (1234.5678, Some(0.25), true, false)
+    );
+    assert_eq!(stands.server, ServerId::of("s-4"));
+    connection("standing_bare", &HandedMirror::Standing(bare()), 2);
+}
+
+#[test]
+fn a_connection_that_is_half_read_has_the_bytes_of_its_fixture() {
+    let said = b"REQ 00000000000000aa half".to_vec();
+    let mirror = HandedMirror::Reading(said.clone(), 1.75);
+    let Handed::Reading(read, left) = connection("reading", &mirror, 1) else {
+        panic!("another kind of connection");
+    };
+    assert_eq!((read, left), (said, 1.75));
+}
+
+#[test]
+fn what_is_known_has_the_bytes_of_its_fixture_with_a_real_snapshot_in_it() {
+    let snapshot = std::fs::read(fixture("balancer_snapshot.bin")).expect("the snapshot's fixture");
+    let mut outs = Outs::default();
+    outs.listed(ServerId::of("s-1").0);
+    outs.detach("s-1", ServerId::of("s-1").0, 1_764_750_000.125)
+        .expect("listed");
+    let known = Known {
+        discovery: "10.9.8.7:8500".parse().expect("an address"),
+        revision: 1 << 40,
+        members: members(),
+        module: snapshot.clone(),
+        outs: outs.write(),
+        lameduck: true,
+    };
+    let payload = postcard::to_stdvec(&known).expect("written");
+    let Frame::State(VERSION, payload) = kept("state_known", &Frame::State(VERSION, payload), 0)
+    else {
+        panic!("another frame");
+    };
+    let (read, again) = through::<Known>(&payload);
+    assert_eq!(again, payload, "written again");
+    assert_eq!(
+        (read.discovery, read.revision, read.lameduck),
+        (known.discovery, 1 << 40, true)
+    );
+    assert_members(&read.members);
+    assert_eq!(read.module, snapshot);
+    let (_, module) = through::<Balancer>(&read.module);
+    assert_eq!(module, snapshot, "the snapshot written again");
+    let taken_out = Outs::read(read.outs.as_bytes()).expect("a whole file");
+    assert_eq!(taken_out.out().collect::<Vec<_>>(), ["s-1"]);
+    let list = read.list();
+    assert_eq!((list.revision, list.complete), (1 << 40, true));
+}
+
+#[test]
+fn news_of_the_list_has_the_bytes_of_its_fixture() {
+    for (name, complete, unusable) in [
+        ("list_complete", true, None),
+        ("list_changes", false, Some("'nowhere' of s-9".to_owned())),
+    ] {
+        let list = List {
+            revision: 4711,
+            complete,
+            members: members(),
+            unusable: unusable.clone(),
+        };
+        let Frame::List(payload) = kept(name, &news(&list), 0) else {
+            panic!("{name}: another frame");
+        };
+        let (read, again) = through::<List>(&payload);
+        assert_eq!(again, payload, "{name}: written again");
+        assert_eq!(
+            (read.revision, read.complete, read.unusable),
+            (4711, complete, unusable)
+        );
+        assert_members(&read.members);
+    }
+}
