--- a/src/net/line.rs
+++ b/src/net/line.rs
@@ -204,3 +204,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/tests/config_errors.rs
@@ -0,0 +1,263 @@
+//! The error texts of a balancer's file, to the letter: the staff reads them, and scripts look for them.
+//!
+//! `tests/fixtures/config_errors.txt` was written by the tree at 71566bd; rewriting it (`WRITE_FIXTURES=1`) hides a
+//! change of a text.
+
+#[path = "common/fixture.rs"]
+mod fixture;
+
+use serde_json::{Value, json};
+use spanspur::config::{Node, When};
+use spanspur::list::List;
+use std::fmt::Write as _;
+use std::process::Command;
+
+const WHOLE: &str = include_str!("../examples/config.json");
+
+fn whole() -> Value {
+    serde_json::from_str(WHOLE).expect("the example")
+}
+
+/// The example with this value in the place of a JSON pointer; without that place where it is `None`.
+fn with(pointer: &str, value: Option<Value>) -> String {
+    let mut config = whole();
+    let (parent, key) = pointer.rsplit_once('/').expect("a pointer");
+    let parent = config.pointer_mut(parent).expect("a place");
+    match (parent, value) {
+        (Value::Object(map), Some(value)) => drop(map.insert(key.into(), value)),
+        (Value::Object(map), None) => drop(map.remove(key)),
+        (parent, _) => panic!("{parent} is no object"),
+    }
+    config.to_string()
+}
+
+fn error(text: &[u8], when: When, var: impl Fn(&str) -> Option<String>) -> String {
+    Node::parse(text, when, var).err().unwrap_or_default()
+}
+
+/// Values that no key takes, key by key.
+fn bad_values() -> Vec<(&'static str, Option<Value>)> {
+    let class = "/settings/classes/0";
+    assert!(whole().pointer(class).is_some());
+    let mut bad: Vec<(&'static str, Option<Value>)> = [
+        "/listen",
+        "/discovery",
+        "/seed",
+        "/settings",
+        "/settings/classes",
+        "/settings/classes/0/name",
+        "/settings/classes/0/onTime",
+        "/known/revision",
+        "/known/complete",
+        "/known/members",
+    ]
+    .map(|pointer| (pointer, None))
+    .into();
+    for key in ["/listen", "/discovery", "/operator"] {
+        for text in ["nowhere", "127.0.0.1", "localhost:80", ""] {
+            bad.push((key, Some(json!(text))));
+        }
+    }
+    for key in [
+        "/settings/classes/0/onTime",
+        "/settings/classes/0/hardLimit",
+        "/settings/limits/connectTimeout",
+        "/settings/rules/askWithin",
+        "/settings/rules/coldFrom",
+        "/settings/rules/warmUp",
+        "/settings/rules/fall",
+        "/settings/rules/fallMultiple",
+    ] {
+        bad.push((key, Some(json!(-0.5))));
+        bad.push((key, Some(json!("soon"))));
+    }
+    for (key, value) in [
+        ("/name", json!(7)),
+        ("/listen", json!(8000)),
+        ("/seed", json!("seven")),
+        ("/seed", json!("")),
+        ("/seed", json!("10000000000000000")),
+        ("/seed", json!(7)),
+        ("/limits", json!(7)),
+        ("/limits/sockets", json!(-1)),
+        ("/limits/sockets", json!("many")),
+        ("/known", json!([])),
+        ("/known/revision", json!(-1)),
+        ("/known/complete", json!("yes")),
+        ("/known/members", json!([{}])),
+        ("/known/members", json!([{"id": "s-1"}])),
+        (
+            "/known/members",
+            json!([{"id": "s-1", "host_port": "127.0.0.1:1"}]),
+        ),
+        (
+            "/known/members",
+            json!([{"id": 1, "host_port": "127.0.0.1:1", "phase": "SERVING"}]),
+        ),
+        ("/settings", json!([])),
+        ("/settings", json!("none")),
+        ("/settings/classes", json!([])),
+        ("/settings/classes", json!({})),
+        ("/settings/classes/0/semantics", json!("maybe")),
+        ("/settings/classes/0/semantics", json!(1)),
+        ("/settings/balancers", json!(-1)),
+        ("/settings/balancers", json!(4_294_967_296u64)),
+        ("/settings/myNumber", json!(0.5)),
+        ("/settings/zone", json!(1)),
+        ("/settings/membershipMode", json!("guessed")),
+        ("/settings/membershipMode", json!(1)),
+        ("/settings/domain/groups", json!("yes")),
+        ("/settings/domain/messageAim", json!(0.25)),
+        ("/settings/domain/messageAim", json!([-0.25])),
+        ("/settings/domain/tellsDelay", json!(1)),
+        ("/settings/limits/cancel", json!("yes")),
+        ("/settings/limits/maxAttempts", json!(-1)),
+        ("/settings/limits/retryAfter", json!(1)),
+        ("/settings/limits/maxRetryAfter", json!("soon")),
+        ("/settings/limits/mayTell", json!(0)),
+        ("/settings/rules/drainGrace", json!("soon")),
+        ("/settings/rules", json!(3)),
+    ] {
+        bad.push((key, Some(value)));
+    }
+    bad
+}
+
+/// Classes and limits that are at fault in more than one key.
+fn bad_settings() -> Vec<Value> {
+    let class = |fields: Value| {
+        let mut class = json!({"name": "c", "onTime": 0.5});
+        let more = fields.as_object().expect("fields").clone();
+        class.as_object_mut().expect("an object").extend(more);
+        json!({"classes": [{"name": "first", "onTime": 0.3}, class]})
+    };
+    vec![
+        class(json!({"semantics": "guarded", "group": "world"})),
+        class(json!({"semantics": "guarded", "group": "zone", "repeatWindow": -1})),
+        class(json!({"semantics": "GUARDED"})),
+        class(json!({"hardLimit": -2})),
+        json!({"classes": [{"name": "c", "onTime": 0.5}], "limits": {"retryAfter": true, "maxRetryAfter": -1}}),
+        json!({"classes": [{"name": "c", "onTime": -0.5, "hardLimit": -1}], "membershipMode": "guessed"}),
+        json!({"classes": [{"name": "c", "onTime": 0.5}], "membershipMode": "guessed",
+            "limits": {"connectTimeout": -1}}),
+        json!({"classes": null}),
+    ]
+}
+
+#[test]
+fn each_fault_of_the_file_has_the_text_of_the_fixture() {
+    let mut text = String::new();
+    let mut line = |what: &str, error: String| {
+        assert!(!error.is_empty(), "{what} was accepted");
+        assert!(!error.contains('\n'), "{what}: more than one line");
+        let _ = writeln!(text, "{what} => {error}");
+    };
+    for (pointer, value) in bad_values() {
+        let shown = value.as_ref().map_or("left out".into(), Value::to_string);
+        let file = with(pointer, value);
+        line(
+            &format!("{pointer} {shown}"),
+            error(file.as_bytes(), When::Start, |_| None),
+        );
+    }
+    for settings in bad_settings() {
+        let file = with("/settings", Some(settings.clone()));
+        line(
+            &settings.to_string(),
+            error(file.as_bytes(), When::Start, |_| None),
+        );
+    }
+    for file in [
+        &b""[..],
+        b"{",
+        b"[]",
+        b"{}",
+        b"nonsense",
+        b"{\"name\": \"\xff\"}",
+    ] {
+        let shown = String::from_utf8_lossy(file);
+        line(&format!("file {shown}"), error(file, When::Start, |_| None));
+    }
+    for (variable, value) in [
+        ("BALANCER_LISTEN", "here"),
+        ("BALANCER_DISCOVERY", "there"),
+        ("BALANCER_OPERATOR", "1.2.3.4"),
+        ("BALANCER_ACCEPT_FD", "two"),
+        ("BALANCER_ACCEPT_FD", "2"),
+        ("BALANCER_ACCEPT_FD", "-1"),
+    ] {
+        let var = |key: &str| (key == variable).then(|| value.to_owned());
+        line(
+            &format!("{variable}={value}"),
+            error(WHOLE.as_bytes(), When::Start, var),
+        );
+    }
+    let var = |key: &str| (key == "BALANCER_DISCOVERY").then(|| "there".to_owned());
+    let bare = with("/discovery", None);
+    line(
+        "at a reload, discovery left out, BALANCER_DISCOVERY=there",
+        error(bare.as_bytes(), When::Reload, var),
+    );
+    let reloaded = error(WHOLE.as_bytes(), When::Reload, var);
+    assert_eq!(reloaded, "", "at a reload the file's discovery goes first");
+    fixture::assert_text("config_errors.txt", &text);
+}
+
+#[test]
+fn classes_that_are_taken_away_at_a_reload_are_refused_in_these_words() {
+    let read = |classes: Value| {
+        let file = with("/settings/classes", Some(classes));
+        Node::parse(file.as_bytes(), When::Reload, |_| None).unwrap_or_else(|e| panic!("{e}"))
+    };
+    let (live, more) = (
+        json!({"name": "live", "onTime": 0.5}),
+        json!({"name": "more", "onTime": 0.5}),
+    );
+    let running = read(json!([live, more]));
+    assert!(read(json!([live, more, live])).replace(&running).is_ok());
+    for classes in [json!([live]), json!([more, live])] {
+        assert_eq!(
+            read(classes).replace(&running).err().as_deref(),
+            Some("key 'settings': classes can only be added, after the others")
+        );
+    }
+}
+
+#[test]
+fn a_list_that_cannot_be_read_or_used_is_named_in_these_words() {
+    let error = |text: &str| List::parse(text.as_bytes()).err().unwrap_or_default();
+    assert_eq!(error("{"), "EOF while parsing an object at line 1 column 1");
+    assert_eq!(error("{}"), "missing field `revision`");
+    let unusable = json!({"revision": 1, "complete": true, "members": [
+        {"id": "s-1", "host_port": "somewhere:80", "phase": "SERVING"}]});
+    let list = List::read(unusable).unwrap_or_else(|e| panic!("{e}"));
+    assert_eq!(list.unusable.as_deref(), Some("'somewhere:80' of s-1"));
+}
+
+/// What `spanspur` says on its standard error with this environment and no other, and that it fails.
+fn said(arguments: &[&str], variables: &[(&str, &str)]) -> String {
+    let output = Command::new(env!("CARGO_BIN_EXE_spanspur"))
+        .args(arguments)
+        .env_clear()
+        .envs(variables.iter().copied())
+        .output()
+        .expect("it starts");
+    assert!(!output.status.success(), "{arguments:?} was accepted");
+    String::from_utf8(output.stderr).expect("text")
+}
+
+#[test]
+fn a_file_that_cannot_be_opened_is_named_in_these_words() {
+    let missing = "tests/fixtures/there_is_no_such_file.json";
+    let os = "No such file or directory (os error 2)";
+    assert_eq!(
+        said(&["check", "--config", missing], &[]),
+        format!("{missing}: {os}\n")
+    );
+    let served = said(&["serve"], &[]);
+    let wanted = "key 'BALANCER_CONFIG' is missing";
+    assert!(served.contains(wanted), "{served}");
+    let served = said(&["serve"], &[("BALANCER_CONFIG", missing)]);
+    let wanted = format!("BALANCER_CONFIG: {missing}: {os}");
+    assert!(served.contains(&wanted), "{served}");
+}
