--- a/src/net/relay.rs
+++ b/src/net/relay.rs
@@ -516,3 +516,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
