--- a/src/lifecycle/hot_restart.rs
+++ b/src/lifecycle/hot_restart.rs
@@ -493,3 +493,6 @@
 fn start(serve: impl Future<Output = ()> + 'static) {
     drop(spawn_local(serve));
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/proxy/relay.rs
+++ b/src/proxy/relay.rs
@@ -521,3 +521,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
