--- a/src/cluster/endpoint_list.rs
+++ b/src/cluster/endpoint_list.rs
@@ -142,7 +142,7 @@
                 self.rows.borrow_mut().insert(row.id, row);
                 self.confirm();
                 Some(EndpointList {
-                    members: vec![member],
+                    endpoints: vec![member],
                     ..EndpointList::default()
                 })
             }
@@ -181,7 +181,7 @@
             return Some(EndpointList {
                 revision,
                 complete: true,
-                members: members(&mut rows.values().filter(|row| !row.is_gone())),
+                endpoints: members(&mut rows.values().filter(|row| !row.is_gone())),
                 unusable: None,
             });
         }
@@ -200,7 +200,7 @@
         Some(EndpointList {
             revision,
             complete: false,
-            members: members(&mut came.iter()),
+            endpoints: members(&mut came.iter()),
             unusable: None,
         })
     }
@@ -234,7 +234,7 @@
         {
             let mut rows = self.rows.borrow_mut();
             let named: BTreeMap<u64, Row> = list
-                .members
+                .endpoints
                 .iter()
                 .map(|(m, at)| (m.id.0, Row::of(m, *at)))
                 .collect();
--- /dev/null
+++ b/src/config/raw.rs
@@ -0,0 +1,87 @@
+//! The configuration as written: the names of the file and of the simulator's protocol, unchecked.
+//!
+//! serde puts the names of these structs into its messages ("expected struct Rules"). Operators and scripts read
+//! those messages, so the names stay as they are.
+
+use serde::Deserialize;
+
+/// The file that `BALANCER_CONFIG` names.
+#[derive(Deserialize)]
+pub(crate) struct RawNode {
+    pub name: Option<String>,
+    pub listen: Option<String>,
+    pub discovery: Option<String>,
+    pub operator: Option<String>,
+    pub seed: Option<String>,
+    pub limits: Option<RawLimits>,
+    pub known: Option<serde_json::Value>,
+    pub settings: Option<serde_json::Value>,
+}
+
+/// `limits` of the file: resources of the process.
+#[derive(Deserialize)]
+pub(crate) struct RawLimits {
+    pub sockets: Option<usize>,
+}
+
+/// `settings` of the file, and `config` of an instance in the simulator's protocol.
+#[derive(Deserialize, Default)]
+#[serde(rename_all = "camelCase", default)]
+pub(crate) struct Settings {
+    pub balancers: Option<u32>,
+    pub my_number: Option<u32>,
+    pub zone: Option<String>,
+    pub classes: Option<Vec<RawClass>>,
+    pub membership_mode: Option<String>,
+    pub domain: Option<Domain>,
+    pub limits: Option<Limits>,
+    pub rules: Option<Rules>,
+}
+
+/// An entry of `settings.classes`.
+#[derive(Deserialize)]
+#[serde(rename_all = "camelCase")]
+pub(crate) struct RawClass {
+    pub name: String,
+    pub on_time: f64,
+    pub hard_limit: Option<f64>,
+    pub semantics: Option<String>,
+    pub group: Option<String>,
+    pub repeat_window: Option<f64>,
+}
+
+/// `settings.domain`: what the balanced service offers.
+#[derive(Deserialize, Default)]
+#[serde(rename_all = "camelCase", default)]
+pub(crate) struct Domain {
+    pub groups: Option<bool>,
+    /// By the place of the class.
+    pub message_aim: Option<Vec<Option<f64>>>,
+    pub tells_delay: Option<bool>,
+}
+
+/// `settings.limits`: what clients and endpoints allow.
+#[derive(Deserialize, Default)]
+#[serde(rename_all = "camelCase", default)]
+pub(crate) struct Limits {
+    pub cancel: Option<bool>,
+    pub connect_timeout: Option<f64>,
+    pub max_attempts: Option<u32>,
+    pub max_retry_after: Option<f64>,
+    pub retry_after: Option<bool>,
+    /// Its type is checked; nothing uses it.
+    pub may_tell: Option<bool>,
+}
+
+/// `settings.rules`: times and shares that the balancer keeps to.
+#[derive(Deserialize, Default)]
+#[serde(rename_all = "camelCase", default)]
+pub(crate) struct Rules {
+    pub ask_within: Option<f64>,
+    pub cold_from: Option<f64>,
+    /// Its type is checked; nothing uses it.
+    pub drain_grace: Option<f64>,
+    pub fall: Option<f64>,
+    pub fall_multiple: Option<f64>,
+    pub warm_up: Option<f64>,
+}
--- a/src/discovery/endpoint_list.rs
+++ b/src/discovery/endpoint_list.rs
@@ -1,23 +1,42 @@
-//! Discovery's form of the list of servers, as its answers and a node's file hold it.
+//! The endpoint list in discovery's form, as its answers and the configuration file hold it.
 
-use crate::api::*;
-use crate::config::zone_of;
+use super::zone::zone_id;
+use crate::api::{Endpoint, EndpointState, ServerId, Time};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
+use thiserror::Error;
 
-/// A list, or the changes to one.
+const MILLISECONDS_PER_SECOND: f64 = 1000.0;
+/// The priority weight of an endpoint that gives none.
+const DEFAULT_WEIGHT: f64 = 1.0;
+
+/// A full endpoint list, or a delta to an earlier one.
+///
+/// It travels to the successor process in postcard, which knows fields by their place: their order and types stay.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct EndpointList {
-    /// Its version.
+    /// The list's version at discovery.
     pub revision: u64,
-    /// It names every server; otherwise only what changed.
+    /// It holds every endpoint; otherwise only those that changed.
     pub complete: bool,
-    /// The servers, each with the address at which this node reaches it.
-    pub members: Vec<(Endpoint, SocketAddr)>,
-    /// Entries left out because this node could not connect there: the first of them, to be logged.
+    /// The endpoints, each with the address at which this process reaches it.
+    pub endpoints: Vec<(Endpoint, SocketAddr)>,
+    /// An entry that was skipped because its address cannot be used, the last one if there are several; for the log.
     pub unusable: Option<String>,
 }
 
+/// An endpoint list that cannot be read.
+#[derive(Debug, Error)]
+pub enum EndpointListError {
+    /// The text is not JSON.
+    #[error(transparent)]
+    NotJson(serde_json::Error),
+    /// A field is missing or has another type.
+    #[error(transparent)]
+    Malformed(serde_json::Error),
+}
+
+/// The list as discovery writes it. serde puts the names of these structs into its messages.
 #[derive(Deserialize)]
 struct RawList {
     revision: u64,
@@ -37,9 +56,12 @@
 }
 
 impl EndpointList {
-    /// Reads a JSON value in discovery's form.
-    pub fn read(value: serde_json::Value) -> Result<Self, String> {
-        let raw: RawList = serde_json::from_value(value).map_err(|e| e.to_string())?;
+    /// Reads a JSON value in discovery's form. Entries without a usable address are skipped.
+    ///
+    /// # Errors
+    /// If a field is missing or has another type.
+    pub fn read(value: serde_json::Value) -> Result<Self, EndpointListError> {
+        let raw: RawList = serde_json::from_value(value).map_err(EndpointListError::Malformed)?;
         let mut list = Self {
             revision: raw.revision,
             complete: raw.complete,
@@ -47,39 +69,51 @@
         };
         for entry in raw.members {
             match entry.host_port.parse() {
-                Ok(address) => list.members.push((entry.member(), address)),
+                Ok(address) => list.endpoints.push((entry.endpoint(), address)),
                 Err(_) => list.unusable = Some(format!("'{}' of {}", entry.host_port, entry.id)),
             }
         }
         Ok(list)
     }
 
-    /// Reads the text of an answer.
-    pub fn parse(text: &[u8]) -> Result<Self, String> {
-        Self::read(serde_json::from_slice(text).map_err(|e| e.to_string())?)
+    /// Reads the body of an answer.
+    ///
+    /// # Errors
+    /// If it is not JSON, or as [`EndpointList::read`].
+    pub fn parse(text: &[u8]) -> Result<Self, EndpointListError> {
+        Self::read(serde_json::from_slice(text).map_err(EndpointListError::NotJson)?)
     }
 }
 
 impl RawMember {
-    fn member(&self) -> Endpoint {
-        let started = self.up_since_ms.unwrap_or(0.0) / 1000.0;
+    fn endpoint(&self) -> Endpoint {
         Endpoint {
-            // The id is the same at every balancer and so ranks alike there; the address is not.
+            // All balancers rank by the id, which is the same everywhere; the address may differ between them.
             id: ServerId::of(&self.id),
-            zone: zone_of(self.locality.as_deref()),
-            state: match self.phase.as_str() {
-                "SERVING" => EndpointState::Ready,
-                "DELETED" => EndpointState::Removed,
-                // A phase that is not known yet takes nothing new.
-                _ => EndpointState::Draining,
-            },
-            weight: self.size.unwrap_or(1.0),
-            started: if started.is_finite() {
-                started.max(0.0)
-            } else {
-                0.0
-            },
+            zone: zone_id(self.locality.as_deref()),
+            state: self.state(),
+            weight: self.size.unwrap_or(DEFAULT_WEIGHT),
+            started: self.started(),
             cell: self.cell.unwrap_or(0),
         }
     }
+
+    fn state(&self) -> EndpointState {
+        match self.phase.as_str() {
+            "SERVING" => EndpointState::Ready,
+            "DELETED" => EndpointState::Removed,
+            // A phase added by a later discovery must not get new connections.
+            _ => EndpointState::Draining,
+        }
+    }
+
+    /// When the endpoint started, in seconds; 0 (long ago) where discovery does not say.
+    fn started(&self) -> Time {
+        let started = self.up_since_ms.unwrap_or(0.0) / MILLISECONDS_PER_SECOND;
+        if started.is_finite() {
+            started.max(0.0)
+        } else {
+            0.0
+        }
+    }
 }
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -3,3 +3,4 @@
 pub mod endpoint_list;
 pub mod http;
 pub mod watcher;
+pub mod zone;
--- a/src/discovery/watcher.rs
+++ b/src/discovery/watcher.rs
@@ -131,7 +131,7 @@
         let list = call
             .map_err(|e| e.to_string())
             .and_then(|answer| match answer.status {
-                200 => EndpointList::parse(&answer.body),
+                200 => EndpointList::parse(&answer.body).map_err(|e| e.to_string()),
                 status => Err(format!("status {status}")),
             });
         let list = match list.and_then(|list| plausible(runtime, list, listed)) {
@@ -141,7 +141,7 @@
         tracing::debug!(
             revision = list.revision,
             complete = list.complete,
-            entries = list.members.len(),
+            entries = list.endpoints.len(),
             "a list"
         );
         *listed = Some(list.revision);
@@ -167,7 +167,7 @@
     list: EndpointList,
     listed: &mut Option<u64>,
 ) -> Result<EndpointList, String> {
-    let nobody = list.complete && list.members.is_empty();
+    let nobody = list.complete && list.endpoints.is_empty();
     let odd = match *listed {
         None if !list.complete => "changes where the whole list was asked for",
         Some(last) if list.revision < last => "a list older than the last one",
--- a/src/lifecycle/graceful_shutdown.rs
+++ b/src/lifecycle/graceful_shutdown.rs
@@ -63,7 +63,7 @@
 
 /// Empties the process; returns when it may exit.
 pub async fn run(runtime: Rc<Runtime>, service: &Service) {
-    let longest_wait = duration(runtime.process_config().longest_wait);
+    let longest_wait = duration(runtime.process_config().max_client_wait);
     runtime.shutting_down.set(true);
     service.leave();
     tracing::info!(standing = runtime.request_ids(true).len(), "told to stop");
--- a/src/lifecycle/hot_restart.rs
+++ b/src/lifecycle/hot_restart.rs
@@ -61,7 +61,7 @@
         EndpointList {
             revision: self.revision,
             complete: true,
-            members: self.members,
+            endpoints: self.members,
             unusable: None,
         }
     }
--- a/src/lifecycle/signals.rs
+++ b/src/lifecycle/signals.rs
@@ -91,7 +91,8 @@
 
     fn read(&self) -> Result<(ProcessConfig, Operator), String> {
         let node = ProcessConfig::from_env(LoadReason::Reload)
-            .and_then(|node| node.replace(&self.runtime.process_config()))?;
+            .and_then(|node| node.replace(&self.runtime.process_config()))
+            .map_err(|e| e.to_string())?;
         let operator = read_operator(&self.serve)?;
         let faults = self.operator.fixed(&operator);
         match faults.is_empty() {
--- a/src/lifecycle/startup.rs
+++ b/src/lifecycle/startup.rs
@@ -32,8 +32,12 @@
     };
     let operator = read_operator(&serve);
     log_as(operator.as_ref().map_or(Format::Text, |o| o.log.format));
-    let both =
-        operator.and_then(|operator| Ok((ProcessConfig::from_env(LoadReason::Start)?, operator)));
+    let both = operator.and_then(|operator| {
+        Ok((
+            ProcessConfig::from_env(LoadReason::Start).map_err(|e| e.to_string())?,
+            operator,
+        ))
+    });
     let served = both.and_then(|(node, operator)| {
         // Before anything is opened here: a closed descriptor's number would be given to something of ours.
         let inherited = node
@@ -104,20 +108,20 @@
         None => listener::bind(node.listen)
             .map_err(|e| format!("key 'listen': {}: {e}", node.listen))?,
     };
-    let calls = node.operator.map(listener::bind).transpose();
+    let calls = node.admin_address.map(listener::bind).transpose();
     let calls = calls.map_err(|e| format!("key 'operator': {e}"))?;
     tracing::info!(
         name = node.name,
         address = %node.listen,
-        servers_known = node.known.members.len(),
+        servers_known = node.cached_endpoints.endpoints.len(),
         "listens"
     );
-    let known = std::mem::take(&mut node.known);
+    let known = std::mem::take(&mut node.cached_endpoints);
     let (discovery, watched) = watch::channel(node.discovery);
     let runtime = Rc::new(Runtime::new(node));
     // Versions start from 0: only a node that knows no server asks for the whole list.
     // One that watches for others has to know the whole list too, as discovery has it.
-    let ask_all = known.members.is_empty() || operator.duties.list.is_some();
+    let ask_all = known.endpoints.is_empty() || operator.duties.list.is_some();
     let listed = Some(known.revision).filter(|_| !ask_all);
     let service = Service::start(&runtime, calls).await;
     let listed = match service.resumed() {
--- a/src/protocol/simulator.rs
+++ b/src/protocol/simulator.rs
@@ -3,7 +3,9 @@
 
 use crate::Balancer;
 use crate::api::*;
-use crate::config::{Settings, need, sane, zone_of};
+use crate::config::raw::Settings;
+use crate::config::{BalancerSettings, non_negative, required_field};
+use crate::discovery::zone::zone_id as zone_of;
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD as BASE64;
 use serde::{Deserialize, Serialize};
@@ -179,7 +181,15 @@
     Ok(())
 }
 
-fn time(value: Option<f64>, field: &str) -> Result<Time, String> {
+fn need<T>(value: Option<T>, field: &'static str) -> Result<T, String> {
+    required_field(value, field).map_err(|e| e.to_string())
+}
+
+fn sane(value: f64, field: &'static str) -> Result<f64, String> {
+    non_negative(value, field).map_err(|e| e.to_string())
+}
+
+fn time(value: Option<f64>, field: &'static str) -> Result<Time, String> {
     sane(need(value, field)?, field)
 }
 
@@ -262,11 +272,12 @@
         match raw.kind.0.as_ref() {
             "defineList" => return self.define(raw),
             "spawn" => {
-                let (config, classes) = need(raw.config, "config")?.read()?;
+                let settings = BalancerSettings::try_from(need(raw.config, "config")?)
+                    .map_err(|e| e.to_string())?;
                 let seed = need(raw.random_seed, "randomSeed")?;
                 let instance = Instance {
-                    balancer: Balancer::new(config, seed),
-                    classes,
+                    balancer: Balancer::new(settings.balancer, seed),
+                    classes: settings.class_names,
                 };
                 self.instances.insert(need(raw.who, "who")?, instance);
                 return Ok(());
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -257,7 +257,7 @@
             };
             if line != "PING" {
                 let node = runtime.process_config();
-                return match OpenRequest::parse(&line, &node.classes, node.groups) {
+                return match OpenRequest::parse(&line, &node.class_names, node.groups_enabled) {
                     Ok(opening) => First::OpenRequest(Box::new(opening)),
                     Err(what) => First::Unread(what),
                 };
@@ -284,7 +284,7 @@
     // Nobody is kept longer than its class waits, whatever it says; an open connection has longer.
     let longest = match opening.at {
         Some(_) => REOPEN,
-        None => runtime.process_config().longest_wait,
+        None => runtime.process_config().max_client_wait,
     };
     let request = &mut opening.request;
     request.deadline = runtime.now() + opening.wait.min(longest) - MARGIN;
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -227,8 +227,8 @@
         if kind != UpdateKind::Delta {
             listed.clear();
         }
-        let mut members = Vec::with_capacity(list.members.len());
-        for (raw, address) in list.members {
+        let mut members = Vec::with_capacity(list.endpoints.len());
+        for (raw, address) in list.endpoints {
             outs.listed(raw.id.0);
             let seen = masked(
                 outs,
@@ -261,7 +261,7 @@
         tracing::debug!(
             revision = list.revision,
             complete = list.complete,
-            entries = list.members.len(),
+            entries = list.endpoints.len(),
             "a followed list"
         );
         self.discovery_answered.set(true);
@@ -348,7 +348,7 @@
     /// The descriptors that this process may hold.
     pub fn descriptor_limit(&self) -> usize {
         self.process_config()
-            .sockets
+            .max_descriptors
             .saturating_sub(self.peer_process_descriptors.get())
     }
 
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -1,31 +1,35 @@
-//! What a node reads at its start: defaults, and messages that name the key at fault.
+//! The process configuration: defaults, precedence of the environment, and errors that name the key at fault.
 
-use spanspur::config::{LoadReason, ProcessConfig};
+use spanspur::config::{ConfigError, LoadReason, ProcessConfig};
 
-const WHOLE: &str = include_str!("../examples/config.json");
+const EXAMPLE: &str = include_str!("../examples/config.json");
 
-fn parse(text: &str) -> Result<ProcessConfig, String> {
+fn parse(text: &str) -> Result<ProcessConfig, ConfigError> {
     ProcessConfig::parse(text.as_bytes(), LoadReason::Start, |_| None)
 }
 
 #[test]
-fn the_example_is_read_and_the_environment_goes_before_it() {
-    let node = parse(WHOLE).unwrap_or_else(|e| panic!("{e}"));
-    assert_eq!((node.name.as_str(), node.listen.port()), ("n1", 8000));
+fn the_example_loads_and_the_environment_overrides_it() {
+    let config = parse(EXAMPLE).unwrap_or_else(|e| panic!("{e}"));
+    assert_eq!((config.name.as_str(), config.listen.port()), ("n1", 8000));
     assert_eq!(
-        (node.groups, node.longest_wait, node.sockets),
+        (
+            config.groups_enabled,
+            config.max_client_wait,
+            config.max_descriptors
+        ),
         (true, 2.0, 1024)
     );
-    assert_eq!(node.classes, ["live"]);
-    let bare = WHOLE.replace(r#""limits": {"sockets": 1024},"#, "");
-    let var = |key: &str| (key == "BALANCER_LISTEN").then(|| "127.0.0.2:9".to_owned());
-    let node = ProcessConfig::parse(bare.as_bytes(), LoadReason::Start, var)
+    assert_eq!(config.class_names, ["live"]);
+    let without_limits = EXAMPLE.replace(r#""limits": {"sockets": 1024},"#, "");
+    let variable = |key: &str| (key == "BALANCER_LISTEN").then(|| "127.0.0.2:9".to_owned());
+    let config = ProcessConfig::parse(without_limits.as_bytes(), LoadReason::Start, variable)
         .unwrap_or_else(|e| panic!("{e}"));
-    assert_eq!((node.listen.port(), node.sockets), (9, 1024));
+    assert_eq!((config.listen.port(), config.max_descriptors), (9, 1024));
 }
 
 #[test]
-fn a_message_names_the_key_at_fault() {
+fn each_error_names_the_key_at_fault() {
     let faults = [
         ("127.0.0.1:8000", "nowhere", "'listen' is 'nowhere'"),
         (r#""discovery""#, r#""discover""#, "'discovery' is missing"),
@@ -49,12 +53,14 @@
         ("10.0", r#""soon""#, "'settings': invalid type"),
         ("{\n", "", "BALANCER_CONFIG"),
     ];
-    for (was, is, what) in faults {
-        assert!(WHOLE.contains(was), "{was}");
-        let error = parse(&WHOLE.replacen(was, is, 1)).err();
+    for (original, replacement, expected) in faults {
+        assert!(EXAMPLE.contains(original), "{original}");
+        let error = parse(&EXAMPLE.replacen(original, replacement, 1))
+            .err()
+            .map(|e| e.to_string());
         assert!(
-            error.as_ref().is_some_and(|e| e.contains(what)),
-            "{is}: {error:?}"
+            error.as_ref().is_some_and(|e| e.contains(expected)),
+            "{replacement}: {error:?}"
         );
     }
 }
