--- a/src/bin/spanspur-simulator-adapter.rs
+++ b/src/bin/spanspur-simulator-adapter.rs
@@ -1,16 +1,15 @@
-//! The bench's adapter: batches on standard input, replies on standard output.
+//! The simulator's adapter: batches on standard input, replies on standard output.
 
+use spanspur::protocol::simulator;
 use std::io::{self, BufWriter};
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    match spanspur::protocol::simulator::serve(
-        io::stdin().lock(),
-        BufWriter::new(io::stdout().lock()),
-    ) {
+    let output = BufWriter::new(io::stdout().lock());
+    match simulator::serve(io::stdin().lock(), output) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            eprintln!("spanspur-benchlink: {what}");
+        Err(error) => {
+            eprintln!("spanspur-benchlink: {error}");
             ExitCode::FAILURE
         }
     }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,4 +1,4 @@
-//! The protocols at the edge. Each maps its own names to the terms of the decisions once; neither decides anything.
+//! The protocols at the edge. Each maps its own names to the terms of [`crate::api`] once; neither decides anything.
 
 pub mod client;
 pub mod simulator;
--- /dev/null
+++ b/src/protocol/simulator/event.rs
@@ -0,0 +1,236 @@
+//! From the wire's events to [`Event`]s.
+
+use super::adapter::{Endpoints, Instance};
+use super::error::EventError;
+use super::raw::{Entry, Raw, Text};
+use crate::api::{
+    AttemptEnded, Endpoint, EndpointState, Event, Key, Outcome, Request, RequestId, ServerId, Time,
+    UpdateKind,
+};
+use crate::config::{FieldError, non_negative, required_field};
+use crate::discovery::zone::zone_id;
+use base64::Engine as _;
+use base64::engine::general_purpose::STANDARD as BASE64;
+use std::borrow::Cow;
+
+/// The largest token of a timer.
+const MAX_TAG: u64 = 1 << 63;
+/// Digits of a request's id.
+const REQUEST_ID_DIGITS: usize = 16;
+const HEXADECIMAL: u32 = 16;
+const MILLISECONDS_PER_SECOND: f64 = 1000.0;
+
+/// Bits of `opts` in a request.
+mod option_bits {
+    /// `cost` holds a load hint.
+    pub const LOAD_HINT: u64 = 1;
+    /// The request is in the middle of a flow.
+    pub const MID_FLOW: u64 = 8;
+    /// The client reconnects.
+    pub const RECONNECT: u64 = 16;
+}
+
+/// Values of `topic` in a signal.
+mod topics {
+    /// The load of a connection.
+    pub const LOAD: u64 = 1;
+    /// The latency at a server, in milliseconds.
+    pub const LATENCY: u64 = 2;
+}
+
+/// The event of an instance; `None` for one that is checked and has no meaning for the balancer.
+pub(super) fn translate(
+    mut raw: Raw,
+    instance: &Instance,
+    endpoints: &mut Endpoints,
+) -> Result<Option<Event>, EventError> {
+    let kind = std::mem::replace(&mut raw.kind, Text(Cow::Borrowed("")));
+    let event = match kind.0.as_ref() {
+        "registry" => endpoints_updated(&raw, endpoints)?,
+        "ask" => {
+            let id = request_id(raw.id.take())?;
+            Event::Request(request(&raw, id, instance)?)
+        }
+        "takenOver" => {
+            let id = request_id(raw.id.take())?;
+            let request = request(&raw, id, instance)?;
+            Event::AlreadyEstablished(request, server_id(&raw, endpoints)?)
+        }
+        "underWay" => established(raw, endpoints)?,
+        "done" => Event::AttemptEnded(attempt_ended(raw, endpoints)?),
+        "signal" => report(raw, endpoints)?,
+        "cancelledByClient" => Event::ClientDisconnected(request_id(raw.id)?),
+        "fired" => Event::Timer(timer_token(raw.tag)?),
+        "probed" => {
+            check_probe(raw, endpoints)?;
+            return Ok(None);
+        }
+        "memo" => Event::PeerMessage(peer_message(raw)?),
+        other => {
+            return Err(EventError::UnknownKind {
+                kind: other.to_owned(),
+            });
+        }
+    };
+    Ok(Some(event))
+}
+
+/// The endpoint that an entry of a list describes.
+pub(super) fn endpoint(id: ServerId, entry: &Entry) -> Result<Endpoint, EventError> {
+    Ok(Endpoint {
+        id,
+        zone: zone_id(entry.hall.as_deref()),
+        state: endpoint_state(entry)?,
+        weight: entry.size.unwrap_or(1.0),
+        started: non_negative(entry.came_up.unwrap_or(0.0), "cameUp")?,
+        cell: entry.pod.unwrap_or(0),
+    })
+}
+
+fn endpoint_state(entry: &Entry) -> Result<EndpointState, EventError> {
+    match entry.readiness {
+        0 => Ok(EndpointState::Removed),
+        1 => Ok(EndpointState::Ready),
+        2 => Ok(EndpointState::Draining),
+        readiness => Err(EventError::UnknownReadiness {
+            host: entry.host.clone(),
+            readiness,
+        }),
+    }
+}
+
+fn endpoints_updated(raw: &Raw, endpoints: &Endpoints) -> Result<Event, EventError> {
+    let kind = match required_field(raw.mode, "mode")? {
+        0 => UpdateKind::Delta,
+        1 => UpdateKind::Full,
+        2 => UpdateKind::Cached,
+        3 => return Ok(Event::DiscoveryFailed),
+        mode => return Err(EventError::UnknownUpdateKind { mode }),
+    };
+    required_field(raw.version, "gen")?;
+    let slot = required_field(raw.slot, "slot")?;
+    let list = endpoints
+        .lists
+        .get(&slot)
+        .ok_or(EventError::UndefinedList { slot })?;
+    Ok(Event::EndpointsUpdated(kind, list.clone()))
+}
+
+fn request(raw: &Raw, id: RequestId, instance: &Instance) -> Result<Request, EventError> {
+    let options = raw.opts.unwrap_or(0);
+    let has = |bit: u64| options & bit != 0;
+    Ok(Request {
+        id,
+        class: class_index(raw, instance)?,
+        key: raw.partition_key.as_ref().map(|key| Key::of(&key.0)),
+        group: raw.team_id.as_ref().map(|group| Key::of(&group.0)),
+        deadline: required_time(raw.due, "due")?,
+        load_hint: raw.cost.filter(|_| has(option_bits::LOAD_HINT)),
+        mid_flow: has(option_bits::MID_FLOW),
+        is_reconnect: has(option_bits::RECONNECT),
+    })
+}
+
+fn class_index(raw: &Raw, instance: &Instance) -> Result<usize, EventError> {
+    let class = &required_field(raw.class.as_ref(), "class")?.0;
+    let place = instance.class_names.iter().position(|name| name == class);
+    place.ok_or_else(|| EventError::UnknownClass {
+        class: class.to_string(),
+    })
+}
+
+fn established(raw: Raw, endpoints: &mut Endpoints) -> Result<Event, EventError> {
+    let server = server_id(&raw, endpoints)?;
+    required_field(raw.shot, "shot")?;
+    required_time(raw.time_taken, "timeTaken")?;
+    Ok(Event::Established(request_id(raw.id)?, server))
+}
+
+fn attempt_ended(raw: Raw, endpoints: &mut Endpoints) -> Result<AttemptEnded, EventError> {
+    required_time(raw.time_taken, "timeTaken")?;
+    Ok(AttemptEnded {
+        server: server_id(&raw, endpoints)?,
+        id: request_id(raw.id)?,
+        attempt: required_field(raw.shot, "shot")?,
+        outcome: outcome(raw.status)?,
+        settled: required_field(raw.settled, "settled")?,
+    })
+}
+
+fn report(raw: Raw, endpoints: &mut Endpoints) -> Result<Event, EventError> {
+    let server = server_id(&raw, endpoints)?;
+    let id = request_id(raw.id)?;
+    required_field(raw.shot, "shot")?;
+    let level = required_time(raw.level, "level")?;
+    match required_field(raw.topic, "topic")? {
+        topics::LOAD => Ok(Event::LoadReport(id, level)),
+        topics::LATENCY => Ok(Event::LatencyReport(
+            server,
+            level / MILLISECONDS_PER_SECOND,
+        )),
+        topic => Err(EventError::UnknownTopic { topic }),
+    }
+}
+
+fn timer_token(tag: Option<u64>) -> Result<u64, EventError> {
+    let tag = required_field(tag, "tag")?;
+    if tag > MAX_TAG {
+        return Err(EventError::TagOutOfRange { tag });
+    }
+    Ok(tag)
+}
+
+/// The balancer sends no health checks over this protocol: the answer to one is checked only.
+fn check_probe(raw: Raw, endpoints: &mut Endpoints) -> Result<(), EventError> {
+    server_id(&raw, endpoints)?;
+    outcome(raw.status)?;
+    required_time(raw.time_taken, "timeTaken")?;
+    Ok(())
+}
+
+fn peer_message(raw: Raw) -> Result<Vec<u8>, EventError> {
+    required_field(raw.sender, "sender")?;
+    let payload = required_field(raw.payload, "payload")?.0;
+    BASE64
+        .decode(payload.as_bytes())
+        .map_err(EventError::InvalidPayload)
+}
+
+fn server_id(raw: &Raw, endpoints: &mut Endpoints) -> Result<ServerId, EventError> {
+    let host = required_field(raw.host.as_ref(), "host")?;
+    endpoints.server_id(&host.0)
+}
+
+/// Ids of requests are 16 lower-case hexadecimal digits, and go back unaltered.
+fn request_id(text: Option<Text>) -> Result<RequestId, EventError> {
+    let text = required_field(text, "ref")?.0;
+    let is_digit = |byte| matches!(byte, b'0'..=b'9' | b'a'..=b'f');
+    let is_plain = text.len() == REQUEST_ID_DIGITS && text.bytes().all(is_digit);
+    match u64::from_str_radix(&text, HEXADECIMAL) {
+        Ok(id) if is_plain => Ok(RequestId(id)),
+        _ => Err(EventError::InvalidRequestId {
+            value: text.into_owned(),
+        }),
+    }
+}
+
+fn outcome(status: Option<Text>) -> Result<Outcome, EventError> {
+    match required_field(status, "status")?.0.as_ref() {
+        "ok" => Ok(Outcome::Success),
+        "error" => Ok(Outcome::Error),
+        "full" => Ok(Outcome::Rejected),
+        "timeout" => Ok(Outcome::Timeout),
+        "connect_failed" => Ok(Outcome::ConnectFailed),
+        "reset" => Ok(Outcome::Reset),
+        "cancelled" => Ok(Outcome::Cancelled),
+        "moot" => Ok(Outcome::NotSent),
+        other => Err(EventError::UnknownOutcome {
+            value: other.to_owned(),
+        }),
+    }
+}
+
+/// A time or figure that has to be there, finite and not negative.
+fn required_time(value: Option<f64>, field: &'static str) -> Result<Time, FieldError> {
+    non_negative(required_field(value, field)?, field)
+}
--- a/tests/wire.rs
+++ b/tests/simulator_protocol.rs
@@ -1,4 +1,4 @@
-//! The built adapter, driven over its standard input and output.
+//! The simulator's protocol, driven over the standard input and output of the built adapter.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -29,20 +29,20 @@
     )
 }
 
-/// The run must end with one plain line that names message `number` and says `what`.
-fn refused(lines: &[String], number: usize, what: &str) {
+/// The run must fail with one line that names message `number` and contains `expected`.
+fn assert_rejected(lines: &[String], number: usize, expected: &str) {
     let output = run(lines);
     let error = String::from_utf8_lossy(&output.stderr);
     assert!(!output.status.success(), "accepted: {lines:?}");
     assert_eq!(error.lines().count(), 1, "{error}");
     assert!(
-        error.contains(&format!("message {number}:")) && error.contains(what),
-        "{error} lacks '{what}'"
+        error.contains(&format!("message {number}:")) && error.contains(expected),
+        "{error} lacks '{expected}'"
     );
 }
 
 #[test]
-fn a_request_is_sent_and_the_end_of_input_is_a_clean_exit() {
+fn a_request_starts_an_attempt_and_the_end_of_input_is_a_clean_exit() {
     let output = run(&[
         batch(1, &[]),
         batch(2, &[SPAWN, LIST, CACHED]),
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn odd_but_legal_values_are_served() {
+fn unusual_but_valid_values_are_accepted() {
     let zero = SPAWN.replace(
         r#""limits":{"maxAttempts":3}"#,
         r#""limits":{"maxAttempts":0},"rules":{"warmUp":0,"fall":0},"domain":null,"zones":[]"#,
@@ -86,79 +86,79 @@
 }
 
 #[test]
-fn malformed_input_ends_the_run_with_a_plain_message() {
+fn malformed_input_ends_the_run_with_one_line_that_names_the_message() {
     let up = batch(1, &[SPAWN, LIST, CACHED]);
     let after = |event: String| vec![up.clone(), batch(2, &[&event])];
-    refused(&["nonsense".into()], 1, "not a batch");
-    refused(&[up.clone(), "{}".into()], 2, "wall");
-    refused(
+    assert_rejected(&["nonsense".into()], 1, "not a batch");
+    assert_rejected(&[up.clone(), "{}".into()], 2, "wall");
+    assert_rejected(
         &[up.clone(), r#"{"wall":-1,"n":2,"happened":[]}"#.into()],
         2,
         "'wall'",
     );
-    refused(&after(ASK.replace("ask", "dance")), 2, "'dance' is unknown");
-    refused(
+    assert_rejected(&after(ASK.replace("ask", "dance")), 2, "'dance' is unknown");
+    assert_rejected(
         &after(ASK.replace(r#""who":3"#, r#""who":4"#)),
         2,
         "instance 4 is unknown",
     );
-    refused(
+    assert_rejected(
         &after(ASK.replace(r#""due":9.5,"#, "")),
         2,
         "'due' is missing",
     );
-    refused(&after(ASK.replace("9.5", r#""soon""#)), 2, "expected f64");
-    refused(&after(ASK.replace("9.5", "-9.5")), 2, "'due' is -9.5");
-    refused(&after(ASK.replace("9.5", "1e999")), 2, "not a batch");
-    refused(
+    assert_rejected(&after(ASK.replace("9.5", r#""soon""#)), 2, "expected f64");
+    assert_rejected(&after(ASK.replace("9.5", "-9.5")), 2, "'due' is -9.5");
+    assert_rejected(&after(ASK.replace("9.5", "1e999")), 2, "not a batch");
+    assert_rejected(
         &after(ASK.replace(r#""class":"c""#, r#""class":"d""#)),
         2,
         "class 'd' does not exist",
     );
-    refused(
+    assert_rejected(
         &after(ASK.replace("00000000000000aa", "aa")),
         2,
         "not 16 hex digits",
     );
-    refused(
+    assert_rejected(
         &after(CACHED.replace(r#""slot":0"#, r#""slot":5"#)),
         2,
         "list 5 was never defined",
     );
-    refused(
+    assert_rejected(
         &after(CACHED.replace(r#""mode":2"#, r#""mode":8"#)),
         2,
         "'mode' is 8",
     );
-    refused(
+    assert_rejected(
         &after(LIST.replace(r#""readiness":1"#, r#""readiness":7"#)),
         2,
         "readiness 7 is unknown",
     );
-    refused(
+    assert_rejected(
         &after(LIST.replace(r#""slot":0"#, r#""slot":16"#)),
         2,
         "'slot' is 16",
     );
-    refused(
+    assert_rejected(
         &after(LIST.replace(r#""host":"10.0.0.1:80","#, "")),
         2,
         "host",
     );
     let done = r#"{"kind":"done","who":3,"ref":"00000000000000aa","status":"odd","settled":false,"timeTaken":0.1,"shot":0,"host":"10.0.0.1:80","load":null}"#;
-    refused(&after(done.into()), 2, "'odd', which is no outcome");
-    refused(
+    assert_rejected(&after(done.into()), 2, "'odd', which is no outcome");
+    assert_rejected(
         &after(done.replace("odd", "ok").replace(r#""settled":false,"#, "")),
         2,
         "'settled' is missing",
     );
-    refused(
+    assert_rejected(
         &after(r#"{"kind":"memo","who":3,"sender":2,"payload":"***"}"#.into()),
         2,
         "'payload'",
     );
-    refused(&after(r#"{"kind":"signal","who":3,"ref":"00000000000000aa","topic":9,"host":"h","shot":0,"level":1}"#.into()), 2, "'topic' is 9");
-    refused(
+    assert_rejected(&after(r#"{"kind":"signal","who":3,"ref":"00000000000000aa","topic":9,"host":"h","shot":0,"level":1}"#.into()), 2, "'topic' is 9");
+    assert_rejected(
         &[batch(
             1,
             &[&SPAWN.replace(
@@ -169,12 +169,12 @@
         1,
         "no classes",
     );
-    refused(
+    assert_rejected(
         &[batch(1, &[&SPAWN.replace("free", "maybe")])],
         1,
         "semantics 'maybe' are unknown",
     );
-    refused(
+    assert_rejected(
         &[batch(1, &[&SPAWN.replace("0.3", "-0.3")])],
         1,
         "'onTime' is -0.3",
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn an_instance_starts_anew_after_its_exit() {
+fn an_instance_can_be_spawned_again_after_its_exit() {
     let exit = r#"{"kind":"exit","who":3}"#;
     let output = run(&[batch(
         1,
@@ -199,7 +199,7 @@
             .count(),
         2
     );
-    refused(
+    assert_rejected(
         &[batch(1, &[SPAWN, exit]), batch(2, &[exit])],
         2,
         "instance 3 is unknown",
