--- /dev/null
+++ b/src/protocol/client/line_reader.rs
@@ -0,0 +1,105 @@
+//! Line framing on a stream.
+
+use std::io;
+use thiserror::Error;
+use tokio::net::TcpStream;
+
+/// The longest line in bytes, its end included.
+pub const MAX_LINE: usize = 4096;
+
+/// A line that cannot be read.
+#[derive(Debug, Error)]
+pub enum LineError {
+    /// The peer has sent [`MAX_LINE`] bytes without being read to the end of a line.
+    #[error("the line is too long")]
+    TooLong,
+    /// The line is not UTF-8, has control characters, or ends in LF alone.
+    #[error("the line is not plain text ending in CRLF")]
+    NotPlainText,
+    /// The stream fails.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+}
+
+/// Reads lines from a stream and keeps what came after them. Its futures may be dropped at any await point without
+/// loss.
+#[derive(Default)]
+pub struct LineReader {
+    buffer: Vec<u8>,
+}
+
+impl From<Vec<u8>> for LineReader {
+    /// A reader that goes on after bytes that were read elsewhere.
+    fn from(buffer: Vec<u8>) -> Self {
+        Self { buffer }
+    }
+}
+
+impl LineReader {
+    /// Reads more bytes into the buffer; `Ok(false)` is the end of the stream.
+    ///
+    /// # Errors
+    /// If the buffer is full or the stream fails.
+    pub async fn read_more(&mut self, stream: &TcpStream) -> Result<bool, LineError> {
+        loop {
+            // A peer that keeps sending before its turn loses its connection; it does not get more memory.
+            if self.buffer.len() >= MAX_LINE {
+                return Err(LineError::TooLong);
+            }
+            stream.readable().await?;
+            let mut chunk = [0; MAX_LINE];
+            let free = MAX_LINE - self.buffer.len();
+            match stream.try_read(&mut chunk[..free]) {
+                Ok(count) => {
+                    self.buffer.extend_from_slice(&chunk[..count]);
+                    return Ok(count > 0);
+                }
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+                Err(error) => return Err(error.into()),
+            }
+        }
+    }
+
+    /// The next line without its end; `None` at the end of the stream.
+    ///
+    /// # Errors
+    /// If the line is too long or not plain text, or the stream fails.
+    pub async fn next_line(&mut self, stream: &TcpStream) -> Result<Option<String>, LineError> {
+        loop {
+            if let Some(line) = self.take_line()? {
+                return Ok(Some(line));
+            }
+            if !self.read_more(stream).await? {
+                return Ok(None);
+            }
+        }
+    }
+
+    /// A copy of the bytes that were read and not taken as a line.
+    pub fn buffered(&self) -> Vec<u8> {
+        self.buffer.clone()
+    }
+
+    /// No bytes came after the lines taken.
+    pub fn is_empty(&self) -> bool {
+        self.buffer.is_empty()
+    }
+
+    /// The bytes that came after the lines taken.
+    pub fn into_buffered(self) -> Vec<u8> {
+        self.buffer
+    }
+
+    fn take_line(&mut self) -> Result<Option<String>, LineError> {
+        let Some(end) = self.buffer.iter().position(|&byte| byte == b'\n') else {
+            return Ok(None);
+        };
+        let line: Vec<u8> = self.buffer.drain(..=end).collect();
+        let text = line
+            .strip_suffix(b"\r\n")
+            .and_then(|line| str::from_utf8(line).ok())
+            .filter(|text| !text.contains(|c: char| c.is_control()))
+            .ok_or(LineError::NotPlainText)?;
+        Ok(Some(text.to_owned()))
+    }
+}
--- /dev/null
+++ b/src/protocol/client/open_request.rs
@@ -0,0 +1,205 @@
+//! The first line of a client: `OPEN ID KEY FIELDS`, the fields separated by commas.
+
+use crate::api::{Key, Request, RequestId, ServerId, Time};
+use crate::protocol::request_id::parse_request_id;
+use std::ops::Range;
+use thiserror::Error;
+
+/// The longest wait of a client, in milliseconds. It also bounds what a client can do to the clock's arithmetic.
+const MAX_WAIT_MS: u64 = 600_000;
+const MILLISECONDS_PER_SECOND: f64 = 1000.0;
+
+/// A first line that cannot be read.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("{}", self.as_str())]
+pub enum OpenRequestError {
+    /// Another word than `OPEN`, or another number of words.
+    NotOpen,
+    /// The id is not 16 lower-case hexadecimal digits.
+    InvalidId,
+    /// The key is empty, or the line is not ASCII.
+    InvalidKey,
+    /// A field has no `=`.
+    FieldWithoutValue,
+    /// A field has nothing after its `=`.
+    EmptyField,
+    /// A field that may stand once stands twice.
+    DuplicateField,
+    /// The class is not among those configured.
+    UnknownClass,
+    /// The wait is not a whole number.
+    InvalidWait,
+    /// There is no class.
+    MissingClass,
+    /// There is no wait.
+    MissingWait,
+}
+
+impl OpenRequestError {
+    /// The error's text.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::NotOpen => "not OPEN with an id, a key and fields",
+            Self::InvalidId => "the id is not 16 hex digits",
+            Self::InvalidKey => "the key is missing, or the line is not ASCII",
+            Self::FieldWithoutValue => "a field has no '='",
+            Self::EmptyField => "a field is empty",
+            Self::DuplicateField => "a field is there twice",
+            Self::UnknownClass => "the class is unknown",
+            Self::InvalidWait => "'d' is not a whole number",
+            Self::MissingClass => "the class is missing",
+            Self::MissingWait => "'d' is missing",
+        }
+    }
+}
+
+/// The first line of a client that opens a connection.
+#[derive(Debug)]
+pub struct OpenRequest {
+    /// The request; its `deadline` is left to the caller, who has the clock.
+    pub request: Request,
+    /// How long the client waits for its answer, in seconds.
+    pub wait: Time,
+    /// The server at which the connection is established already.
+    pub established_at: Option<ServerId>,
+    /// The line up to the digits of the wait, and after them.
+    before_wait: String,
+    after_wait: String,
+}
+
+impl OpenRequest {
+    /// Parses a line without its end. `groups_enabled` is whether connections belong to groups here.
+    ///
+    /// # Errors
+    /// The first fault of the line.
+    pub fn parse(
+        line: &str,
+        class_names: &[String],
+        groups_enabled: bool,
+    ) -> Result<Self, OpenRequestError> {
+        let words: Vec<&str> = line.split(' ').collect();
+        let ["OPEN", id, key, fields] = words[..] else {
+            return Err(OpenRequestError::NotOpen);
+        };
+        let id = parse_request_id(id).ok_or(OpenRequestError::InvalidId)?;
+        if key.is_empty() || !line.is_ascii() {
+            return Err(OpenRequestError::InvalidKey);
+        }
+        let mut parser = FieldParser::new(id, class_names, groups_enabled);
+        let mut offset = line.len() - fields.len();
+        for field in fields.split(',') {
+            parser.parse_field(field, offset)?;
+            offset += field.len() + ",".len();
+        }
+        let mut request = parser.request;
+        request.key = Some(Key::of(key));
+        request.class = parser.class.ok_or(OpenRequestError::MissingClass)?;
+        let wait = parser.wait.ok_or(OpenRequestError::MissingWait)?;
+        Ok(Self {
+            request,
+            wait: wait.milliseconds as f64 / MILLISECONDS_PER_SECOND,
+            established_at: parser.established_at,
+            before_wait: line[..wait.digits.start].to_owned(),
+            after_wait: line[wait.digits.end..].to_owned(),
+        })
+    }
+
+    /// The line for a stream server: unchanged, but for how long this balancer will wait.
+    pub fn line_for_backend(&self, wait_ms: u64) -> String {
+        format!("{}{wait_ms}{}\r\n", self.before_wait, self.after_wait)
+    }
+}
+
+/// The wait of a client, and where its digits stand in the line.
+struct WaitField {
+    milliseconds: u64,
+    digits: Range<usize>,
+}
+
+/// What the fields of a line have said so far.
+struct FieldParser<'a> {
+    class_names: &'a [String],
+    groups_enabled: bool,
+    request: Request,
+    class: Option<usize>,
+    wait: Option<WaitField>,
+    established_at: Option<ServerId>,
+}
+
+impl<'a> FieldParser<'a> {
+    fn new(id: RequestId, class_names: &'a [String], groups_enabled: bool) -> Self {
+        Self {
+            class_names,
+            groups_enabled,
+            request: Request::new(id, 0, 0.0),
+            class: None,
+            wait: None,
+            established_at: None,
+        }
+    }
+
+    /// Takes the field that begins at byte `offset` of the line. Fields that are not known pass unread to the stream
+    /// server.
+    fn parse_field(&mut self, field: &str, offset: usize) -> Result<(), OpenRequestError> {
+        let (name, value) = field
+            .split_once('=')
+            .ok_or(OpenRequestError::FieldWithoutValue)?;
+        if value.is_empty() {
+            return Err(OpenRequestError::EmptyField);
+        }
+        match name {
+            "c" => {
+                let class = self.class_index(value)?;
+                set_once(&mut self.class, class)
+            }
+            "d" => {
+                let wait = parse_wait(value, offset + "d=".len())?;
+                set_once(&mut self.wait, wait)
+            }
+            "g" if self.groups_enabled => set_once(&mut self.request.group, Key::of(value)),
+            "at" => set_once(&mut self.established_at, ServerId::of(value)),
+            "again" => {
+                self.request.is_reconnect = value == "1";
+                Ok(())
+            }
+            "h" => {
+                self.request.load_hint = parse_load_hint(value);
+                Ok(())
+            }
+            _ => Ok(()),
+        }
+    }
+
+    fn class_index(&self, name: &str) -> Result<usize, OpenRequestError> {
+        self.class_names
+            .iter()
+            .position(|class| class == name)
+            .ok_or(OpenRequestError::UnknownClass)
+    }
+}
+
+fn set_once<T>(field: &mut Option<T>, value: T) -> Result<(), OpenRequestError> {
+    match field.replace(value) {
+        None => Ok(()),
+        Some(_) => Err(OpenRequestError::DuplicateField),
+    }
+}
+
+/// Parses the wait whose digits begin at byte `start` of the line.
+fn parse_wait(value: &str, start: usize) -> Result<WaitField, OpenRequestError> {
+    // `u64::from_str` alone would take a sign too.
+    let is_number = value.bytes().all(|byte| byte.is_ascii_digit());
+    let milliseconds = value.parse::<u64>().ok().filter(|_| is_number);
+    Ok(WaitField {
+        milliseconds: milliseconds
+            .ok_or(OpenRequestError::InvalidWait)?
+            .min(MAX_WAIT_MS),
+        digits: start..start + value.len(),
+    })
+}
+
+/// A hint that is no load is ignored: it is the client's own guess.
+fn parse_load_hint(value: &str) -> Option<f64> {
+    let hint = value.parse::<f64>().ok();
+    hint.filter(|hint| hint.is_finite() && *hint >= 0.0)
+}
--- a/src/protocol/simulator/event.rs
+++ b/src/protocol/simulator/event.rs
@@ -9,15 +9,13 @@
 };
 use crate::config::{FieldError, non_negative, required_field};
 use crate::discovery::zone::zone_id;
+use crate::protocol::request_id::parse_request_id;
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD as BASE64;
 use std::borrow::Cow;
 
 /// The largest token of a timer.
 const MAX_TAG: u64 = 1 << 63;
-/// Digits of a request's id.
-const REQUEST_ID_DIGITS: usize = 16;
-const HEXADECIMAL: u32 = 16;
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
 
 /// Bits of `opts` in a request.
@@ -201,17 +199,11 @@
     endpoints.server_id(&host.0)
 }
 
-/// Ids of requests are 16 lower-case hexadecimal digits, and go back unaltered.
 fn request_id(text: Option<Text>) -> Result<RequestId, EventError> {
     let text = required_field(text, "ref")?.0;
-    let is_digit = |byte| matches!(byte, b'0'..=b'9' | b'a'..=b'f');
-    let is_plain = text.len() == REQUEST_ID_DIGITS && text.bytes().all(is_digit);
-    match u64::from_str_radix(&text, HEXADECIMAL) {
-        Ok(id) if is_plain => Ok(RequestId(id)),
-        _ => Err(EventError::InvalidRequestId {
-            value: text.into_owned(),
-        }),
-    }
+    parse_request_id(&text).ok_or_else(|| EventError::InvalidRequestId {
+        value: text.into_owned(),
+    })
 }
 
 fn outcome(status: Option<Text>) -> Result<Outcome, EventError> {
--- a/src/protocol/simulator/step.rs
+++ b/src/protocol/simulator/step.rs
@@ -2,7 +2,7 @@
 
 use super::error::EventError;
 use super::raw::Step;
-use crate::api::{Action, RequestId, ServerId};
+use crate::api::{Action, ServerId};
 use std::collections::HashMap;
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
     Ok(match action {
         Action::StartAttempt { id, server, until } => Step::Relay {
             who,
-            id: hexadecimal(id),
+            id: id.to_string(),
             host: names
                 .get(&server)
                 .cloned()
@@ -24,21 +24,21 @@
         },
         Action::Reject { id, retry_after } => Step::Shed {
             who,
-            id: hexadecimal(id),
+            id: id.to_string(),
             hold_off: retry_after,
         },
         Action::Fail(id) => Step::FinishError {
             who,
-            id: hexadecimal(id),
+            id: id.to_string(),
         },
         Action::CancelAttempt { id, attempt } => Step::Withdraw {
             who,
-            id: hexadecimal(id),
+            id: id.to_string(),
             shot: attempt,
         },
         Action::Migrate(id) => Step::GoAway {
             who,
-            id: hexadecimal(id),
+            id: id.to_string(),
         },
         Action::PollDiscovery => Step::Track { who, want: true },
         Action::SetTimer { after, token } => Step::SetAlarm {
@@ -48,7 +48,3 @@
         },
     })
 }
-
-fn hexadecimal(id: RequestId) -> String {
-    format!("{:016x}", id.0)
-}
--- a/src/proxy/attempt.rs
+++ b/src/proxy/attempt.rs
@@ -1,7 +1,7 @@
 //! A fetch: one attempt at one backend, from connecting to its first line.
 
 use crate::api::{Outcome, ServerId, Time};
-use crate::protocol::client::{Lines, first_answer};
+use crate::protocol::client::{LineReader, check_first_answer};
 use crate::runtime::{Runtime, duration};
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
@@ -62,15 +62,15 @@
     if stream.set_nodelay(true).is_err() || stream.write_all(line.as_bytes()).await.is_err() {
         return Err(Outcome::ConnectFailed);
     }
-    let mut lines = Lines::default();
-    match timeout_at(end, lines.next(&stream)).await {
+    let mut lines = LineReader::default();
+    match timeout_at(end, lines.next_line(&stream)).await {
         Err(_) => Err(Outcome::Timeout),
         Ok(Ok(Some(answer))) => {
-            first_answer(&answer)?;
+            check_first_answer(&answer)?;
             Ok(Backend {
                 stream,
                 answer,
-                rest: lines.rest(),
+                rest: lines.into_buffered(),
             })
         }
         Ok(_) => Err(Outcome::Reset),
--- a/src/proxy/relay.rs
+++ b/src/proxy/relay.rs
@@ -4,7 +4,7 @@
 use crate::api::{AttemptEnded, Event, Outcome, Request, RequestId, ServerId};
 use crate::invariants;
 use crate::lifecycle::hot_restart::TransferredConnection;
-use crate::protocol::client::{MAX_LINE, Said};
+use crate::protocol::client::{BackendLine, MAX_LINE};
 use crate::proxy::attempt::Backend;
 use crate::runtime::{Command, Runtime, duration};
 use serde::{Deserialize, Serialize};
@@ -450,15 +450,15 @@
                 asked_ago = ?self.asked.front().map(Instant::elapsed),
                 "a backend said"
             );
-            match Said::parse(line) {
-                Said::Load(figure) => {
+            match BackendLine::parse(line) {
+                BackendLine::Load(figure) => {
                     let first = !std::mem::replace(&mut self.reported, true);
                     self.runtime
                         .report_figure(self.id, self.server, figure, first);
                 }
-                Said::Bye => self.last_word = Some(Outcome::Success),
-                Said::Move => self.last_word = Some(Outcome::Cancelled),
-                Said::Reply => {
+                BackendLine::Bye => self.last_word = Some(Outcome::Success),
+                BackendLine::Move => self.last_word = Some(Outcome::Cancelled),
+                BackendLine::Reply => {
                     if let Some(asked) = self.asked.pop_front() {
                         let took = self.heard - asked;
                         self.runtime
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -3,7 +3,7 @@
 use crate::api::{AttemptEnded, Event, Outcome, Request, ServerId, Time};
 use crate::invariants;
 use crate::lifecycle::hot_restart::{self, TransferredConnection};
-use crate::protocol::client::{Lines, MAX_LINE, OpenRequest};
+use crate::protocol::client::{LineError, LineReader, MAX_LINE, OpenRequest};
 use crate::proxy::attempt::{Backend, Kind, fetch};
 use crate::proxy::connection_limit::ConnectionPermit;
 use crate::proxy::relay::{EstablishedConnection, discard, relay, resume, say_last};
@@ -65,7 +65,7 @@
             Ok(_) = ending.wait_for(|ending| *ending) => break First::Late,
             giving = hot_restart::giving(&runtime), if !keep => {
                 let left = (reader.end - Instant::now()).as_secs_f64();
-                let handed = TransferredConnection::Reading(reader.lines.read(), left);
+                let handed = TransferredConnection::Reading(reader.lines.buffered(), left);
                 if giving.give(handed, &[client.as_fd()]).await {
                     return;
                 }
@@ -220,7 +220,7 @@
 
 /// What a client has said so far, before it has asked for a connection.
 pub struct Reader {
-    lines: Lines,
+    lines: LineReader,
     end: Instant,
     counted: Option<Counted>,
 }
@@ -234,7 +234,7 @@
     /// These bytes said to another process of this balancer, and so much time left.
     pub fn after(runtime: &Rc<Runtime>, said: Vec<u8>, left: Duration) -> Self {
         Self {
-            lines: Lines::from(said),
+            lines: LineReader::from(said),
             end: Instant::now() + left,
             counted: Some(Counted::new(runtime, |runtime| {
                 &runtime.clients_without_request
@@ -246,10 +246,10 @@
     /// sends more does not speak this protocol. Safe to drop halfway.
     async fn first_line(&mut self, runtime: &Rc<Runtime>, client: &TcpStream) -> First {
         loop {
-            let line = match timeout_at(self.end, self.lines.next(client)).await {
+            let line = match timeout_at(self.end, self.lines.next_line(client)).await {
                 Ok(Ok(Some(line))) if self.lines.is_empty() => line,
                 Ok(Ok(Some(_))) => return First::Unread("more than one line"),
-                Ok(Err(e)) if e.kind() == ErrorKind::Other => {
+                Ok(Err(LineError::TooLong | LineError::NotPlainText)) => {
                     return First::Unread("not a line of text");
                 }
                 Ok(_) => return First::Left,
@@ -259,7 +259,7 @@
                 let node = runtime.process_config();
                 return match OpenRequest::parse(&line, &node.class_names, node.groups_enabled) {
                     Ok(opening) => First::OpenRequest(Box::new(opening)),
-                    Err(what) => First::Unread(what),
+                    Err(error) => First::Unread(error.as_str()),
                 };
             }
             // The front sends clients from the answer on, so it has to wait until a server is known.
@@ -282,7 +282,7 @@
 
 async fn open(runtime: &Rc<Runtime>, client: &TcpStream, mut opening: Box<OpenRequest>) -> Opened {
     // Nobody is kept longer than its class waits, whatever it says; an open connection has longer.
-    let longest = match opening.at {
+    let longest = match opening.established_at {
         Some(_) => REOPEN,
         None => runtime.process_config().max_client_wait,
     };
@@ -292,7 +292,7 @@
     let Some((registration, mut commands)) = runtime.register_request(id) else {
         return unread("the id is in use");
     };
-    if let Some(server) = opening.at {
+    if let Some(server) = opening.established_at {
         let backend = tokio::select! {
             backend = reopen(runtime, &opening, server) => backend,
             early = speaks(client) => return early,
@@ -340,7 +340,7 @@
             Some(Command::CancelAttempt(_) | Command::Migrate | Command::Transfer) => continue,
             None => return Opened::Left,
         };
-        let line = |ms| (!has_left(client)).then(|| opening.for_backend(ms));
+        let line = |ms| (!has_left(client)).then(|| opening.line_for_backend(ms));
         // Leaving this select closes the attempt's connection, whatever it was doing.
         let ended = tokio::select! {
             biased;
@@ -399,7 +399,7 @@
 
 /// Waits until the client ends or breaks its side, or speaks before its turn.
 async fn speaks(client: &TcpStream) -> Opened {
-    match Lines::default().fill(client).await {
+    match LineReader::default().read_more(client).await {
         Ok(true) => unread("more before the answer"),
         _ => Opened::Left,
     }
@@ -411,7 +411,7 @@
     let listed_by = runtime.now() + UNLISTED;
     loop {
         let outcome = match fetch(runtime, server, Kind::Again, due, |ms| {
-            Some(opening.for_backend(ms))
+            Some(opening.line_for_backend(ms))
         })
         .await
         {
