--- /dev/null
+++ b/src/cli/changes.rs
@@ -0,0 +1,128 @@
+//! `changes`: the distribution of the endpoint list as one end of it sees it.
+
+use super::CommandError;
+use super::query::Query;
+use super::table::{age, counter_table, fact_table, table};
+use comfy_table::Table;
+use spanspur_cluster::distribution::{ChangesAnswer, End};
+use spanspur_distribution::follower::FollowerStatus;
+use spanspur_distribution::source::{Behind, SourceStatus};
+
+/// Changes that the table shows; `--json` has all that are kept.
+const MAX_SHOWN_CHANGES: usize = 20;
+
+/// Prints the state of the end as tables, or the answer as it came.
+pub(super) fn run(query: &Query) -> Result<(), CommandError> {
+    let text = query.send("changes")?;
+    // A process without a distribution answers with an error, which is none to pass on as JSON.
+    let answer: ChangesAnswer =
+        serde_json::from_str(&text).map_err(|source| CommandError::NoDistribution {
+            answer: text.trim_end().to_owned(),
+            source,
+        })?;
+    if query.json {
+        print!("{text}");
+        return Ok(());
+    }
+    match &answer.end {
+        End::Source { status, rate } => print_source(status, *rate),
+        End::Follower { status } => print_follower(status),
+    }
+    println!("{}", counter_table(&answer.counters));
+    Ok(())
+}
+
+fn print_source(status: &SourceStatus, rate: u32) {
+    let facts = [
+        ("name", status.name.clone()),
+        ("entries", status.entries.to_string()),
+        ("newest version", status.newest.to_string()),
+        ("age", age(status.age)),
+        ("followers", status.followers.to_string()),
+        ("follow it first", status.first.to_string()),
+        ("lag", status.lagging.to_string()),
+        ("in the dark", status.dark.to_string()),
+        ("budget", format!("{rate} pieces a second")),
+        ("spoken for", format!("{} ms ahead", status.ahead)),
+    ];
+    println!("{}", fact_table("source", facts));
+    println!("{}", change_table(status));
+    print_behind("lags", "by", status.lagging, &status.laggards);
+    print_behind("in the dark", "for", status.dark, &status.darkened);
+}
+
+fn change_table(status: &SourceStatus) -> Table {
+    let mut table = table(["change", "version", "came", "in force", "at"]);
+    for change in status.changes.iter().take(MAX_SHOWN_CHANGES) {
+        table.add_row([
+            format!("{:016x}", change.key),
+            change.version.to_string(),
+            format!("{} ms ago", change.ago),
+            match change.after {
+                Some(after) => format!("after {after} ms"),
+                None => "not yet".into(),
+            },
+            format!("{} followers", change.of),
+        ]);
+    }
+    table
+}
+
+/// Prints the followers that are behind, `listed` of `total`, under a header of `state` and `measure`.
+fn print_behind(state: &str, measure: &str, total: usize, listed: &[Behind]) {
+    if total == 0 {
+        return;
+    }
+    let mut table = table([state, measure]);
+    for follower in listed {
+        let name = match follower.name.is_empty() {
+            true => "?",
+            false => &follower.name,
+        };
+        table.add_row([name.to_owned(), format!("{} ms", follower.since)]);
+    }
+    if total > listed.len() {
+        table.add_row([format!("and {} more", total - listed.len()), String::new()]);
+    }
+    println!("{table}");
+}
+
+fn print_follower(status: &FollowerStatus) {
+    let facts = [
+        ("name", status.name.clone()),
+        ("state", follower_state(status).to_owned()),
+        ("age", age(status.age)),
+        ("entries", status.entries.to_string()),
+        ("newest version", status.newest.to_string()),
+    ];
+    println!("{}", fact_table("follower", facts));
+    println!("{}", followed_source_table(status));
+}
+
+fn follower_state(status: &FollowerStatus) -> &'static str {
+    match (status.dark, status.full, status.catching_up) {
+        (true, ..) => "in the dark: no source answers",
+        (_, false, _) => "not full yet",
+        (_, _, true) => "catching up",
+        _ => "up to date as far as its age says",
+    }
+}
+
+fn followed_source_table(status: &FollowerStatus) -> Table {
+    let mut table = table(["source", "followed", "state", "age"]);
+    for source in &status.sources {
+        let role = match source.role {
+            1 => "first",
+            2 => "second",
+            _ => "-",
+        };
+        let state = if source.silent { "silent" } else { "" };
+        table.add_row([
+            source.name.clone(),
+            role.to_owned(),
+            state.to_owned(),
+            age(source.age),
+        ]);
+    }
+    table
+}
--- a/src/lifecycle/startup.rs
+++ b/src/lifecycle/startup.rs
@@ -2,7 +2,7 @@
 
 use crate::admin::Service;
 use crate::api::UpdateKind;
-use crate::cli::{Cli, Serve};
+use crate::cli::{Cli, Invocation, Serve};
 use crate::cluster::{Followed, Shared};
 use crate::config::{LoadReason, ProcessConfig};
 use crate::discovery::watcher;
@@ -27,8 +27,8 @@
 /// Runs the program: a sub-command, or the balancer until it is told to stop.
 pub fn run() -> ExitCode {
     let serve = match Cli::run() {
-        Ok(done) => return done,
-        Err(serve) => serve,
+        Invocation::Finished(code) => return code,
+        Invocation::Serve(serve) => serve,
     };
     let operator = read_operator(&serve);
     log_as(operator.as_ref().map_or(Format::Text, |o| o.log.format));
