--- a/src/lifecycle/hot_restart/tests.rs
+++ b/src/lifecycle/hot_restart/tests.rs
@@ -262,7 +262,7 @@
         let list = EndpointList {
             revision: 4711,
             complete,
-            members: members(),
+            endpoints: members(),
             unusable: unusable.clone(),
         };
         let Frame::List(payload) = kept(name, &news(&list), 0) else {
@@ -274,6 +274,6 @@
             (read.revision, read.complete, read.unusable),
             (4711, complete, unusable)
         );
-        assert_members(&read.members);
+        assert_members(&read.endpoints);
     }
 }
--- /dev/null
+++ b/src/protocol/simulator/step.rs
@@ -0,0 +1,50 @@
+//! From [`Action`]s to the wire's steps.
+
+use super::error::EventError;
+use super::raw::Step;
+use crate::api::{Action, ServerId};
+use std::collections::HashMap;
+use std::sync::Arc;
+
+/// The step that tells instance `who` to carry out the action.
+pub(super) fn step(
+    who: u64,
+    action: Action,
+    names: &HashMap<ServerId, Arc<str>>,
+) -> Result<Step, EventError> {
+    Ok(match action {
+        Action::StartAttempt { id, server, until } => Step::Relay {
+            who,
+            id: id.to_string(),
+            host: names
+                .get(&server)
+                .cloned()
+                .ok_or(EventError::UnnamedServer)?,
+            until,
+        },
+        Action::Reject { id, retry_after } => Step::Shed {
+            who,
+            id: id.to_string(),
+            hold_off: retry_after,
+        },
+        Action::Fail(id) => Step::FinishError {
+            who,
+            id: id.to_string(),
+        },
+        Action::CancelAttempt { id, attempt } => Step::Withdraw {
+            who,
+            id: id.to_string(),
+            shot: attempt,
+        },
+        Action::Migrate(id) => Step::GoAway {
+            who,
+            id: id.to_string(),
+        },
+        Action::PollDiscovery => Step::Track { who, want: true },
+        Action::SetTimer { after, token } => Step::SetAlarm {
+            who,
+            after,
+            tag: token,
+        },
+    })
+}
--- a/src/protocol/client/tests.rs
+++ b/tests/client_protocol.rs
@@ -1,12 +1,15 @@
 //! What the first line of a client is refused for, to the letter: the texts go into the log and its counters.
 
-use super::*;
+use spanspur::api::Outcome;
+use spanspur::protocol::client::{BackendLine, OpenRequest, check_first_answer};
 
 const GOOD: &str = "OPEN 00000000000000a1 7f3a c=live,d=2000,g=5c0f,x=1";
 
-fn refused(line: &str, groups: bool) -> Option<&'static str> {
+fn refused(line: &str, groups: bool) -> Option<String> {
     let classes = ["live".to_owned(), "other".to_owned()];
-    OpenRequest::parse(line, &classes, groups).err()
+    OpenRequest::parse(line, &classes, groups)
+        .err()
+        .map(|error| error.to_string())
 }
 
 #[test]
@@ -70,7 +73,7 @@
         ("OPEN 00000000000000a1 7f3a c=live", "'d' is missing"),
     ];
     for (line, what) in table {
-        assert_eq!(refused(line, true), Some(what), "{line}");
+        assert_eq!(refused(line, true).as_deref(), Some(what), "{line}");
     }
     let twice = "OPEN 00000000000000a1 7f3a c=live,d=1,g=1,g=1";
     assert_eq!(refused(twice, false), None, "there are no groups");
@@ -78,8 +81,8 @@
 
 #[test]
 fn the_line_for_a_backend_differs_in_its_wait_alone() {
-    let opening = OpenRequest::parse(GOOD, &["live".to_owned()], true).expect("a good line");
-    let line = opening.for_backend(17);
+    let open_request = OpenRequest::parse(GOOD, &["live".to_owned()], true).expect("a good line");
+    let line = open_request.line_for_backend(17);
     assert_eq!(
         line,
         "OPEN 00000000000000a1 7f3a c=live,d=17,g=5c0f,x=1\r\n"
@@ -96,16 +99,16 @@
         ("up", Err(Outcome::Reset)),
         ("", Err(Outcome::Reset)),
     ] {
-        assert_eq!(first_answer(line), meaning, "{line}");
+        assert_eq!(check_first_answer(line), meaning, "{line}");
     }
     for (line, said) in [
-        ("BYE\r\n", Said::Bye),
-        ("MOVE\r\n", Said::Move),
-        ("LOAD 12.5\r\n", Said::Load(12.5)),
-        ("LOAD -1\r\n", Said::Reply),
-        ("LOAD\r\n", Said::Reply),
-        ("bye\r\n", Said::Reply),
+        ("BYE\r\n", BackendLine::Bye),
+        ("MOVE\r\n", BackendLine::Move),
+        ("LOAD 12.5\r\n", BackendLine::Load(12.5)),
+        ("LOAD -1\r\n", BackendLine::Reply),
+        ("LOAD\r\n", BackendLine::Reply),
+        ("bye\r\n", BackendLine::Reply),
     ] {
-        assert_eq!(Said::parse(line.as_bytes()), said, "{line}");
+        assert_eq!(BackendLine::parse(line.as_bytes()), said, "{line}");
     }
 }
--- a/tests/config_errors.rs
+++ b/tests/config_errors.rs
@@ -34,6 +34,7 @@
 fn error(text: &[u8], when: LoadReason, var: impl Fn(&str) -> Option<String>) -> String {
     ProcessConfig::parse(text, when, var)
         .err()
+        .map(|error| error.to_string())
         .unwrap_or_default()
 }
 
@@ -223,7 +224,11 @@
     assert!(read(json!([live, more, live])).replace(&running).is_ok());
     for classes in [json!([live]), json!([more, live])] {
         assert_eq!(
-            read(classes).replace(&running).err().as_deref(),
+            read(classes)
+                .replace(&running)
+                .err()
+                .map(|error| error.to_string())
+                .as_deref(),
             Some("key 'settings': classes can only be added, after the others")
         );
     }
@@ -234,6 +239,7 @@
     let error = |text: &str| {
         EndpointList::parse(text.as_bytes())
             .err()
+            .map(|error| error.to_string())
             .unwrap_or_default()
     };
     assert_eq!(error("{"), "EOF while parsing an object at line 1 column 1");
--- a/tests/simulator_stream.rs
+++ b/tests/simulator_stream.rs
@@ -12,7 +12,7 @@
 
 use common::Random;
 use serde_json::{Value, json};
-use spanspur::protocol::simulator::{Adapter, serve};
+use spanspur::protocol::simulator::{SimulatorAdapter, serve};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use xxhash_rust::xxh3::xxh3_64;
@@ -492,13 +492,13 @@
 fn the_replies_to_a_seeded_stream_are_those_of_the_fixture() {
     println!("seed {SEED:#x}");
     let mut world = World::new(SEED);
-    let mut adapter = Adapter::default();
+    let mut adapter = SimulatorAdapter::default();
     let (mut input, mut output, mut block) = (String::new(), Vec::new(), Vec::new());
     let mut text = String::new();
     for number in 1..=BATCHES {
         let line = world.batch(number);
         let reply = adapter
-            .batch(&line)
+            .handle_batch(&line)
             .unwrap_or_else(|what| panic!("batch {number}: {what}\n{line}"));
         world.react(&reply);
         input.push_str(&line);
--- a/tests/wire_errors.rs
+++ b/tests/wire_errors.rs
@@ -105,6 +105,7 @@
     let input = format!("{ready}\n{line}\n");
     serve(input.as_bytes(), Vec::new())
         .err()
+        .map(|error| error.to_string())
         .unwrap_or_default()
 }
 
