--- a/crates/fleet-rig/src/capacity/data.rs
+++ b/crates/fleet-rig/src/capacity/data.rs
@@ -64,7 +64,7 @@
             stand.clone() * 2.0,
         )
         .by(Mechanism::Is(
-            "src/proxy/connection_limit.rs",
+            "src/runtime/connection_limit.rs",
             "pub struct ConnectionLimit",
         )),
         Row::new(
--- a/crates/fleet-rig/src/capacity/edges.rs
+++ b/crates/fleet-rig/src/capacity/edges.rs
@@ -189,7 +189,7 @@
                 ),
         )
         .limit(Limit::Own(room.clone(), "assumed"))
-        .by(Mechanism::Is("src/proxy/latency_tracker.rs", "pub struct LatencyTracker"))
+        .by(Mechanism::Is("src/runtime/latency_tracker.rs", "pub struct LatencyTracker"))
         .answer("servers that tell loads or delays (docs/QUESTIONS.md); without them: missing"),
     ]
 }
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -47,7 +47,7 @@
             None => None,
         };
         // The one before takes them until this one is ready.
-        runtime.accepting.send_replace(predecessor.is_none());
+        runtime.lifecycle.set_accepting(predecessor.is_none());
         if let Some(listener) = calls {
             spawn_local(server::run(runtime.clone(), listener, kept));
             spawn_local(lameduck(runtime.clone()));
@@ -72,7 +72,7 @@
         if let Some(succession) = &self.succession {
             succession.ready(predecessor).await;
         }
-        runtime.accepting.send_replace(true);
+        runtime.lifecycle.set_accepting(true);
     }
 
     /// This process is told to leave.
@@ -85,7 +85,7 @@
 
 /// Empties the balancer whenever the staff says so, until it says that it may take clients again.
 async fn lameduck(runtime: Rc<Runtime>) {
-    let mut on = runtime.lameduck.subscribe();
+    let mut on = runtime.lifecycle.subscribe_lameduck();
     loop {
         if on.wait_for(|on| *on).await.is_err() {
             return;
@@ -95,14 +95,17 @@
             from: now + ARRIVALS,
             until: now + EMPTY_BY,
         };
-        tracing::info!(standing = runtime.request_ids(true).len(), "is emptied");
+        tracing::info!(
+            standing = runtime.established_requests().len(),
+            "is emptied"
+        );
         let mut mover = Migrator::new(runtime.clone(), pace);
         while *on.borrow_and_update() {
             mover.look(TICK);
             sleep(TICK).await;
         }
         tracing::info!(
-            standing = runtime.request_ids(true).len(),
+            standing = runtime.established_requests().len(),
             "takes clients again"
         );
     }
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -3,9 +3,9 @@
 use super::maintenance_store::MaintenanceStore;
 use crate::api::ServerId;
 use crate::invariants;
-use crate::proxy::connection_limit::ConnectionLimit;
 use crate::proxy::relay::say_last;
 use crate::runtime::Runtime;
+use crate::runtime::connection_limit::ConnectionLimit;
 use spanspur_admin::call::{Answer, Call, MAX_BODY, MAX_HEAD, read};
 use spanspur_admin::outs::No;
 use spanspur_hot_restart::frame::Frame;
@@ -98,22 +98,20 @@
         match call {
             Call::Ready => match (
                 runtime.is_ready(),
-                *runtime.accepting.borrow(),
-                *runtime.lameduck.borrow(),
+                runtime.lifecycle.is_accepting(),
+                runtime.lifecycle.is_lameduck(),
             ) {
                 (false, ..) => Answer::new(503, "no stream server is known yet"),
                 (_, false, _) => Answer::new(503, "another process takes the clients"),
-                (_, _, true) if runtime.lameduck_requested_here.get() => {
+                (_, _, true) if runtime.lifecycle.is_lameduck_requested_here() => {
                     Answer::new(503, "is emptied")
                 }
                 _ => Answer::new(200, "takes clients"),
             },
             Call::Lameduck(on) => {
-                runtime.lameduck_requested_here.set(*on);
-                runtime.notify_peer_processes(|| Frame::Lameduck(*on));
-                let changed = runtime
-                    .lameduck
-                    .send_if_modified(|was| std::mem::replace(was, *on) != *on);
+                runtime.lifecycle.set_lameduck_requested_here(*on);
+                runtime.peer_processes.broadcast(|| Frame::Lameduck(*on));
+                let changed = runtime.lifecycle.set_lameduck(*on);
                 Answer::new(
                     200,
                     match (on, changed) {
@@ -155,7 +153,8 @@
         }
         self.runtime.merge_maintenance(&outs);
         self.runtime
-            .notify_peer_processes(|| Frame::Outs(outs.write()));
+            .peer_processes
+            .broadcast(|| Frame::Outs(outs.write()));
         Answer::new(200, if out { "is out" } else { "may serve again" })
     }
 }
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -159,7 +159,7 @@
     }
 
     fn register(&self) {
-        if self.runtime.shutting_down.get() {
+        if self.runtime.lifecycle.is_shutting_down() {
             return;
         }
         let operator = self.operator.borrow();
--- a/src/discovery/watcher.rs
+++ b/src/discovery/watcher.rs
@@ -5,8 +5,8 @@
 use crate::discovery::endpoint_list::EndpointList;
 use crate::discovery::http::{Connection, Response};
 use crate::invariants;
-use crate::lifecycle::hot_restart;
 use crate::runtime::Runtime;
+use crate::transfer::list_update_frame;
 use std::io;
 use std::net::SocketAddr;
 use std::pin::pin;
@@ -112,7 +112,8 @@
         let (path, wait) = match listed {
             Some(revision) => {
                 // What an agent has counts from our first moment on: its first answer is not waited for.
-                let now = runtime.has_pushed_discovery() && !runtime.discovery_answered.get();
+                let now =
+                    runtime.has_pushed_discovery() && !runtime.lifecycle.has_discovery_answered();
                 let wait = if now { Duration::ZERO } else { WAIT };
                 let ms = wait.as_millis();
                 let path = format!("/api/targets?since={revision}&timeout_ms={ms}");
@@ -145,7 +146,7 @@
             "a list"
         );
         *listed = Some(list.revision);
-        runtime.discovery_answered.set(true);
+        runtime.lifecycle.set_discovery_answered();
         let kind = if list.complete {
             UpdateKind::Full
         } else {
@@ -154,7 +155,9 @@
         if let Some(news) = news {
             news.watched(&list);
         }
-        runtime.notify_peer_processes(|| hot_restart::news(&list));
+        runtime
+            .peer_processes
+            .broadcast(|| list_update_frame(&list));
         runtime.update_endpoints(kind, list);
         sleep(PAUSE).await;
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -41,6 +41,7 @@
 pub mod protocol;
 pub mod proxy;
 pub mod runtime;
+pub mod transfer;
 
 pub use balancer::api;
 pub use balancer::{Balancer, score};
--- a/src/lifecycle/graceful_shutdown.rs
+++ b/src/lifecycle/graceful_shutdown.rs
@@ -47,7 +47,7 @@
 
     /// Moves what is due where the next look comes after `tick`; returns how many stand that were not told.
     pub fn look(&mut self, tick: Duration) -> usize {
-        let mut standing = self.runtime.request_ids(true);
+        let mut standing = self.runtime.established_requests();
         standing.retain(|id| !self.moved.contains(id));
         let left = standing.len();
         let count = self
@@ -64,9 +64,12 @@
 /// Empties the process; returns when it may exit.
 pub async fn run(runtime: Rc<Runtime>, service: &Service) {
     let longest_wait = duration(runtime.process_config().longest_wait);
-    runtime.shutting_down.set(true);
+    runtime.lifecycle.set_shutting_down();
     service.leave();
-    tracing::info!(standing = runtime.request_ids(true).len(), "told to stop");
+    tracing::info!(
+        standing = runtime.established_requests().len(),
+        "told to stop"
+    );
     let start = Instant::now();
     let kill = start + longest_wait.min(LONGEST_WAIT) + GRACE;
     let from = runtime.now() + ARRIVALS.as_secs_f64();
@@ -78,9 +81,9 @@
     while Instant::now() < kill - EXIT_BEFORE {
         sleep(TICK).await;
         let now = Instant::now();
-        if runtime.successor.borrow().is_some() {
+        if runtime.peer_processes.has_successor() {
             // Another process goes on with what stands, and nobody arrives here any more.
-            for id in runtime.request_ids(true) {
+            for id in runtime.established_requests() {
                 if offered.insert(id) {
                     runtime.send_command(id, Command::Transfer);
                 }
@@ -90,31 +93,31 @@
         } else {
             left = mover.look(TICK);
         }
-        let waiting = runtime.request_ids(false);
+        let waiting = runtime.pending_requests();
         // One that has not said yet what it wants may take its time, and is owed an answer then.
-        let none = runtime.request_ids(true).is_empty()
+        let none = runtime.established_requests().is_empty()
             && waiting.is_empty()
-            && runtime.clients_without_request.get() == 0;
+            && runtime.lifecycle.clients_without_request.count() == 0;
         empty = if none { empty + 1 } else { 0 };
         // Where another process takes the clients, nobody is accepted here.
-        if empty >= EMPTY_LOOKS || (none && runtime.successor.borrow().is_some()) {
+        if empty >= EMPTY_LOOKS || (none && runtime.peer_processes.has_successor()) {
             break;
         }
         if now >= kill - ANSWER_BEFORE {
             // Refused or failed, by what may have run: the module knows.
             let leave = |id| runtime.handle_event(Event::ShutdownDeadline(id));
             waiting.into_iter().for_each(leave);
-            runtime.exiting.send_replace(true);
+            runtime.lifecycle.set_exiting();
         }
     }
     let end = (Instant::now() + LAST_WORDS).min(kill - EXIT_BEFORE / 2);
-    if runtime.clients_with_pending_close.get() > 0 {
+    if runtime.lifecycle.clients_with_pending_close.count() > 0 {
         tracing::info!(
-            clients = runtime.clients_with_pending_close.get(),
+            clients = runtime.lifecycle.clients_with_pending_close.count(),
             "waits for clients that have their answer to end"
         );
     }
-    while runtime.clients_with_pending_close.get() > 0 && Instant::now() < end {
+    while runtime.lifecycle.clients_with_pending_close.count() > 0 && Instant::now() < end {
         sleep(TICK).await;
     }
     if left > 0 {
--- a/src/lifecycle/hot_restart.rs
+++ b/src/lifecycle/hot_restart.rs
@@ -1,29 +1,27 @@
 //! The driver of a replacement: the older process holds a Unix socket under `$TMPDIR`, the newer one comes to it,
 //! takes over what is known, takes the clients, and then, when the older one is told to leave, its connections.
 
-use crate::api::{Endpoint, UpdateKind};
+use crate::api::UpdateKind;
 use crate::discovery::endpoint_list::EndpointList;
 use crate::invariants;
-use crate::proxy::relay::EstablishedConnection;
 use crate::proxy::request;
 use crate::runtime::{Runtime, duration};
-use serde::{Deserialize, Serialize};
+use crate::transfer::{ConnectionSender, Snapshot, TransferredConnection};
 use spanspur_admin::outs::Outs;
-use spanspur_hot_restart::frame::{Frame, MAX_DESCRIPTORS, VERSION};
+use spanspur_hot_restart::frame::{Frame, VERSION};
 use spanspur_hot_restart::link::{Receiver, Sender, link};
 use spanspur_hot_restart::stage::{Does, Heard, Stage};
-use std::cell::{Cell, RefCell};
+use std::cell::RefCell;
 use std::collections::HashMap;
 use std::future::Future;
 use std::io;
-use std::net::SocketAddr;
-use std::os::fd::{BorrowedFd, OwnedFd};
+use std::os::fd::OwnedFd;
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::{TcpStream, UnixListener, UnixStream};
-use tokio::sync::{mpsc, oneshot};
+use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
@@ -38,114 +36,6 @@
 /// What a process holds besides its clients: standard streams, the runtime's own, listeners, discovery, calls.
 const FIXED: usize = 20;
 
-/// What the newer process goes on from.
-#[derive(Serialize, Deserialize)]
-pub struct Snapshot {
-    /// Whose list it is.
-    pub discovery: SocketAddr,
-    /// The list, as discovery tells it.
-    pub revision: u64,
-    /// Its endpoints, each with the address at which this process reaches it.
-    pub members: Vec<(Endpoint, SocketAddr)>,
-    /// What the module has learnt.
-    pub module: Vec<u8>,
-    /// The file of those that are taken out.
-    pub outs: String,
-    /// The balancer is being emptied.
-    pub lameduck: bool,
-}
-
-impl Snapshot {
-    /// Its list.
-    pub fn list(self) -> EndpointList {
-        EndpointList {
-            revision: self.revision,
-            complete: true,
-            members: self.members,
-            unusable: None,
-        }
-    }
-}
-
-/// A connection that goes over.
-#[derive(Serialize, Deserialize)]
-pub enum TransferredConnection {
-    /// A client's and its backend's.
-    Standing(EstablishedConnection),
-    /// A client's that has said so much, and has so many seconds left to say the rest.
-    Reading(Vec<u8>, f64),
-}
-
-/// News of the list for the other process.
-pub fn news(list: &EndpointList) -> Frame {
-    Frame::List(postcard::to_stdvec(list).unwrap_or_default())
-}
-
-/// Waits until there is a process that takes over what is open here.
-pub async fn giving(runtime: &Runtime) -> Rc<ConnectionSender> {
-    let mut giving = runtime.successor.subscribe();
-    match giving.wait_for(Option::is_some).await.as_deref() {
-        Ok(Some(giving)) => giving.clone(),
-        _ => std::future::pending().await,
-    }
-}
-
-/// Gives connections away, each until the other process has it or has gone.
-pub struct ConnectionSender {
-    sender: Sender,
-    waiting: RefCell<HashMap<u64, oneshot::Sender<bool>>>,
-    next: Cell<u64>,
-    closed: Cell<bool>,
-}
-
-impl ConnectionSender {
-    fn new(sender: Sender) -> Rc<Self> {
-        Rc::new(Self {
-            sender,
-            waiting: RefCell::default(),
-            next: Cell::new(0),
-            closed: Cell::new(false),
-        })
-    }
-
-    /// Whether the other process has it. Where it has not, all goes on here; there is no third way, so nothing but
-    /// its word or its end is waited for. Not to be dropped halfway.
-    pub async fn give(&self, what: TransferredConnection, descriptors: &[BorrowedFd<'_>]) -> bool {
-        let Ok(what) = postcard::to_stdvec(&what) else {
-            return false;
-        };
-        if self.closed.get() {
-            return false;
-        }
-        let number = self.next.replace(self.next.get() + 1);
-        let (taken, answer) = oneshot::channel();
-        self.waiting.borrow_mut().insert(number, taken);
-        let frame = Frame::Connection(number, what);
-        if let Err(e) = self.sender.send(&frame, descriptors).await {
-            tracing::warn!(error = %e, "a connection could not be given away");
-            self.waiting.borrow_mut().remove(&number);
-            return false;
-        }
-        answer.await.unwrap_or(false)
-    }
-
-    /// Descriptors of connections that are on their way: the other process counts them.
-    fn on_its_way(&self) -> usize {
-        self.waiting.borrow().len() * MAX_DESCRIPTORS
-    }
-
-    fn taken(&self, number: u64, taken: bool) {
-        if let Some(waits) = self.waiting.borrow_mut().remove(&number) {
-            let _ = waits.send(taken);
-        }
-    }
-
-    fn close(&self) {
-        self.closed.set(true);
-        self.waiting.borrow_mut().clear();
-    }
-}
-
 /// Where processes of this balancer meet, and how far that has come.
 pub struct HotRestart {
     runtime: Rc<Runtime>,
@@ -212,19 +102,19 @@
         let runtime = &self.runtime;
         tracing::info!(
             revision = known.revision,
-            servers = known.members.len(),
+            servers = known.endpoints.len(),
             emptied = known.lameduck,
             "goes on from the process before"
         );
-        match Outs::read(known.outs.as_bytes()) {
+        match Outs::read(known.maintenance.as_bytes()) {
             Ok(outs) => runtime.merge_maintenance(&outs),
             Err(what) => tracing::warn!(what, "which servers are out cannot be read"),
         }
-        runtime.lameduck.send_replace(known.lameduck);
+        runtime.lifecycle.set_lameduck(known.lameduck);
         let revision =
             (known.discovery == runtime.process_config().discovery).then_some(known.revision);
         let (link, news) = mpsc::channel(MAX_NEWS);
-        runtime.add_peer_process(link);
+        runtime.peer_processes.add(link);
         runtime.restore(known);
         Some(Predecessor {
             sender,
@@ -278,9 +168,9 @@
                 () = read => {}
                 () = write(&sender, news, || runtime.connection_limit.held()) => {}
             }
-            runtime.peer_process_descriptors.set(0);
+            runtime.peer_processes.set_descriptors(0);
             tracing::info!(
-                standing = runtime.request_ids(true).len(),
+                standing = runtime.established_requests().len(),
                 "the process before has gone"
             );
         });
@@ -328,7 +218,7 @@
             // Understood by all versions: there is no going on from this one.
             _ => Vec::new(),
         };
-        runtime.add_peer_process(link);
+        runtime.peer_processes.add(link);
         if sender
             .send(&Frame::State(VERSION, known), &[])
             .await
@@ -347,7 +237,7 @@
             while let Ok(Some((frame, _))) = receiver.next().await {
                 match frame {
                     Frame::Ready => self.hear(Heard::Ready(number)),
-                    Frame::Taken(number, taken) => giving.taken(number, taken),
+                    Frame::Taken(number, taken) => giving.acknowledge(number, taken),
                     frame => hear(runtime, frame),
                 }
             }
@@ -356,17 +246,17 @@
             runtime
                 .connection_limit
                 .held()
-                .saturating_sub(giving.on_its_way())
+                .saturating_sub(giving.descriptors_in_transit())
         };
         tokio::select! {
             () = read => {}
-            () = write(&giving.sender, news, held) => {}
+            () = write(giving.link(), news, held) => {}
         }
         giving.close();
         self.givings.borrow_mut().remove(&number);
         // One that came and went beside another says nothing of what that one holds.
         if self.givings.borrow().is_empty() {
-            runtime.peer_process_descriptors.set(0);
+            runtime.peer_processes.set_descriptors(0);
         }
         self.hear(Heard::Gone(number));
     }
@@ -379,7 +269,7 @@
             tracing::info!(
                 ?heard,
                 ?does,
-                standing = runtime.request_ids(true).len(),
+                standing = runtime.established_requests().len(),
                 "replacement"
             );
         }
@@ -390,7 +280,7 @@
             Does::TakeBack => (false, None),
         };
         runtime.set_clients_handed_over(handed);
-        runtime.successor.send_replace(giving);
+        runtime.peer_processes.set_successor(giving);
     }
 }
 
@@ -423,7 +313,9 @@
 /// News from another process of this balancer.
 fn hear(runtime: &Rc<Runtime>, frame: Frame) {
     match frame {
-        Frame::Held(held) => runtime.peer_process_descriptors.set(held as usize + FIXED),
+        Frame::Held(held) => runtime
+            .peer_processes
+            .set_descriptors(held as usize + FIXED),
         Frame::List(list) => match postcard::from_bytes::<EndpointList>(&list) {
             // Each watches by itself: what came here first is not undone by what the other heard before.
             Ok(list) if list.revision > runtime.list_revision() => {
@@ -442,9 +334,7 @@
             Err(what) => tracing::warn!(what, "news of servers taken out cannot be read"),
         },
         Frame::Lameduck(on) => {
-            runtime
-                .lameduck
-                .send_if_modified(|was| std::mem::replace(was, on) != on);
+            runtime.lifecycle.set_lameduck(on);
         }
         _ => invariants::count("a frame that is none of this process's business"),
     }
@@ -454,13 +344,13 @@
 fn take(runtime: &Rc<Runtime>, what: &[u8], beside: Vec<OwnedFd>) -> bool {
     let stream = |fd: OwnedFd| TcpStream::from_std(std::net::TcpStream::from(fd)).ok();
     // They were counted there until now.
-    let others = runtime.peer_process_descriptors.get();
+    let others = runtime.peer_processes.descriptors();
     runtime
-        .peer_process_descriptors
-        .set(others.saturating_sub(beside.len()));
+        .peer_processes
+        .set_descriptors(others.saturating_sub(beside.len()));
     let mut streams = beside.into_iter().map_while(stream);
     let taken = match postcard::from_bytes(what) {
-        Ok(TransferredConnection::Standing(stands)) => {
+        Ok(TransferredConnection::Established(stands)) => {
             let (client, backend) = (streams.next(), streams.next());
             let both = client.zip(backend);
             both.map(|(client, backend)| {
@@ -474,7 +364,7 @@
                 ));
             })
         }
-        Ok(TransferredConnection::Reading(said, left)) => streams.next().map(|client| {
+        Ok(TransferredConnection::AwaitingRequest(said, left)) => streams.next().map(|client| {
             let place = runtime.connection_limit.take(false);
             let reader = request::Reader::after(runtime, said, duration(left));
             start(request::serve(runtime.clone(), client, place, reader));
--- a/src/lifecycle/startup.rs
+++ b/src/lifecycle/startup.rs
@@ -151,7 +151,7 @@
 }
 
 async fn accept(runtime: Rc<Runtime>, listener: TcpListener) {
-    let mut on = runtime.accepting.subscribe();
+    let mut on = runtime.lifecycle.subscribe_accepting();
     loop {
         if on.wait_for(|on| *on).await.is_err() {
             return;
--- a/src/proxy/relay.rs
+++ b/src/proxy/relay.rs
@@ -3,11 +3,10 @@
 
 use crate::api::{AttemptEnded, Event, Outcome, Request, RequestId, ServerId};
 use crate::invariants;
-use crate::lifecycle::hot_restart::TransferredConnection;
 use crate::protocol::client::{MAX_LINE, Said};
 use crate::proxy::attempt::Backend;
 use crate::runtime::{Command, Runtime, duration};
-use serde::{Deserialize, Serialize};
+use crate::transfer::{EstablishedConnection, TransferredConnection};
 use socket2::SockRef;
 use std::collections::VecDeque;
 use std::io::ErrorKind;
@@ -147,41 +146,6 @@
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// A standing connection, as another process of this balancer can go on with it.
-#[derive(Debug, Serialize, Deserialize)]
-pub struct EstablishedConnection {
-    /// What the client asked for.
-    pub request: Request,
-    /// Where it stands.
-    pub server: ServerId,
-    attempt: u32,
-    /// Bytes read and not written, up to the backend and down to the client.
-    up: Vec<u8>,
-    down: Vec<u8>,
-    /// How many seconds ago each line was sent that is not answered yet, and the backend was heard.
-    asked: Vec<f64>,
-    heard: f64,
-    pending_asks: usize,
-    reported: bool,
-}
-
-impl EstablishedConnection {
-    /// One that stands since now.
-    pub fn new(request: Request, server: ServerId, attempt: u32) -> Self {
-        Self {
-            request,
-            server,
-            attempt,
-            up: Vec::new(),
-            down: Vec::new(),
-            asked: Vec::new(),
-            heard: 0.0,
-            pending_asks: 0,
-            reported: false,
-        }
-    }
-}
-
 /// One standing connection.
 struct Relay {
     runtime: Rc<Runtime>,
@@ -212,9 +176,9 @@
     backend: Backend,
     commands: UnboundedReceiver<Command>,
 ) -> impl Future<Output = ()> {
-    stands.down = [backend.answer.as_bytes(), b"\r\n", &backend.rest].concat();
+    stands.to_client = [backend.answer.as_bytes(), b"\r\n", &backend.rest].concat();
     let mut relay = Relay::new(runtime, &stands);
-    let (up, mut down) = (Flow::new(Vec::new()), Flow::new(stands.down));
+    let (up, mut down) = (Flow::new(Vec::new()), Flow::new(stands.to_client));
     // The first line is the answer, not a reply to a line.
     let lines = down.fresh();
     relay.backend_said(&down.buf, &lines, 1);
@@ -230,7 +194,7 @@
     commands: UnboundedReceiver<Command>,
 ) -> impl Future<Output = ()> {
     let relay = Relay::new(runtime, &stands);
-    let (mut up, mut down) = (Flow::new(stands.up), Flow::new(stands.down));
+    let (mut up, mut down) = (Flow::new(stands.to_backend), Flow::new(stands.to_client));
     // The other process has heard these lines.
     drop((up.fresh(), down.fresh()));
     pass(relay, up, down, client, backend, commands)
@@ -400,18 +364,23 @@
             id: stands.request.id,
             server: stands.server,
             attempt: stands.attempt,
-            asked: stands.asked.iter().take(MAX_ASKED).map(ago).collect(),
-            pending_asks: stands.pending_asks,
-            heard: ago(&stands.heard),
+            asked: stands
+                .unanswered_ages
+                .iter()
+                .take(MAX_ASKED)
+                .map(ago)
+                .collect(),
+            pending_asks: stands.unsent_lines,
+            heard: ago(&stands.backend_silent_for),
             last_word: None,
             told: false,
-            reported: stands.reported,
+            reported: stands.has_reported,
         }
     }
 
     /// Gives the connection to the process that takes this one's place: whether that one has it now.
     async fn given(&self, up: &Flow, down: &Flow, client: &TcpStream, backend: &TcpStream) -> bool {
-        let giving = self.runtime.successor.borrow().clone();
+        let giving = self.runtime.peer_processes.successor();
         let Some(giving) = giving.filter(|_| !self.told && self.last_word.is_none()) else {
             return false;
         };
@@ -420,16 +389,16 @@
             request: self.request,
             server: self.server,
             attempt: self.attempt,
-            up: up.buf.clone(),
-            down: down.buf.clone(),
-            asked: self.asked.iter().map(age).collect(),
-            heard: age(&self.heard),
-            pending_asks: self.pending_asks,
-            reported: self.reported,
+            to_backend: up.buf.clone(),
+            to_client: down.buf.clone(),
+            unanswered_ages: self.asked.iter().map(age).collect(),
+            backend_silent_for: age(&self.heard),
+            unsent_lines: self.pending_asks,
+            has_reported: self.reported,
         };
         let beside = [client.as_fd(), backend.as_fd()];
         giving
-            .give(TransferredConnection::Standing(stands), &beside)
+            .transfer(TransferredConnection::Established(stands), &beside)
             .await
     }
 
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -2,14 +2,14 @@
 
 use crate::api::{AttemptEnded, Event, Outcome, Request, ServerId, Time};
 use crate::invariants;
-use crate::lifecycle::hot_restart::{self, TransferredConnection};
 use crate::protocol::client::{Lines, MAX_LINE, OpenRequest};
 use crate::proxy::attempt::{Backend, Kind, fetch};
-use crate::proxy::connection_limit::ConnectionPermit;
-use crate::proxy::relay::{EstablishedConnection, discard, relay, resume, say_last};
+use crate::proxy::relay::{discard, relay, resume, say_last};
+use crate::runtime::connection_limit::ConnectionPermit;
+use crate::runtime::lifecycle_state::CountedClient;
 use crate::runtime::{Command, RequestRegistration, Runtime};
+use crate::transfer::{EstablishedConnection, TransferredConnection};
 use socket2::SockRef;
-use std::cell::Cell;
 use std::io::ErrorKind;
 use std::mem::MaybeUninit;
 use std::net::Shutdown;
@@ -42,9 +42,6 @@
 /// Without a time to come again.
 const BUSY: &str = "BUSY\r\n";
 
-#[cfg(test)]
-mod tests;
-
 /// Serves one connection of a client, to its end.
 pub async fn serve(
     runtime: Rc<Runtime>,
@@ -55,7 +52,7 @@
     // Lines are short and waited for: none is held back for more to come.
     let _ = client.set_nodelay(true);
     let mut keep = false;
-    let mut ending = runtime.exiting.subscribe();
+    let mut ending = runtime.lifecycle.subscribe_exiting();
     let first = loop {
         tokio::select! {
             biased;
@@ -63,10 +60,10 @@
             () = place.evicted() => return turn_away(&runtime, &client).await,
             // Its first line may be on its way just now: it is answered before it is read.
             Ok(_) = ending.wait_for(|ending| *ending) => break First::Late,
-            giving = hot_restart::giving(&runtime), if !keep => {
+            giving = runtime.peer_processes.wait_for_successor(), if !keep => {
                 let left = (reader.end - Instant::now()).as_secs_f64();
-                let handed = TransferredConnection::Reading(reader.lines.read(), left);
-                if giving.give(handed, &[client.as_fd()]).await {
+                let handed = TransferredConnection::AwaitingRequest(reader.lines.read(), left);
+                if giving.transfer(handed, &[client.as_fd()]).await {
                     return;
                 }
                 keep = true;
@@ -101,30 +98,13 @@
     };
     // What is left is the client's to end.
     place.idle();
-    let _owed = Counted::new(&runtime, |runtime| &runtime.clients_with_pending_close);
+    let _owed = runtime.lifecycle.clients_with_pending_close.count_client();
     tokio::select! {
         () = say_last(&client, answer.as_bytes()) => {}
         () = place.evicted() => {}
     }
 }
 
-/// One that is owed something: who leaves waits for it.
-struct Counted(Rc<Runtime>, fn(&Runtime) -> &Cell<usize>);
-
-impl Counted {
-    fn new(runtime: &Rc<Runtime>, counter: fn(&Runtime) -> &Cell<usize>) -> Self {
-        counter(runtime).set(counter(runtime).get() + 1);
-        Self(runtime.clone(), counter)
-    }
-}
-
-impl Drop for Counted {
-    fn drop(&mut self) {
-        let counter = (self.1)(&self.0);
-        counter.set(counter.get() - 1);
-    }
-}
-
 /// What comes before a request.
 enum First {
     /// A line that asks for a connection.
@@ -222,7 +202,7 @@
 pub struct Reader {
     lines: Lines,
     end: Instant,
-    counted: Option<Counted>,
+    counted: Option<CountedClient>,
 }
 
 impl Reader {
@@ -236,9 +216,7 @@
         Self {
             lines: Lines::from(said),
             end: Instant::now() + left,
-            counted: Some(Counted::new(runtime, |runtime| {
-                &runtime.clients_without_request
-            })),
+            counted: Some(runtime.lifecycle.clients_without_request.count_client()),
         }
     }
 
@@ -263,10 +241,10 @@
                 };
             }
             // The front sends clients from the answer on, so it has to wait until a server is known.
-            while !runtime.is_ready() && !*runtime.lameduck.borrow() {
+            while !runtime.is_ready() && !runtime.lifecycle.is_lameduck() {
                 sleep(NOT_READY).await;
             }
-            let answer = match *runtime.lameduck.borrow() {
+            let answer = match runtime.lifecycle.is_lameduck() {
                 true => BUSY,
                 false => "PONG\r\n",
             };
--- /dev/null
+++ b/src/runtime/lifecycle_state.rs
@@ -0,0 +1,134 @@
+//! How far the life of the process has come, and the clients that its end waits for.
+
+use std::cell::Cell;
+use std::rc::Rc;
+use tokio::sync::watch;
+
+/// Counts clients that are still owed something.
+#[derive(Default)]
+pub struct ClientCounter(Rc<Cell<usize>>);
+
+impl ClientCounter {
+    /// The clients counted now.
+    pub fn count(&self) -> usize {
+        self.0.get()
+    }
+
+    /// Counts one client until the guard is dropped.
+    pub fn count_client(&self) -> CountedClient {
+        self.0.set(self.0.get() + 1);
+        CountedClient(self.0.clone())
+    }
+}
+
+/// One counted client.
+pub struct CountedClient(Rc<Cell<usize>>);
+
+impl Drop for CountedClient {
+    fn drop(&mut self) {
+        self.0.set(self.0.get() - 1);
+    }
+}
+
+/// Readiness, lameduck mode, shutdown, and the clients to wait for.
+pub struct LifecycleState {
+    discovery_answered: Cell<bool>,
+    accepting: watch::Sender<bool>,
+    lameduck: watch::Sender<bool>,
+    lameduck_requested_here: Cell<bool>,
+    shutting_down: Cell<bool>,
+    exiting: watch::Sender<bool>,
+    /// Clients whose request has not been received yet.
+    pub clients_without_request: ClientCounter,
+    /// Clients that get their final response and have not closed their side yet.
+    pub clients_with_pending_close: ClientCounter,
+}
+
+impl Default for LifecycleState {
+    fn default() -> Self {
+        Self {
+            discovery_answered: Cell::new(false),
+            accepting: watch::Sender::new(true),
+            lameduck: watch::Sender::new(false),
+            lameduck_requested_here: Cell::new(false),
+            shutting_down: Cell::new(false),
+            exiting: watch::Sender::new(false),
+            clients_without_request: ClientCounter::default(),
+            clients_with_pending_close: ClientCounter::default(),
+        }
+    }
+}
+
+impl LifecycleState {
+    /// Records that discovery has answered this process.
+    pub fn set_discovery_answered(&self) {
+        self.discovery_answered.set(true);
+    }
+
+    /// Whether discovery has answered this process.
+    pub fn has_discovery_answered(&self) -> bool {
+        self.discovery_answered.get()
+    }
+
+    /// Sets whether clients are accepted.
+    pub fn set_accepting(&self, accepting: bool) {
+        self.accepting.send_replace(accepting);
+    }
+
+    /// Whether clients are accepted.
+    pub fn is_accepting(&self) -> bool {
+        *self.accepting.borrow()
+    }
+
+    /// Changes of whether clients are accepted.
+    pub fn subscribe_accepting(&self) -> watch::Receiver<bool> {
+        self.accepting.subscribe()
+    }
+
+    /// Sets lameduck mode, in which front proxies are told not to send clients; `true` if that is a change.
+    pub fn set_lameduck(&self, lameduck: bool) -> bool {
+        let replace = |before: &mut bool| std::mem::replace(before, lameduck) != lameduck;
+        self.lameduck.send_if_modified(replace)
+    }
+
+    /// Whether the balancer is in lameduck mode.
+    pub fn is_lameduck(&self) -> bool {
+        *self.lameduck.borrow()
+    }
+
+    /// Changes of lameduck mode.
+    pub fn subscribe_lameduck(&self) -> watch::Receiver<bool> {
+        self.lameduck.subscribe()
+    }
+
+    /// Sets whether lameduck mode was requested at this process. One that took over a balancer in lameduck mode
+    /// counts as ready all the same.
+    pub fn set_lameduck_requested_here(&self, requested: bool) {
+        self.lameduck_requested_here.set(requested);
+    }
+
+    /// Whether lameduck mode was requested at this process.
+    pub fn is_lameduck_requested_here(&self) -> bool {
+        self.lameduck_requested_here.get()
+    }
+
+    /// Records that the process was told to stop.
+    pub fn set_shutting_down(&self) {
+        self.shutting_down.set(true);
+    }
+
+    /// Whether the process was told to stop.
+    pub fn is_shutting_down(&self) -> bool {
+        self.shutting_down.get()
+    }
+
+    /// Records that the process is about to exit: clients without a request get their response now.
+    pub fn set_exiting(&self) {
+        self.exiting.send_replace(true);
+    }
+
+    /// Changes of whether the process is about to exit.
+    pub fn subscribe_exiting(&self) -> watch::Receiver<bool> {
+        self.exiting.subscribe()
+    }
+}
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -1,208 +1,159 @@
-//! The module's runtime: it owns the balancer, the clock, the timers and the map from ids to addresses, has one
-//! inbox for each req, and carries out the module's actions in their command.
+//! The runtime of the balancer: events go in, and the actions that come back are dispatched to the command queues of the
+//! requests, to timers and to the discovery watcher.
+//!
+//! All tasks of the process share one [`Runtime`] on one thread. Its state is never borrowed across an await.
+
+pub mod clock;
+pub mod connection_limit;
+pub mod endpoint_directory;
+pub mod latency_tracker;
+pub mod lifecycle_state;
+pub mod peer_processes;
+pub mod report_classifier;
+pub mod request_registry;
+mod snapshot;
+
+pub use clock::duration;
+pub use request_registry::{Command, RequestRegistration};
 
 use crate::Balancer;
 use crate::api::*;
 use crate::config::ProcessConfig;
 use crate::discovery::endpoint_list::EndpointList;
-use crate::lifecycle::hot_restart::{self, ConnectionSender, Snapshot};
-use crate::proxy::connection_limit::ConnectionLimit;
-use crate::proxy::latency_tracker::{LatencyTracker, Report, ReportClassifier};
+use crate::transfer::list_update_frame;
+use clock::Clock;
+use connection_limit::ConnectionLimit;
+use endpoint_directory::{EndpointDirectory, SlowStartWindow};
+use latency_tracker::LatencyTracker;
+use lifecycle_state::LifecycleState;
+use peer_processes::PeerProcesses;
+use report_classifier::{Report, ReportClassifier};
+use request_registry::RequestRegistry;
 use spanspur_admin::outs::Outs;
-use spanspur_hot_restart::frame::Frame;
-use std::cell::{Cell, RefCell};
-use std::collections::HashMap;
+use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::{Duration, Instant, SystemTime};
-use tokio::sync::{Notify, mpsc, watch};
-
-/// An agent that has said nothing for so long is not waited for: the list as last known is all there is.
-const AGENT: Duration = Duration::from_secs(1);
-
-/// What a req is to do.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Command {
-    /// Try this backend, until then.
-    StartAttempt(ServerId, Time),
-    /// Synthetic answer: come again after so many milliseconds (0: no advice).
-    Reject(u64),
-    /// Synthetic answer: failed.
-    Fail,
-    /// Stop waiting for the attempt with this number.
-    CancelAttempt(u32),
-    /// End the standing connection politely.
-    Migrate,
-    /// Give it to the process that takes this one's place.
-    Transfer,
-}
+use std::time::Duration;
+use tokio::sync::{Notify, mpsc};
 
-struct Inbox {
-    commands: mpsc::UnboundedSender<Command>,
-    standing: bool,
-}
+/// Where lists are pushed: an agent that has not answered for so long is not waited for, and the list as last known
+/// is used.
+const PUSHED_LIST_WAIT: Duration = Duration::from_secs(1);
 
-/// A listed backend.
-struct Listed {
-    /// As discovery names it.
-    raw: Endpoint,
-    /// As the module knows it.
-    seen: Endpoint,
-    address: SocketAddr,
-}
-
-struct State {
+/// The balancer, and the buffer for its actions.
+struct BalancerState {
     balancer: Balancer,
     actions: Vec<Action>,
-    listed: HashMap<ServerId, Listed>,
-    outs: Outs,
-    inboxes: HashMap<RequestId, Inbox>,
-    delays: LatencyTracker,
-    reports: ReportClassifier,
 }
 
-/// Shared by all tasks; never borrowed across an await.
-pub struct Runtime {
-    state: RefCell<State>,
-    /// The monotonic clock and the Unix time at its anchor: discovery's times are Unix times.
-    anchor: (Instant, Time),
-    /// Wakes the director.
-    pub poll_requested: Notify,
-    /// The list of servers has changed.
-    pub endpoints_changed: Notify,
-    /// Discovery has answered this process.
-    pub discovery_answered: Cell<bool>,
-    /// The process is told to stop.
-    pub shutting_down: Cell<bool>,
-    /// The staff empties this balancer: the front is told no.
-    pub lameduck: watch::Sender<bool>,
-    /// It was this process that was told so: one that takes over an emptied balancer is ready all the same.
-    pub lameduck_requested_here: Cell<bool>,
-    /// Clients are accepted.
-    pub accepting: watch::Sender<bool>,
-    /// Clients that have not said yet what they want.
-    pub clients_without_request: Cell<usize>,
-    /// Clients that are being told their answer, and have not ended their side yet.
-    pub clients_with_pending_close: Cell<usize>,
-    /// The process is about to exit: who has not said yet what it wants is answered now.
-    pub exiting: watch::Sender<bool>,
-    /// The descriptors that clients hold here.
-    pub connection_limit: Rc<ConnectionLimit>,
-    /// Those of another process of this balancer.
-    pub peer_process_descriptors: Cell<usize>,
-    /// Another process takes the clients: what cold servers may be sent is its part alone.
-    clients_handed_over: Cell<bool>,
-    /// Who takes over what stands here, once this process leaves.
-    pub successor: watch::Sender<Option<Rc<ConnectionSender>>>,
-    /// Other processes of this balancer that hear this one's news.
-    peer_processes: RefCell<Vec<mpsc::Sender<Frame>>>,
-    /// The version of the list.
-    list_revision: Cell<u64>,
-    process_config: RefCell<Rc<ProcessConfig>>,
+/// What is measured of the backends.
+struct Measurements {
+    latency: LatencyTracker,
+    reports: ReportClassifier,
 }
 
-/// A req's place at the runtime; dropped, it is gone there.
-pub struct RequestRegistration {
-    runtime: Rc<Runtime>,
-    id: RequestId,
+impl Measurements {
+    fn new(config: &BalancerConfig) -> Self {
+        Self {
+            latency: LatencyTracker::new(config),
+            reports: ReportClassifier::new(config),
+        }
+    }
 }
 
-impl Drop for RequestRegistration {
-    fn drop(&mut self) {
-        self.runtime.state.borrow_mut().inboxes.remove(&self.id);
-    }
+/// The state that all tasks of the process share.
+pub struct Runtime {
+    clock: Clock,
+    balancer: RefCell<BalancerState>,
+    measurements: RefCell<Measurements>,
+    endpoints: RefCell<EndpointDirectory>,
+    requests: Rc<RequestRegistry>,
+    process_config: RefCell<Rc<ProcessConfig>>,
+    /// How far the life of the process has come.
+    pub lifecycle: LifecycleState,
+    /// The other processes of this balancer.
+    pub peer_processes: PeerProcesses,
+    /// The descriptors that clients hold here.
+    pub connection_limit: Rc<ConnectionLimit>,
+    /// Wakes the discovery watcher.
+    pub poll_requested: Notify,
+    /// Wakes those who follow the endpoint list.
+    pub endpoints_changed: Notify,
 }
 
 impl Runtime {
-    /// The runtime of a node, not yet told of any server.
-    pub fn new(node: ProcessConfig) -> Self {
-        let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
-        let state = State {
-            balancer: Balancer::new(node.config.clone(), node.seed),
+    /// The runtime of a process that knows no endpoint yet.
+    pub fn new(process_config: ProcessConfig) -> Self {
+        let config = &process_config.config;
+        let balancer = BalancerState {
+            balancer: Balancer::new(config.clone(), process_config.seed),
             actions: Vec::new(),
-            listed: HashMap::new(),
-            outs: Outs::default(),
-            inboxes: HashMap::new(),
-            delays: LatencyTracker::new(&node.config),
-            reports: ReportClassifier::new(&node.config),
         };
         Self {
-            state: RefCell::new(state),
-            anchor: (Instant::now(), unix.unwrap_or_default().as_secs_f64()),
+            clock: Clock::start(),
+            balancer: RefCell::new(balancer),
+            measurements: RefCell::new(Measurements::new(config)),
+            endpoints: RefCell::default(),
+            requests: Rc::default(),
+            process_config: RefCell::new(Rc::new(process_config)),
+            lifecycle: LifecycleState::default(),
+            peer_processes: PeerProcesses::default(),
+            connection_limit: Rc::default(),
             poll_requested: Notify::new(),
             endpoints_changed: Notify::new(),
-            discovery_answered: Cell::new(false),
-            shutting_down: Cell::new(false),
-            lameduck: watch::Sender::new(false),
-            lameduck_requested_here: Cell::new(false),
-            accepting: watch::Sender::new(true),
-            clients_without_request: Cell::new(0),
-            clients_with_pending_close: Cell::new(0),
-            exiting: watch::Sender::new(false),
-            connection_limit: Rc::default(),
-            peer_process_descriptors: Cell::new(0),
-            clients_handed_over: Cell::new(false),
-            successor: watch::Sender::new(None),
-            peer_processes: RefCell::default(),
-            list_revision: Cell::new(0),
-            process_config: RefCell::new(Rc::new(node)),
         }
     }
 
-    /// What is configured now.
+    /// The current configuration.
     pub fn process_config(&self) -> Rc<ProcessConfig> {
         self.process_config.borrow().clone()
     }
 
-    /// Takes over what is configured anew.
-    pub fn apply_config(self: &Rc<Self>, node: ProcessConfig) {
-        let config = node.config.clone();
-        let mut state = self.state.borrow_mut();
-        (state.delays, state.reports) =
-            (LatencyTracker::new(&config), ReportClassifier::new(&config));
-        drop(state);
-        self.process_config.replace(Rc::new(node));
+    /// Brings another configuration into effect.
+    pub fn apply_config(self: &Rc<Self>, process_config: ProcessConfig) {
+        let config = process_config.config.clone();
+        self.measurements.replace(Measurements::new(&config));
+        self.process_config.replace(Rc::new(process_config));
         self.handle_event(Event::ConfigChanged(config));
     }
 
-    /// The time now, on a clock that never goes back.
+    /// The current time, on a clock that never goes back.
     pub fn now(&self) -> Time {
-        self.anchor.1 + self.anchor.0.elapsed().as_secs_f64()
+        self.clock.now()
     }
 
     /// The instant of a time.
     pub fn instant(&self, time: Time) -> tokio::time::Instant {
-        (self.anchor.0 + duration(time - self.anchor.1)).into()
+        self.clock.instant(time)
     }
 
-    /// Hands an event to the module and carries out what it answers, in command.
+    /// Passes an event to the balancer and dispatches the actions that it answers with, in their order.
     pub fn handle_event(self: &Rc<Self>, event: Event) {
-        let now = self.now();
-        let mut state = self.state.borrow_mut();
-        let State {
-            balancer, actions, ..
-        } = &mut *state;
-        balancer.handle(now, &event, actions);
-        let mut actions = std::mem::take(&mut state.actions);
+        let mut state = self.balancer.borrow_mut();
+        let BalancerState { balancer, actions } = &mut *state;
+        balancer.handle(self.now(), &event, actions);
         for action in actions.drain(..) {
             tracing::trace!(?action);
-            match action {
-                Action::StartAttempt { id, server, until } => {
-                    state.send_command(id, Command::StartAttempt(server, until))
-                }
-                Action::Reject { id, retry_after } => {
-                    state.send_command(id, Command::Reject((retry_after * 1000.0) as u64));
-                }
-                Action::Fail(id) => state.send_command(id, Command::Fail),
-                Action::CancelAttempt { id, attempt } => {
-                    state.send_command(id, Command::CancelAttempt(attempt))
-                }
-                Action::Migrate(id) => state.send_command(id, Command::Migrate),
-                Action::PollDiscovery => self.poll_requested.notify_one(),
-                Action::SetTimer { after, token } => self.schedule_timer(after, token),
+            self.dispatch(action);
+        }
+    }
+
+    fn dispatch(self: &Rc<Self>, action: Action) {
+        match action {
+            Action::StartAttempt { id, server, until } => {
+                self.send_command(id, Command::StartAttempt(server, until));
+            }
+            Action::Reject { id, retry_after } => {
+                self.send_command(id, Command::Reject((retry_after * 1000.0) as u64));
+            }
+            Action::Fail(id) => self.send_command(id, Command::Fail),
+            Action::CancelAttempt { id, attempt } => {
+                self.send_command(id, Command::CancelAttempt(attempt));
             }
+            Action::Migrate(id) => self.send_command(id, Command::Migrate),
+            Action::PollDiscovery => self.poll_requested.notify_one(),
+            Action::SetTimer { after, token } => self.schedule_timer(after, token),
         }
-        state.actions = actions;
     }
 
     fn schedule_timer(self: &Rc<Self>, after: Time, token: u64) {
@@ -214,45 +165,19 @@
         });
     }
 
-    /// Takes a list from discovery: first the addresses, then the module.
+    /// Applies an endpoint list: first to the directory, so that the balancer chooses among known addresses.
     pub fn update_endpoints(self: &Rc<Self>, kind: UpdateKind, list: EndpointList) {
-        if let Some(entry) = list.unusable {
-            tracing::warn!(entry, "discovery names an address that cannot be used");
-        }
-        let now = self.now();
-        let slow_start_window = self.process_config().config.slow_start_window;
-        let mut state = self.state.borrow_mut();
-        self.list_revision.set(list.revision);
-        let State { listed, outs, .. } = &mut *state;
-        if kind != UpdateKind::Delta {
-            listed.clear();
-        }
-        let mut members = Vec::with_capacity(list.members.len());
-        for (raw, address) in list.members {
-            outs.listed(raw.id.0);
-            let seen = masked(
-                outs,
-                raw,
-                now,
-                slow_start_window,
-                self.clients_handed_over.get(),
-            );
-            tracing::debug!(member = ?raw, as_draining = seen.state != raw.state, %address, "listed");
-            members.push(seen);
-            match raw.state {
-                EndpointState::Removed => drop(listed.remove(&raw.id)),
-                _ => drop(listed.insert(raw.id, Listed { raw, seen, address })),
-            }
+        if let Some(entry) = &list.unusable {
+            tracing::warn!(entry, "unusable address in endpoint list");
         }
-        let event = Event::EndpointsUpdated(kind, members.into());
-        // The module's turn takes the state again.
-        drop(state);
-        self.handle_event(event);
+        let window = self.slow_start_window();
+        let endpoints = self.endpoints.borrow_mut().apply(kind, list, window);
+        self.handle_event(Event::EndpointsUpdated(kind, endpoints.into()));
         self.endpoints_changed.notify_one();
     }
 
-    /// Takes a list that control instances gave in discovery's stead; other processes of this balancer hear of it as
-    /// if it had come from there.
+    /// Applies a list that control instances distributed in place of discovery, and passes it on to the other processes
+    /// of this balancer as if it had come from discovery.
     pub fn update_from_distribution(self: &Rc<Self>, list: EndpointList) {
         let kind = match list.complete {
             true => UpdateKind::Full,
@@ -262,191 +187,119 @@
             revision = list.revision,
             complete = list.complete,
             entries = list.members.len(),
-            "a followed list"
+            "endpoint list received from distribution"
         );
-        self.discovery_answered.set(true);
-        self.notify_peer_processes(|| hot_restart::news(&list));
+        self.lifecycle.set_discovery_answered();
+        self.peer_processes.broadcast(|| list_update_frame(&list));
         self.update_endpoints(kind, list);
     }
 
-    /// Which backends the staff has taken out.
+    /// The servers under maintenance.
     pub fn maintenance(&self) -> Outs {
-        self.state.borrow().outs.clone()
+        self.endpoints.borrow().maintenance().clone()
     }
 
-    /// Takes over which are taken out now.
-    pub fn merge_maintenance(self: &Rc<Self>, outs: &Outs) {
-        self.state.borrow_mut().outs.merge(outs);
+    /// Merges in newer knowledge of the servers under maintenance.
+    pub fn merge_maintenance(self: &Rc<Self>, maintenance: &Outs) {
+        self.endpoints.borrow_mut().merge_maintenance(maintenance);
         self.refresh_endpoints();
     }
 
-    /// Another process takes the clients, or does so no more.
-    pub fn set_clients_handed_over(self: &Rc<Self>, handed: bool) {
-        self.clients_handed_over.set(handed);
+    /// Sets whether another process takes the clients.
+    pub fn set_clients_handed_over(self: &Rc<Self>, handed_over: bool) {
+        self.endpoints
+            .borrow_mut()
+            .set_clients_handed_over(handed_over);
         self.refresh_endpoints();
-        self.accepting.send_replace(!handed);
+        self.lifecycle.set_accepting(!handed_over);
     }
 
-    /// Looks at all listed backends anew: the module hears of those that count as something else now, as if
-    /// discovery had told.
+    /// Masks all endpoints anew, and tells the balancer of those that changed as if discovery had.
     fn refresh_endpoints(self: &Rc<Self>) {
-        let (now, slow_start_window) = (self.now(), self.process_config().config.slow_start_window);
-        let mut state = self.state.borrow_mut();
-        let State { listed, outs, .. } = &mut *state;
-        let mut changed = Vec::new();
-        for at in listed.values_mut() {
-            let seen = masked(
-                outs,
-                at.raw,
-                now,
-                slow_start_window,
-                self.clients_handed_over.get(),
-            );
-            if (seen.state, seen.started) != (at.seen.state, at.seen.started) {
-                at.seen = seen;
-                changed.push(seen);
-            }
-        }
-        drop(state);
+        let window = self.slow_start_window();
+        let changed = self.endpoints.borrow_mut().refresh(window);
         if !changed.is_empty() {
             self.handle_event(Event::EndpointsUpdated(UpdateKind::Delta, changed.into()));
             self.endpoints_changed.notify_one();
         }
     }
 
-    /// Goes on from what another process of this balancer knows.
-    pub fn restore(self: &Rc<Self>, known: Snapshot) {
-        match postcard::from_bytes(&known.module) {
-            Ok(balancer) => self.state.borrow_mut().balancer = balancer,
-            Err(e) => {
-                tracing::warn!(error = %e, "what the process before has learnt cannot be read")
-            }
+    fn slow_start_window(&self) -> SlowStartWindow {
+        SlowStartWindow {
+            now: self.now(),
+            length: self.process_config().config.slow_start_window,
         }
-        self.handle_event(Event::ConfigChanged(self.process_config().config.clone()));
-        self.update_endpoints(UpdateKind::Full, known.list());
     }
 
-    /// What another process of this balancer needs to go on from here.
-    pub fn snapshot(&self) -> Snapshot {
-        let state = self.state.borrow();
-        let members = state.listed.values().map(|at| (at.raw, at.address));
-        Snapshot {
-            discovery: self.process_config().discovery,
-            revision: self.list_revision.get(),
-            members: members.collect(),
-            module: postcard::to_stdvec(&state.balancer).unwrap_or_default(),
-            outs: state.outs.write(),
-            lameduck: *self.lameduck.borrow(),
-        }
-    }
-
-    /// The version of the list as it is known here.
+    /// Revision of the endpoint list applied last.
     pub fn list_revision(&self) -> u64 {
-        self.list_revision.get()
+        self.endpoints.borrow().revision()
     }
 
-    /// The descriptors that this process may hold.
-    pub fn descriptor_limit(&self) -> usize {
-        self.process_config()
-            .sockets
-            .saturating_sub(self.peer_process_descriptors.get())
-    }
-
-    /// From here on news go into this queue too.
-    pub fn add_peer_process(&self, news: mpsc::Sender<Frame>) {
-        self.peer_processes.borrow_mut().push(news);
-    }
-
-    /// Tells other processes of this balancer. One that does not keep up hears nothing any more.
-    pub fn notify_peer_processes(&self, frame: impl Fn() -> Frame) {
-        let mut links = self.peer_processes.borrow_mut();
-        links.retain(|link| link.try_send(frame()).is_ok());
-    }
-
-    /// The address of a listed backend.
+    /// The address of a listed server.
     pub fn endpoint_address(&self, server: ServerId) -> Option<SocketAddr> {
-        self.state.borrow().listed.get(&server).map(|at| at.address)
+        self.endpoints.borrow().address(server)
     }
 
-    /// All listed backends with their addresses.
+    /// All listed servers with their addresses.
     pub fn endpoint_addresses(&self) -> Vec<(ServerId, SocketAddr)> {
-        let state = self.state.borrow();
-        let listed = state.listed.iter();
-        listed.map(|(id, at)| (*id, at.address)).collect()
+        self.endpoints.borrow().addresses()
     }
 
-    /// Whether the director still says that this backend takes new work.
+    /// Whether the server is listed and takes new requests.
     pub fn accepts_new_requests(&self, server: ServerId) -> bool {
-        let state = self.state.borrow();
-        state
-            .listed
-            .get(&server)
-            .is_some_and(|at| at.seen.state == EndpointState::Ready)
+        self.endpoints.borrow().accepts_new_requests(server)
+    }
+
+    /// The number of descriptors that this process may hold.
+    pub fn descriptor_limit(&self) -> usize {
+        let limit = self.process_config().sockets;
+        limit.saturating_sub(self.peer_processes.descriptors())
     }
 
-    /// Lists are pushed: what the agent has counts as told, from the first moment of this process on.
+    /// Whether endpoint lists are pushed by an agent.
     pub fn has_pushed_discovery(&self) -> bool {
         self.process_config().config.discovery_mode == DiscoveryMode::Pushed
     }
 
-    /// Any backend is known: requests can be decided. Where lists are pushed, the agent is heard first, if it speaks.
+    /// Whether requests can be decided: an endpoint is listed, and where lists are pushed the agent has answered or has
+    /// had its time to.
     pub fn is_ready(&self) -> bool {
-        let heard = self.discovery_answered.get()
+        let list_received = self.lifecycle.has_discovery_answered()
             || !self.has_pushed_discovery()
-            || self.anchor.0.elapsed() >= AGENT;
-        heard && !self.state.borrow().listed.is_empty()
+            || self.clock.uptime() >= PUSHED_LIST_WAIT;
+        list_received && !self.endpoints.borrow().is_empty()
     }
 
-    /// Opens an inbox; `None` if there is a live req with this id.
+    /// Registers a request; `None` if its id is in use.
     pub fn register_request(
-        self: &Rc<Self>,
+        &self,
         id: RequestId,
     ) -> Option<(RequestRegistration, mpsc::UnboundedReceiver<Command>)> {
-        let (commands, inbox) = mpsc::unbounded_channel();
-        let mut state = self.state.borrow_mut();
-        if state.inboxes.contains_key(&id) {
-            return None;
-        }
-        state.inboxes.insert(
-            id,
-            Inbox {
-                commands,
-                standing: false,
-            },
-        );
-        drop(state);
-        Some((
-            RequestRegistration {
-                runtime: self.clone(),
-                id,
-            },
-            inbox,
-        ))
+        self.requests.register(id)
     }
 
-    /// Notes that a req's connection stands.
+    /// Marks a request's connection as established.
     pub fn mark_established(&self, id: RequestId) {
-        if let Some(inbox) = self.state.borrow_mut().inboxes.get_mut(&id) {
-            inbox.standing = true;
-        }
+        self.requests.mark_established(id);
     }
 
-    /// The reqs here: those that stand, or those that still wait for an answer.
-    pub fn request_ids(&self, standing: bool) -> Vec<RequestId> {
-        let state = self.state.borrow();
-        let of = state
-            .inboxes
-            .iter()
-            .filter(|(_, inbox)| inbox.standing == standing);
-        of.map(|(id, _)| *id).collect()
+    /// Requests whose connection is established.
+    pub fn established_requests(&self) -> Vec<RequestId> {
+        self.requests.established()
     }
 
-    /// Puts an command into a req's inbox that the module did not give: the process is leaving.
+    /// Requests that wait for their response.
+    pub fn pending_requests(&self) -> Vec<RequestId> {
+        self.requests.pending()
+    }
+
+    /// Queues a command for a request.
     pub fn send_command(&self, id: RequestId, command: Command) {
-        self.state.borrow_mut().send_command(id, command);
+        self.requests.send_command(id, command);
     }
 
-    /// Takes a figure that a backend has reported on a connection; `first` if none was before.
+    /// Handles a figure that a backend reported on a connection; `first` if it is the connection's first.
     pub fn report_figure(
         self: &Rc<Self>,
         id: RequestId,
@@ -456,66 +309,31 @@
     ) {
         let now = self.now();
         let report = self
-            .state
+            .measurements
             .borrow_mut()
             .reports
-            .read(now, server, figure, first);
+            .classify(now, server, figure, first);
         match report {
             Report::Load(load) => self.handle_event(Event::LoadReport(id, load)),
-            Report::MessageTime(took) => {
-                tracing::debug!(%server, took, "a backend reports how long messages take");
-                self.handle_event(Event::LatencyReport(server, took));
+            Report::MessageTime(seconds) => {
+                tracing::debug!(%server, seconds, "message time reported by backend");
+                self.handle_event(Event::LatencyReport(server, seconds));
             }
             Report::Ambiguous => {}
         }
     }
 
-    /// Takes the time of a message at a backend.
-    pub fn report_message_time(self: &Rc<Self>, server: ServerId, took: Time) {
+    /// Handles the measured time of a message at a backend, in seconds.
+    pub fn report_message_time(self: &Rc<Self>, server: ServerId, seconds: Time) {
         let now = self.now();
-        let event = self.state.borrow_mut().delays.measured(now, server, took);
+        let event = self
+            .measurements
+            .borrow_mut()
+            .latency
+            .measure(now, server, seconds);
         if let Some(event) = event {
-            tracing::debug!(?event, "a backend is slow, or clear again");
+            tracing::debug!(?event, "backend latency changed");
             self.handle_event(event);
         }
     }
 }
-
-impl State {
-    fn send_command(&mut self, id: RequestId, command: Command) {
-        // A req that has just ended has no inbox any more; what was meant for it is void.
-        if let Some(inbox) = self.inboxes.get(&id) {
-            let _ = inbox.commands.send(command);
-        }
-    }
-}
-
-/// What the module is told of a backend: one that is taken out drains, whatever its list says.
-fn masked(
-    outs: &Outs,
-    raw: Endpoint,
-    now: Time,
-    slow_start_window: Time,
-    handed: bool,
-) -> Endpoint {
-    let mask = outs.mask(raw.id.0, raw.started, now, slow_start_window);
-    let state = match raw.state {
-        EndpointState::Ready if mask.out => EndpointState::Draining,
-        // Two processes that both use a cold server's budget use it twice.
-        EndpointState::Ready if handed && mask.started > now - slow_start_window => {
-            EndpointState::Draining
-        }
-        state => state,
-    };
-    let started = mask.started;
-    Endpoint {
-        state,
-        started,
-        ..raw
-    }
-}
-
-/// A span of the module's as the runtime's; what is not a length of time is none.
-pub fn duration(span: Time) -> Duration {
-    Duration::try_from_secs_f64(span.max(0.0)).unwrap_or(Duration::from_secs(4260))
-}
--- a/src/proxy/latency_tracker.rs
+++ b/src/runtime/report_classifier.rs
@@ -1,64 +1,14 @@
-//! How long messages take at each backend now: from lines and replies, and from what backends report.
+//! Tells apart the two kinds of figures that backends report.
 //!
-//! The settings name two kinds of notes, a connection's load (microseconds of work a second) and the time of a
-//! message at its server (milliseconds). On the socket both come as `LOAD X`, with nothing to mark the kind, so
-//! it is told by the figure: a message time comes once a second while it is long, is far smaller than any load
-//! but an idle connection's, and goes on from the last one.
+//! The settings name two kinds, a connection's load (microseconds of work a second) and the time of a message at its
+//! server (milliseconds). On the socket both come as `LOAD X`, with nothing to mark the kind, so it is told by the
+//! figure: a message time comes once a second while it is long, is far smaller than any load but an idle connection's,
+//! and follows the last one in time.
 
-use crate::api::{BalancerConfig, Event, ServerId, Time};
+use super::latency_tracker::shortest_message_objective;
+use crate::api::{BalancerConfig, ServerId, Time};
 use std::collections::HashMap;
 
-/// The shortest aim for a message, where the settings name one.
-fn shortest_aim(config: &BalancerConfig) -> Option<Time> {
-    let aims = config
-        .classes
-        .iter()
-        .filter_map(|class| class.message_latency_objective);
-    aims.reduce(f64::min)
-}
-
-/// While messages there take long, the module hears of it this often.
-const REPEAT: Time = 1.0;
-
-struct Slow {
-    told: Time,
-}
-
-/// The backends whose messages take long.
-pub struct LatencyTracker {
-    /// From here on they take long; infinite where no class names an aim for messages.
-    threshold: Time,
-    slow: HashMap<ServerId, Slow>,
-}
-
-impl LatencyTracker {
-    /// Takes the shortest aim for a message from the settings.
-    pub fn new(config: &BalancerConfig) -> Self {
-        Self {
-            threshold: shortest_aim(config).unwrap_or(f64::INFINITY) / 3.0,
-            slow: HashMap::new(),
-        }
-    }
-
-    /// Takes one measure; says what the module is to hear: once a second while over, once when clear.
-    pub fn measured(&mut self, now: Time, server: ServerId, took: Time) -> Option<Event> {
-        if took <= self.threshold {
-            return self
-                .slow
-                .remove(&server)
-                .map(|_| Event::LatencyReport(server, took));
-        }
-        match self.slow.get_mut(&server) {
-            Some(slow) if now < slow.told + REPEAT => return None,
-            Some(slow) => slow.told = now,
-            None => {
-                self.slow.insert(server, Slow { told: now });
-            }
-        }
-        Some(Event::LatencyReport(server, took))
-    }
-}
-
 /// A figure under this share of the mean load is no connection's, however idle it is: it is a message time. An idle
 /// connection's load is a hundredth of the mean and more.
 const LEAST_LOAD: f64 = 0.009;
@@ -98,7 +48,7 @@
 impl ReportClassifier {
     /// Takes from the settings whether message times are reported at all, and how long they may be.
     pub fn new(config: &BalancerConfig) -> Self {
-        let aim = shortest_aim(config).filter(|_| config.reports_latency);
+        let aim = shortest_message_objective(config).filter(|_| config.reports_latency);
         Self {
             most_delay: aim.map_or(0.0, |aim| MOST_DELAY * aim * 1000.0),
             usual: (0.0, 0.0),
@@ -108,7 +58,7 @@
     }
 
     /// Reads a figure of a connection there; `first` if it is the connection's first, which is its load.
-    pub fn read(&mut self, now: Time, server: ServerId, figure: f64, first: bool) -> Report {
+    pub fn classify(&mut self, now: Time, server: ServerId, figure: f64, first: bool) -> Report {
         let least = LEAST_LOAD * self.usual.0;
         if figure > self.most_delay || (first && figure >= least) {
             let (mean, count) = (self.usual.0, (self.usual.1 + 1.0).min(LOADS));
@@ -133,6 +83,3 @@
         Report::MessageTime(figure / 1000.0)
     }
 }
-
-#[cfg(test)]
-mod tests;
--- /dev/null
+++ b/src/runtime/request_registry.rs
@@ -0,0 +1,106 @@
+//! The requests of this process, each with the queue of its commands.
+
+use crate::api::{RequestId, ServerId, Time};
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::rc::Rc;
+use tokio::sync::mpsc;
+
+/// What the task of a request is to do.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum Command {
+    /// Start an attempt at this server, with this deadline.
+    StartAttempt(ServerId, Time),
+    /// Send the local response that rejects the request, with a Retry-After in milliseconds (0: none).
+    Reject(u64),
+    /// Send the local response that fails the request.
+    Fail,
+    /// Cancel the attempt with this number.
+    CancelAttempt(u32),
+    /// Ask the client of the established connection to reconnect elsewhere.
+    Migrate,
+    /// Transfer the established connection to the successor of this process.
+    Transfer,
+}
+
+struct RegisteredRequest {
+    commands: mpsc::UnboundedSender<Command>,
+    established: bool,
+}
+
+/// The requests that are served by this process.
+#[derive(Default)]
+pub struct RequestRegistry {
+    requests: RefCell<HashMap<RequestId, RegisteredRequest>>,
+}
+
+/// Keeps a request registered until it is dropped.
+pub struct RequestRegistration {
+    registry: Rc<RequestRegistry>,
+    id: RequestId,
+}
+
+impl Drop for RequestRegistration {
+    fn drop(&mut self) {
+        self.registry.requests.borrow_mut().remove(&self.id);
+    }
+}
+
+impl RequestRegistry {
+    /// Registers a request; `None` if the id is in use.
+    pub fn register(
+        self: &Rc<Self>,
+        id: RequestId,
+    ) -> Option<(RequestRegistration, mpsc::UnboundedReceiver<Command>)> {
+        let mut requests = self.requests.borrow_mut();
+        if requests.contains_key(&id) {
+            return None;
+        }
+        let (commands, queue) = mpsc::unbounded_channel();
+        let established = false;
+        requests.insert(
+            id,
+            RegisteredRequest {
+                commands,
+                established,
+            },
+        );
+        let registration = RequestRegistration {
+            registry: self.clone(),
+            id,
+        };
+        Some((registration, queue))
+    }
+
+    /// Marks a request's connection as established.
+    pub fn mark_established(&self, id: RequestId) {
+        if let Some(request) = self.requests.borrow_mut().get_mut(&id) {
+            request.established = true;
+        }
+    }
+
+    /// Requests whose connection is established.
+    pub fn established(&self) -> Vec<RequestId> {
+        self.ids(true)
+    }
+
+    /// Requests that wait for their response.
+    pub fn pending(&self) -> Vec<RequestId> {
+        self.ids(false)
+    }
+
+    fn ids(&self, established: bool) -> Vec<RequestId> {
+        let requests = self.requests.borrow();
+        let matching = requests
+            .iter()
+            .filter(|(_, request)| request.established == established);
+        matching.map(|(id, _)| *id).collect()
+    }
+
+    /// Queues a command; one for a request that has just ended is void.
+    pub fn send_command(&self, id: RequestId, command: Command) {
+        if let Some(request) = self.requests.borrow().get(&id) {
+            let _ = request.commands.send(command);
+        }
+    }
+}
--- /dev/null
+++ b/src/transfer/mod.rs
@@ -0,0 +1,21 @@
+//! What one process of a balancer sends to another during a hot restart: its state, its client connections and updates
+//! of the endpoint list.
+//!
+//! All of it is encoded with postcard, which knows fields by their place and enum variants by their number: the order
+//! and the types of fields are part of the format between versions.
+
+pub mod connection;
+pub mod sender;
+pub mod snapshot;
+
+pub use connection::{EstablishedConnection, TransferredConnection};
+pub use sender::ConnectionSender;
+pub use snapshot::Snapshot;
+
+use crate::discovery::endpoint_list::EndpointList;
+use spanspur_hot_restart::frame::Frame;
+
+/// The frame that notifies another process of an update of the endpoint list.
+pub fn list_update_frame(list: &EndpointList) -> Frame {
+    Frame::List(postcard::to_stdvec(list).unwrap_or_default())
+}
--- /dev/null
+++ b/src/transfer/sender.rs
@@ -0,0 +1,79 @@
+//! Sends connections to the successor and waits for its acknowledgements.
+
+use super::connection::TransferredConnection;
+use spanspur_hot_restart::frame::{Frame, MAX_DESCRIPTORS};
+use spanspur_hot_restart::link::Sender;
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::os::fd::BorrowedFd;
+use std::rc::Rc;
+use tokio::sync::oneshot;
+
+/// The link to the successor, over which connections are transferred.
+pub struct ConnectionSender {
+    link: Sender,
+    /// Connections that are sent and not acknowledged, by their number.
+    unacknowledged: RefCell<HashMap<u64, oneshot::Sender<bool>>>,
+    next_number: Cell<u64>,
+    closed: Cell<bool>,
+}
+
+impl ConnectionSender {
+    /// Sends over this link.
+    pub fn new(link: Sender) -> Rc<Self> {
+        Rc::new(Self {
+            link,
+            unacknowledged: RefCell::default(),
+            next_number: Cell::new(0),
+            closed: Cell::new(false),
+        })
+    }
+
+    /// The link itself, for frames other than connections.
+    pub fn link(&self) -> &Sender {
+        &self.link
+    }
+
+    /// Transfers a connection; `true` if the successor has taken it over, else it stays with this process. Waits for
+    /// the acknowledgement or for the end of the link. Must not be dropped before it completes.
+    pub async fn transfer(
+        &self,
+        connection: TransferredConnection,
+        descriptors: &[BorrowedFd<'_>],
+    ) -> bool {
+        let Ok(encoded) = postcard::to_stdvec(&connection) else {
+            return false;
+        };
+        if self.closed.get() {
+            return false;
+        }
+        let number = self.next_number.replace(self.next_number.get() + 1);
+        let (acknowledge, acknowledged) = oneshot::channel();
+        self.unacknowledged.borrow_mut().insert(number, acknowledge);
+        let frame = Frame::Connection(number, encoded);
+        if let Err(error) = self.link.send(&frame, descriptors).await {
+            tracing::warn!(%error, "connection transfer failed");
+            self.unacknowledged.borrow_mut().remove(&number);
+            return false;
+        }
+        acknowledged.await.unwrap_or(false)
+    }
+
+    /// Descriptors of the connections in transit: the successor counts them as its own.
+    pub fn descriptors_in_transit(&self) -> usize {
+        self.unacknowledged.borrow().len() * MAX_DESCRIPTORS
+    }
+
+    /// Handles the successor's acknowledgement of a connection: whether it has taken it over.
+    pub fn acknowledge(&self, number: u64, taken_over: bool) {
+        if let Some(waiting) = self.unacknowledged.borrow_mut().remove(&number) {
+            let _ = waiting.send(taken_over);
+        }
+    }
+
+    /// Ends all transfers: what is not acknowledged stays with this process.
+    pub fn close(&self) {
+        self.closed.set(true);
+        self.unacknowledged.borrow_mut().clear();
+    }
+}
--- a/src/proxy/request/tests.rs
+++ b/tests/client_memory.rs
@@ -1,6 +1,6 @@
 //! What a client costs for as long as its connection stands.
 
-use super::*;
+use spanspur::proxy::request::{go_on, serve};
 
 /// Bytes that the runtime allocates for each client at once and keeps to its end: the future that serves it. What is
 /// held across an await is in it, whether that branch is ever taken or not: a buffer does not belong there, a rare and
