--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -50,7 +50,7 @@
                 continue;
             }
         };
-        let Some(mut place) = room.enter_of(CALLERS) else {
+        let Some(mut place) = room.acquire(CALLERS) else {
             invariants::count("a caller finds no room");
             continue;
         };
--- a/src/invariants.rs
+++ b/src/invariants.rs
@@ -1,39 +1,41 @@
-//! What must hold: an assertion in debug builds, a counter in release builds.
+//! Checks of invariants, and counters of unusual events. A broken invariant stops a debug build and is counted in a
+//! release build.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
 thread_local! {
-    static BROKEN: RefCell<BTreeMap<&'static str, u64>> = const { RefCell::new(BTreeMap::new()) };
+    static COUNTERS: RefCell<BTreeMap<&'static str, u64>> = const { RefCell::new(BTreeMap::new()) };
 }
 
-/// Says whether `fact` holds. Where it does not, a debug build stops and a release build counts and logs it.
-pub fn holds(fact: bool, what: &'static str) -> bool {
-    debug_assert!(fact, "{what}");
-    if !fact {
-        count(what);
+/// Checks an invariant; returns whether it holds. Where it does not, a debug build panics, and a release build counts it
+/// under its description.
+pub fn holds(invariant: bool, description: &'static str) -> bool {
+    debug_assert!(invariant, "{description}");
+    if !invariant {
+        count(description);
     }
-    fact
+    invariant
 }
 
-/// Counts something that others may cause, such as malformed input; a debug build goes on too.
-pub fn count(what: &'static str) {
-    let times = BROKEN.with_borrow_mut(|broken| {
-        let times = broken.entry(what).or_default();
-        *times += 1;
-        *times
+/// Counts an event that others may cause, such as malformed input. Logged when the count is a power of two, so that the
+/// log stays readable under a flood.
+pub fn count(counter: &'static str) {
+    let count = COUNTERS.with_borrow_mut(|counters| {
+        let count = counters.entry(counter).or_default();
+        *count += 1;
+        *count
     });
-    // The log stays readable under a flood: powers of two only.
-    if times.is_power_of_two() {
-        tracing::warn!(counter = what, times, "so far");
+    if count.is_power_of_two() {
+        tracing::warn!(counter, count, "event counted");
     }
 }
 
-/// Logs every counter, for the end of the process.
-pub fn log_all() {
-    BROKEN.with_borrow(|broken| {
-        for (what, times) in broken {
-            tracing::info!(counter = what, times, "in all");
+/// Logs all counters, at the end of the process.
+pub fn log_counters() {
+    COUNTERS.with_borrow(|counters| {
+        for (counter, count) in counters {
+            tracing::info!(counter, count, "final count");
         }
     });
 }
--- a/src/lifecycle/hot_restart.rs
+++ b/src/lifecycle/hot_restart.rs
@@ -354,7 +354,7 @@
             let (client, backend) = (streams.next(), streams.next());
             let both = client.zip(backend);
             both.map(|(client, backend)| {
-                let place = runtime.connection_limit.take(true);
+                let place = runtime.connection_limit.admit_in_service();
                 start(request::go_on(
                     runtime.clone(),
                     stands,
@@ -365,7 +365,7 @@
             })
         }
         Ok(TransferredConnection::AwaitingRequest(said, left)) => streams.next().map(|client| {
-            let place = runtime.connection_limit.take(false);
+            let place = runtime.connection_limit.admit_idle();
             let reader = request::Reader::after(runtime, said, duration(left));
             start(request::serve(runtime.clone(), client, place, reader));
         }),
--- a/src/lifecycle/startup.rs
+++ b/src/lifecycle/startup.rs
@@ -50,7 +50,7 @@
             serve_until_shutdown(node, operator, serve, inherited),
         )
     });
-    invariants::log_all();
+    invariants::log_counters();
     match served {
         Ok(()) => ExitCode::SUCCESS,
         Err(what) => {
@@ -163,7 +163,10 @@
         };
         match accepted {
             Ok((client, _)) => {
-                match runtime.connection_limit.enter(runtime.descriptor_limit()) {
+                match runtime
+                    .connection_limit
+                    .acquire_for_client(runtime.descriptor_limit())
+                {
                     Some(place) => {
                         let reader = request::Reader::new(&runtime);
                         drop(spawn_local(request::serve(
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -81,7 +81,7 @@
             refused(0)
         }
         First::OpenRequest(opening) => {
-            if !place.serve(runtime.descriptor_limit()) {
+            if !place.acquire_for_service(runtime.descriptor_limit()) {
                 return turn_away(&runtime, &client).await;
             }
             open(&runtime, &client, opening).await
@@ -97,7 +97,7 @@
         Opened::Answer(line) => line,
     };
     // What is left is the client's to end.
-    place.idle();
+    place.become_idle();
     let _owed = runtime.lifecycle.clients_with_pending_close.count_client();
     tokio::select! {
         () = say_last(&client, answer.as_bytes()) => {}
@@ -176,7 +176,7 @@
     let _ = client.set_nodelay(true);
     let _ = SockRef::from(client).send(BUSY.as_bytes());
     let _ = SockRef::from(client).shutdown(Shutdown::Write);
-    let Some(_place) = runtime.connection_limit.linger() else {
+    let Some(_place) = runtime.connection_limit.acquire_for_lingering() else {
         // Not waited for, only read, past what the runtime knows: the spare descriptors are taken.
         for _ in 0..LAST_READS {
             let read = SockRef::from(client).recv(&mut [MaybeUninit::uninit(); MAX_LINE]);
--- a/src/runtime/connection_limit.rs
+++ b/src/runtime/connection_limit.rs
@@ -1,142 +1,166 @@
-//! The descriptors that clients may take. When they run out, those that have not said what they want, or have
-//! their answer already, give way to the others, the longest there first.
+//! Limits the descriptors that clients hold. When they run out, clients that have not sent their request, or have their
+//! final response already, are evicted for the others, the one that has waited longest first.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// Descriptors kept for what is not a client's or its backend's, and for those that are being closed.
-const SPARE: usize = 40;
-/// Of these, clients that are turned away and may still speak.
-const LINGERING: usize = 8;
-/// What a client takes that waits for nothing but its own words or its end.
-const IDLE: usize = 1;
-/// What a client takes that is served: its own descriptor and its backend's.
-const SERVED: usize = 2;
+/// Descriptors reserved for what is not a client's or its backend's, and for those that are being closed.
+const RESERVED_DESCRIPTORS: usize = 40;
+/// Of these, how many may be used by rejected clients that may still be sending.
+const MAX_LINGERING: usize = 8;
+/// Descriptors of an idle client: its own.
+const IDLE_DESCRIPTORS: usize = 1;
+/// Descriptors of a client in service: its own and its backend's.
+const SERVICE_DESCRIPTORS: usize = 2;
 
-/// Who holds descriptors.
+/// The descriptors held by clients.
 #[derive(Default)]
 pub struct ConnectionLimit {
     held: Cell<usize>,
     lingering: Cell<usize>,
-    /// One for each client that may be sent away; those whose other end is gone are out of date.
-    idle: RefCell<VecDeque<oneshot::Sender<()>>>,
+    /// Idle clients in the order in which they became idle; a closed channel is a client that is idle no longer.
+    evictable: RefCell<VecDeque<oneshot::Sender<()>>>,
 }
 
-/// A spare descriptor, until it is dropped.
-pub struct Lingering<'a>(&'a Cell<usize>);
+/// Holds one of the reserved descriptors until it is dropped.
+pub struct LingerPermit<'a>(&'a Cell<usize>);
 
-impl Drop for Lingering<'_> {
+impl Drop for LingerPermit<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// A client's part of the room, until it is dropped.
+/// Holds a client's descriptors until it is dropped.
 pub struct ConnectionPermit {
-    room: Rc<ConnectionLimit>,
+    limit: Rc<ConnectionLimit>,
     held: usize,
-    /// Says when the client has to go; `None` while it is served.
-    evict: Option<oneshot::Receiver<()>>,
+    /// Resolves when the client is evicted; `None` while the client is in service.
+    eviction: Option<oneshot::Receiver<()>>,
 }
 
 impl ConnectionLimit {
-    /// A place for a client that has said nothing yet; `None` if all room is taken by clients that are served.
-    pub fn enter(self: &Rc<Self>, sockets: usize) -> Option<ConnectionPermit> {
-        self.enter_of(sockets.saturating_sub(SPARE).max(SERVED))
+    /// A permit for a client that has sent nothing yet, in a process that may hold so many descriptors; `None` if
+    /// clients in service hold all that are not reserved.
+    pub fn acquire_for_client(
+        self: &Rc<Self>,
+        descriptor_limit: usize,
+    ) -> Option<ConnectionPermit> {
+        self.acquire(client_descriptors(descriptor_limit))
     }
 
-    /// A spare descriptor for one that is turned away; `None` where too many of them are taken.
-    pub fn linger(&self) -> Option<Lingering<'_>> {
+    /// A permit for an idle connection, among at most so many descriptors; `None` if none of them can be had.
+    pub fn acquire(self: &Rc<Self>, limit: usize) -> Option<ConnectionPermit> {
+        let mut permit = ConnectionPermit {
+            limit: self.clone(),
+            held: 0,
+            eviction: None,
+        };
+        permit.grow_to(IDLE_DESCRIPTORS, limit).then(|| {
+            permit.become_idle();
+            permit
+        })
+    }
+
+    /// A permit for an idle client that another process of this balancer transferred, whatever the limit.
+    pub fn admit_idle(self: &Rc<Self>) -> ConnectionPermit {
+        let mut permit = self.admit(IDLE_DESCRIPTORS);
+        permit.become_idle();
+        permit
+    }
+
+    /// A permit for a client in service that another process of this balancer transferred, whatever the limit.
+    pub fn admit_in_service(self: &Rc<Self>) -> ConnectionPermit {
+        self.admit(SERVICE_DESCRIPTORS)
+    }
+
+    fn admit(self: &Rc<Self>, held: usize) -> ConnectionPermit {
+        self.held.set(self.held.get() + held);
+        ConnectionPermit {
+            limit: self.clone(),
+            held,
+            eviction: None,
+        }
+    }
+
+    /// A reserved descriptor for a rejected client; `None` if too many are in use.
+    pub fn acquire_for_lingering(&self) -> Option<LingerPermit<'_>> {
         let lingering = &self.lingering;
-        (lingering.get() < LINGERING).then(|| {
+        (lingering.get() < MAX_LINGERING).then(|| {
             lingering.set(lingering.get() + 1);
-            Lingering(lingering)
+            LingerPermit(lingering)
         })
     }
 
-    /// The descriptors that are held.
+    /// The number of descriptors held.
     pub fn held(&self) -> usize {
         self.held.get()
     }
 
-    /// The place of a client that comes from another process of this balancer, whatever the room.
-    pub fn take(self: &Rc<Self>, served: bool) -> ConnectionPermit {
-        let mut place = ConnectionPermit {
-            room: self.clone(),
-            held: if served { SERVED } else { IDLE },
-            evict: None,
-        };
-        self.held.set(self.held.get() + place.held);
-        if !served {
-            place.idle();
+    /// Evicts the client that has been idle longest; `false` if none is idle. Its descriptor is closed a moment later:
+    /// the reserved ones cover that time.
+    fn evict_one(&self) -> bool {
+        let mut evictable = self.evictable.borrow_mut();
+        while let Some(client) = evictable.pop_front() {
+            if client.send(()).is_ok() {
+                return true;
+            }
         }
-        place
-    }
-
-    /// A place among so many descriptors.
-    pub fn enter_of(self: &Rc<Self>, limit: usize) -> Option<ConnectionPermit> {
-        let mut place = ConnectionPermit {
-            room: self.clone(),
-            held: 0,
-            evict: None,
-        };
-        place.grow_to(IDLE, limit).then(|| {
-            place.idle();
-            place
-        })
+        false
     }
 }
 
 impl ConnectionPermit {
-    /// From here on the client is served and stays, unless all room is taken by others that do.
-    pub fn serve(&mut self, sockets: usize) -> bool {
-        self.evict = None;
-        self.grow_to(SERVED, sockets.saturating_sub(SPARE).max(SERVED))
+    /// Extends the permit to a client in service, which is not evicted; `false` if there are no descriptors for it.
+    pub fn acquire_for_service(&mut self, descriptor_limit: usize) -> bool {
+        self.eviction = None;
+        self.grow_to(SERVICE_DESCRIPTORS, client_descriptors(descriptor_limit))
     }
 
-    /// From here on the client may be sent away.
-    pub fn idle(&mut self) {
-        let held = &self.room.held;
-        held.set(held.get() - (self.held - IDLE));
-        self.held = IDLE;
-        let (evict, evicted) = oneshot::channel();
-        self.evict = Some(evicted);
-        let mut idle = self.room.idle.borrow_mut();
-        while idle.front().is_some_and(oneshot::Sender::is_closed) {
-            idle.pop_front();
+    /// Reduces the permit to an idle client, which may be evicted.
+    pub fn become_idle(&mut self) {
+        let held = &self.limit.held;
+        held.set(held.get() - (self.held - IDLE_DESCRIPTORS));
+        self.held = IDLE_DESCRIPTORS;
+        let (evict, eviction) = oneshot::channel();
+        self.eviction = Some(eviction);
+        let mut evictable = self.limit.evictable.borrow_mut();
+        while evictable.front().is_some_and(oneshot::Sender::is_closed) {
+            evictable.pop_front();
         }
-        idle.push_back(evict);
+        evictable.push_back(evict);
     }
 
-    /// Waits until the client has to go.
+    /// Waits until the client is evicted.
     pub async fn evicted(&mut self) {
-        match &mut self.evict {
-            Some(evicted) => drop(evicted.await),
+        match &mut self.eviction {
+            Some(eviction) => drop(eviction.await),
             None => std::future::pending().await,
         }
     }
 
     fn grow_to(&mut self, wanted: usize, limit: usize) -> bool {
-        let room = &self.room;
-        let more = wanted.saturating_sub(self.held);
-        if room.held.get() + more > limit {
-            // The one that leaves gives its descriptor back a moment later: the spare ones bridge that.
-            let mut idle = room.idle.borrow_mut();
-            let gone = std::iter::from_fn(|| idle.pop_front()).find_map(|one| one.send(()).ok());
-            if gone.is_none() {
-                return false;
-            }
+        let additional = wanted.saturating_sub(self.held);
+        if self.limit.held.get() + additional > limit && !self.limit.evict_one() {
+            return false;
         }
-        room.held.set(room.held.get() + more);
-        self.held += more;
+        self.limit.held.set(self.limit.held.get() + additional);
+        self.held += additional;
         true
     }
 }
 
 impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        self.room.held.set(self.room.held.get() - self.held);
+        self.limit.held.set(self.limit.held.get() - self.held);
     }
 }
+
+/// Of the descriptors that the process may hold, those for clients: at least one client can be served.
+fn client_descriptors(descriptor_limit: usize) -> usize {
+    descriptor_limit
+        .saturating_sub(RESERVED_DESCRIPTORS)
+        .max(SERVICE_DESCRIPTORS)
+}
--- a/src/runtime/report_classifier.rs
+++ b/src/runtime/report_classifier.rs
@@ -9,77 +9,106 @@
 use crate::api::{BalancerConfig, ServerId, Time};
 use std::collections::HashMap;
 
-/// A figure under this share of the mean load is no connection's, however idle it is: it is a message time. An idle
-/// connection's load is a hundredth of the mean and more.
-const LEAST_LOAD: f64 = 0.009;
-/// A server whose messages take longer than so many of the shortest aims has dropped its connections.
-const MOST_DELAY: f64 = 10.0;
-/// The mean load is taken over about so many figures.
-const LOADS: f64 = 100.0;
-/// Between the two, a figure is a message time if it comes a second, or two, after another of the kind, give or
-/// take this: an idle connection's load is as small, but keeps no time.
-const SECOND: Time = 1.0;
-const SECONDS: Time = 2.0;
-const GIVE: Time = 0.05;
+/// A figure under this share of the mean load is a message time: the load of an idle connection is a hundredth of the
+/// mean and more.
+const LEAST_LOAD_SHARE: f64 = 0.009;
+/// The longest message time, in shortest objectives: a server that is slower has dropped its connections.
+const LONGEST_MESSAGE_OBJECTIVES: f64 = 10.0;
+/// The number of loads in the running mean.
+const MEAN_LOAD_SAMPLES: f64 = 100.0;
+/// Message times of a server come at this interval, in seconds.
+const REPORT_INTERVAL: Time = 1.0;
+/// A message time follows another within this many intervals. The load of an idle connection is as small, but does not
+/// keep the interval.
+const MAX_INTERVALS: f64 = 2.0;
+/// Tolerance of the interval, in seconds.
+const INTERVAL_TOLERANCE: Time = 0.05;
 
-/// What a figure on a connection is.
+/// What a reported figure is.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Report {
     /// The connection's load, in microseconds of work a second.
     Load(f64),
-    /// The time that a message takes at its backend.
+    /// The time of a message at the backend, in seconds.
     MessageTime(Time),
-    /// It could be either: the next one will tell.
+    /// Either of them: the next figure will tell.
     Ambiguous,
 }
 
-/// Tells the two kinds of figures apart.
+/// Mean of the loads, weighted towards the latest; 0 before the first.
+#[derive(Default)]
+struct MeanLoad {
+    mean: f64,
+    samples: f64,
+}
+
+impl MeanLoad {
+    fn add(&mut self, load: f64) {
+        self.samples = (self.samples + 1.0).min(MEAN_LOAD_SAMPLES);
+        self.mean += (load - self.mean) / self.samples;
+    }
+}
+
+/// Classifies the figures that backends report on connections.
 pub struct ReportClassifier {
-    /// The most milliseconds that a message time may be; none is where the settings name no such reports, or no aim.
-    most_delay: f64,
-    /// The mean of the loads, 0 before the first, and of how many.
-    usual: (f64, f64),
-    /// When each backend last reported a message time, and when a figure that could be one; kept while another
-    /// may follow, so that backends that have gone leave nothing.
-    delays: HashMap<ServerId, Time>,
-    unclear: HashMap<ServerId, Time>,
+    /// The longest message time, in milliseconds; 0 where the settings name no such reports, or no objective.
+    longest_message_time: f64,
+    mean_load: MeanLoad,
+    /// When each server last reported a message time, while another may follow.
+    message_times: HashMap<ServerId, Time>,
+    /// When each server last reported an ambiguous figure, while a message time may follow.
+    ambiguous: HashMap<ServerId, Time>,
 }
 
 impl ReportClassifier {
-    /// Takes from the settings whether message times are reported at all, and how long they may be.
+    /// A classifier for the reports and objectives that the settings name.
     pub fn new(config: &BalancerConfig) -> Self {
-        let aim = shortest_message_objective(config).filter(|_| config.reports_latency);
+        let objective = shortest_message_objective(config).filter(|_| config.reports_latency);
+        let longest_message_time =
+            objective.map_or(0.0, |seconds| LONGEST_MESSAGE_OBJECTIVES * seconds * 1000.0);
         Self {
-            most_delay: aim.map_or(0.0, |aim| MOST_DELAY * aim * 1000.0),
-            usual: (0.0, 0.0),
-            delays: HashMap::new(),
-            unclear: HashMap::new(),
+            longest_message_time,
+            mean_load: MeanLoad::default(),
+            message_times: HashMap::new(),
+            ambiguous: HashMap::new(),
         }
     }
 
-    /// Reads a figure of a connection there; `first` if it is the connection's first, which is its load.
+    /// Classifies a figure of a connection; `first` if it is the connection's first, which is its load.
     pub fn classify(&mut self, now: Time, server: ServerId, figure: f64, first: bool) -> Report {
-        let least = LEAST_LOAD * self.usual.0;
-        if figure > self.most_delay || (first && figure >= least) {
-            let (mean, count) = (self.usual.0, (self.usual.1 + 1.0).min(LOADS));
-            self.usual = (mean + (figure - mean) / count, count);
+        let least_load = LEAST_LOAD_SHARE * self.mean_load.mean;
+        if figure > self.longest_message_time || (first && figure >= least_load) {
+            self.mean_load.add(figure);
             return Report::Load(figure);
         }
-        let may_follow = |_: &ServerId, at: &mut Time| now - *at <= SECONDS * SECOND + GIVE;
-        self.delays.retain(may_follow);
-        self.unclear.retain(may_follow);
-        let in_time = |at: Time| {
-            let seconds = ((now - at) / SECOND).round();
-            (1.0..=SECONDS).contains(&seconds) && (now - at - seconds * SECOND).abs() <= GIVE
-        };
-        let goes_on = self.delays.get(&server).is_some_and(|at| in_time(*at));
-        if figure >= least && !goes_on {
-            let last = self.unclear.insert(server, now);
-            if !last.is_some_and(in_time) {
+        self.forget_expired(now);
+        if figure >= least_load && !self.continues_message_times(now, server) {
+            let last_ambiguous = self.ambiguous.insert(server, now);
+            if !last_ambiguous.is_some_and(|last| keeps_interval(now, last)) {
                 return Report::Ambiguous;
             }
         }
-        self.delays.insert(server, now);
+        self.message_times.insert(server, now);
         Report::MessageTime(figure / 1000.0)
     }
+
+    fn continues_message_times(&self, now: Time, server: ServerId) -> bool {
+        let last = self.message_times.get(&server);
+        last.is_some_and(|last| keeps_interval(now, *last))
+    }
+
+    /// Drops servers whose next report can no longer keep the interval.
+    fn forget_expired(&mut self, now: Time) {
+        let longest_gap = MAX_INTERVALS * REPORT_INTERVAL + INTERVAL_TOLERANCE;
+        let may_follow = |_: &ServerId, last: &mut Time| now - *last <= longest_gap;
+        self.message_times.retain(may_follow);
+        self.ambiguous.retain(may_follow);
+    }
+}
+
+/// Whether a report now follows one at `last` by a whole number of intervals.
+fn keeps_interval(now: Time, last: Time) -> bool {
+    let intervals = ((now - last) / REPORT_INTERVAL).round();
+    let deviation = (now - last - intervals * REPORT_INTERVAL).abs();
+    (1.0..=MAX_INTERVALS).contains(&intervals) && deviation <= INTERVAL_TOLERANCE
 }
