--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -3,7 +3,7 @@
 use super::maintenance_store::MaintenanceStore;
 use crate::api::ServerId;
 use crate::invariants;
-use crate::proxy::relay::say_last;
+use crate::proxy::closing::send_and_close;
 use crate::runtime::Runtime;
 use crate::runtime::connection_limit::ConnectionLimit;
 use spanspur_admin::call::{Answer, Call, MAX_BODY, MAX_HEAD, read};
@@ -64,7 +64,7 @@
             if let Some(answer) = answer {
                 let answer = answer.bytes();
                 tokio::select! {
-                    () = say_last(&caller, &answer) => {}
+                    () = send_and_close(&caller, &answer) => {}
                     () = place.evicted() => {}
                 }
             }
--- a/src/lifecycle/hot_restart.rs
+++ b/src/lifecycle/hot_restart.rs
@@ -4,7 +4,8 @@
 use crate::api::UpdateKind;
 use crate::discovery::endpoint_list::EndpointList;
 use crate::invariants;
-use crate::proxy::request;
+use crate::proxy::client::{serve, serve_transferred};
+use crate::proxy::client_reader::ClientReader;
 use crate::runtime::{Runtime, duration};
 use crate::transfer::{ConnectionSender, Snapshot, TransferredConnection};
 use spanspur_admin::outs::Outs;
@@ -355,7 +356,7 @@
             let both = client.zip(backend);
             both.map(|(client, backend)| {
                 let place = runtime.connection_limit.admit_in_service();
-                start(request::go_on(
+                start(serve_transferred(
                     runtime.clone(),
                     stands,
                     client,
@@ -366,8 +367,8 @@
         }
         Ok(TransferredConnection::AwaitingRequest(said, left)) => streams.next().map(|client| {
             let place = runtime.connection_limit.admit_idle();
-            let reader = request::Reader::after(runtime, said, duration(left));
-            start(request::serve(runtime.clone(), client, place, reader));
+            let reader = ClientReader::resume(runtime, said, duration(left));
+            start(serve(runtime.clone(), client, place, reader));
         }),
         Err(e) => {
             tracing::warn!(error = %e, "a connection cannot be read");
--- a/src/lifecycle/startup.rs
+++ b/src/lifecycle/startup.rs
@@ -9,7 +9,8 @@
 use crate::invariants;
 use crate::lifecycle::graceful_shutdown;
 use crate::lifecycle::signals::{Reload, Signals};
-use crate::proxy::{listener, request};
+use crate::proxy::client_reader::ClientReader;
+use crate::proxy::{client, listener, local_response};
 use crate::runtime::Runtime;
 use spanspur_operator_config::{Format, Operator};
 use std::io::IsTerminal;
@@ -162,23 +163,25 @@
             accepted = listener.accept() => accepted,
         };
         match accepted {
-            Ok((client, _)) => {
+            Ok((stream, _)) => {
                 match runtime
                     .connection_limit
                     .acquire_for_client(runtime.descriptor_limit())
                 {
                     Some(place) => {
-                        let reader = request::Reader::new(&runtime);
-                        drop(spawn_local(request::serve(
+                        let reader = ClientReader::new(&runtime);
+                        drop(spawn_local(client::serve(
                             runtime.clone(),
-                            client,
+                            stream,
                             place,
                             reader,
                         )));
                     }
                     None => {
                         let runtime = runtime.clone();
-                        spawn_local(async move { request::turn_away(&runtime, &client).await });
+                        spawn_local(async move {
+                            local_response::reject_for_descriptors(&runtime, &stream).await
+                        });
                     }
                 }
                 // In a crowd, those that give way for the next have to be gone before it is accepted.
--- a/src/proxy/attempt.rs
+++ b/src/proxy/attempt.rs
@@ -1,78 +1,164 @@
-//! A fetch: one attempt at one backend, from connecting to its first line.
+//! One attempt at one backend, from connecting to the backend's first line.
 
 use crate::api::{Outcome, ServerId, Time};
 use crate::protocol::client::{Lines, first_answer};
 use crate::runtime::{Runtime, duration};
+use std::io;
+use std::net::SocketAddr;
 use std::time::Duration;
+use thiserror::Error;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
-use tokio::time::timeout_at;
+use tokio::time::{Instant, timeout_at};
 
-/// A backend that has taken the connection.
+/// The backend gets no request with less time left than this.
+const LEAST_TIME: Duration = Duration::from_millis(1);
+
+/// A backend that has accepted the request.
 pub struct Backend {
     /// The connection.
     pub stream: TcpStream,
-    /// Its first line, as it came.
-    pub answer: String,
-    /// What came after that line.
+    /// Its first line, without the line end.
+    pub response: String,
+    /// Bytes that followed the first line.
     pub rest: Vec<u8>,
 }
 
-/// What may be sent where.
-#[derive(Clone, Copy, PartialEq)]
-pub enum Kind {
-    /// New work, only for a backend that takes some.
+/// What an attempt sends.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum AttemptKind {
+    /// A new request, only for a backend that takes new requests.
     New,
-    /// A connection that is open there already.
-    Again,
+    /// A request that reopens a connection, for the backend that has it.
+    Reopen,
+}
+
+/// Why an attempt failed.
+#[derive(Debug, Error)]
+pub enum AttemptError {
+    /// The server is not listed.
+    #[error("the server is not listed")]
+    NotListed,
+    /// The connection was not established in time.
+    #[error("connecting timed out")]
+    ConnectTimeout,
+    /// The connection could not be established.
+    #[error("connecting failed: {0}")]
+    Connect(#[source] io::Error),
+    /// No time was left once the connection was established.
+    #[error("no time left to send the request")]
+    NoTimeLeft,
+    /// The server took no new requests once the connection was established.
+    #[error("the server takes no new requests any more")]
+    NotAccepting,
+    /// The client had disconnected once the connection was established.
+    #[error("the client has disconnected")]
+    ClientDisconnected,
+    /// The request could not be sent.
+    #[error("sending the request failed: {0}")]
+    Send(#[source] io::Error),
+    /// No response came in time.
+    #[error("no response in time")]
+    ResponseTimeout,
+    /// The backend closed the connection, or sent what is no line.
+    #[error("no response before the end of the connection")]
+    NoResponse,
+    /// The backend's response does not accept the request.
+    #[error("the backend did not accept the request: {0:?}")]
+    NotAccepted(Outcome),
+    /// The balancer cancelled the attempt.
+    #[error("cancelled")]
+    Cancelled,
+}
+
+impl AttemptError {
+    /// The outcome of the attempt for the balancer.
+    pub fn outcome(&self) -> Outcome {
+        match self {
+            Self::NotListed | Self::NoTimeLeft | Self::NotAccepting | Self::ClientDisconnected => {
+                Outcome::NotSent
+            }
+            Self::ConnectTimeout | Self::Connect(_) | Self::Send(_) => Outcome::ConnectFailed,
+            Self::ResponseTimeout => Outcome::Timeout,
+            Self::NoResponse => Outcome::Reset,
+            Self::NotAccepted(outcome) => *outcome,
+            Self::Cancelled => Outcome::Cancelled,
+        }
+    }
 }
 
-/// Tries a backend until `until`. `first` writes the first line, given the milliseconds that are left, unless there is
-/// nobody left to send it for. The connection is closed by the time an error comes back, so that the next attempt is the
-/// only one out.
-pub async fn fetch(
+/// Attempts a request at a server until the time `until`. `request_line` gives the line to send, for the milliseconds that
+/// are left; `None` if the client has disconnected.
+///
+/// # Errors
+/// If the backend does not accept the request. The connection is closed by then, so that the next attempt is the only one
+/// in flight.
+pub async fn run(
     runtime: &Runtime,
     server: ServerId,
-    kind: Kind,
+    kind: AttemptKind,
     until: Time,
-    first: impl Fn(u64) -> Option<String>,
-) -> Result<Backend, Outcome> {
-    let Some(address) = runtime.endpoint_address(server) else {
-        return Err(Outcome::NotSent);
-    };
-    let end = runtime.instant(until);
-    let up_by = end.min(
-        tokio::time::Instant::now() + duration(runtime.process_config().config.connect_timeout),
-    );
-    let connecting = timeout_at(up_by, TcpStream::connect(address)).await;
-    let Ok(Ok(mut stream)) = connecting else {
-        return Err(Outcome::ConnectFailed);
-    };
-    // Connecting takes time, in which the director may have learnt that the backend drains or is gone, or
-    // the attempt's time may have run out: nothing may be sent then.
-    let left = duration(until - runtime.now());
-    if left < Duration::from_millis(1)
-        || (kind == Kind::New && !runtime.accepts_new_requests(server))
-    {
-        return Err(Outcome::NotSent);
+    request_line: impl Fn(u64) -> Option<String>,
+) -> Result<Backend, AttemptError> {
+    let address = runtime
+        .endpoint_address(server)
+        .ok_or(AttemptError::NotListed)?;
+    let deadline = runtime.instant(until);
+    let mut stream = connect(runtime, address, deadline).await?;
+    let time_left = check_still_allowed(runtime, server, kind, until)?;
+    let line =
+        request_line(time_left.as_millis() as u64).ok_or(AttemptError::ClientDisconnected)?;
+    // Lines are short and waited for: none is held back for more to come.
+    stream.set_nodelay(true).map_err(AttemptError::Send)?;
+    stream
+        .write_all(line.as_bytes())
+        .await
+        .map_err(AttemptError::Send)?;
+    read_response(stream, deadline).await
+}
+
+async fn connect(
+    runtime: &Runtime,
+    address: SocketAddr,
+    deadline: Instant,
+) -> Result<TcpStream, AttemptError> {
+    let connect_timeout = duration(runtime.process_config().config.connect_timeout);
+    let deadline = deadline.min(Instant::now() + connect_timeout);
+    timeout_at(deadline, TcpStream::connect(address))
+        .await
+        .map_err(|_| AttemptError::ConnectTimeout)?
+        .map_err(AttemptError::Connect)
+}
+
+/// Checks again what may have changed while the connection was established. Returns the time left.
+fn check_still_allowed(
+    runtime: &Runtime,
+    server: ServerId,
+    kind: AttemptKind,
+    until: Time,
+) -> Result<Duration, AttemptError> {
+    let time_left = duration(until - runtime.now());
+    if time_left < LEAST_TIME {
+        return Err(AttemptError::NoTimeLeft);
     }
-    let Some(line) = first(left.as_millis() as u64) else {
-        return Err(Outcome::NotSent);
-    };
-    if stream.set_nodelay(true).is_err() || stream.write_all(line.as_bytes()).await.is_err() {
-        return Err(Outcome::ConnectFailed);
+    if kind == AttemptKind::New && !runtime.accepts_new_requests(server) {
+        return Err(AttemptError::NotAccepting);
     }
+    Ok(time_left)
+}
+
+async fn read_response(stream: TcpStream, deadline: Instant) -> Result<Backend, AttemptError> {
     let mut lines = Lines::default();
-    match timeout_at(end, lines.next(&stream)).await {
-        Err(_) => Err(Outcome::Timeout),
-        Ok(Ok(Some(answer))) => {
-            first_answer(&answer)?;
-            Ok(Backend {
-                stream,
-                answer,
-                rest: lines.rest(),
-            })
-        }
-        Ok(_) => Err(Outcome::Reset),
-    }
+    let response = timeout_at(deadline, lines.next(&stream))
+        .await
+        .map_err(|_| AttemptError::ResponseTimeout)?;
+    let Ok(Some(response)) = response else {
+        return Err(AttemptError::NoResponse);
+    };
+    first_answer(&response).map_err(AttemptError::NotAccepted)?;
+    Ok(Backend {
+        stream,
+        response,
+        rest: lines.rest(),
+    })
 }
--- /dev/null
+++ b/src/proxy/client.rs
@@ -0,0 +1,137 @@
+//! Serves the connection of one client, from its first byte or from its transfer to its end.
+
+use crate::api::Event;
+use crate::invariants;
+use crate::proxy::client_reader::{ClientReader, FirstLine};
+use crate::proxy::closing::send_and_close;
+use crate::proxy::local_response::{LocalResponse, reject_for_descriptors};
+use crate::proxy::relay::{relay, resume};
+use crate::proxy::request::{OpenedConnection, RequestEnd, open};
+use crate::runtime::Runtime;
+use crate::runtime::connection_limit::ConnectionPermit;
+use crate::transfer::{ConnectionSender, EstablishedConnection, TransferredConnection};
+use std::os::fd::AsFd;
+use std::rc::Rc;
+use tokio::net::TcpStream;
+
+/// How the wait for a client's first line ends.
+enum Received {
+    /// With a line, or with the end of its time.
+    Line(FirstLine),
+    /// The client has to give its descriptor to another one.
+    Evicted,
+    /// The successor of this process has taken the client over.
+    Transferred,
+}
+
+/// Serves a client's connection.
+pub async fn serve(
+    runtime: Rc<Runtime>,
+    client: TcpStream,
+    mut permit: ConnectionPermit,
+    mut reader: ClientReader,
+) {
+    // Lines are short and waited for: none is held back for more to come.
+    let _ = client.set_nodelay(true);
+    let first_line = match receive(&runtime, &client, &mut permit, &mut reader).await {
+        Received::Line(first_line) => first_line,
+        Received::Evicted => return reject_for_descriptors(&runtime, &client).await,
+        Received::Transferred => return,
+    };
+    let is_front = reader.is_front();
+    drop(reader);
+    let opened = match first_line {
+        FirstLine::Disconnected => return,
+        FirstLine::TimedOut => Err(RequestEnd::Response(timeout_response(is_front))),
+        FirstLine::Malformed(reason) => Err(RequestEnd::Response(reason.respond())),
+        FirstLine::Request(request) => {
+            if !permit.acquire_for_service(runtime.descriptor_limit()) {
+                return reject_for_descriptors(&runtime, &client).await;
+            }
+            open(&runtime, &client, request).await
+        }
+    };
+    let response = match opened {
+        Ok(opened) => {
+            let OpenedConnection {
+                registration,
+                connection,
+                backend,
+                commands,
+            } = opened;
+            relay(runtime, connection, client, backend, commands).await;
+            return drop(registration);
+        }
+        Err(RequestEnd::Response(response)) => response,
+        Err(RequestEnd::Disconnected) => return,
+    };
+    // Only the client's closing is awaited from here on.
+    permit.become_idle();
+    let _counted = runtime.lifecycle.clients_with_pending_close.count_client();
+    let line = response.line();
+    tokio::select! {
+        () = send_and_close(&client, line.as_bytes()) => {}
+        () = permit.evicted() => {}
+    }
+}
+
+/// Receives the client's first line, unless the client is evicted or transferred before.
+async fn receive(
+    runtime: &Runtime,
+    client: &TcpStream,
+    permit: &mut ConnectionPermit,
+    reader: &mut ClientReader,
+) -> Received {
+    let mut transfer_failed = false;
+    let mut exiting = runtime.lifecycle.subscribe_exiting();
+    loop {
+        tokio::select! {
+            biased;
+            first_line = reader.first_line(runtime, client) => return Received::Line(first_line),
+            () = permit.evicted() => return Received::Evicted,
+            // The line may be in transit: the client gets its response without it.
+            Ok(_) = exiting.wait_for(|exiting| *exiting) => return Received::Line(FirstLine::TimedOut),
+            successor = runtime.peer_processes.wait_for_successor(), if !transfer_failed => {
+                if transfer(reader, client, &successor).await {
+                    return Received::Transferred;
+                }
+                transfer_failed = true;
+            }
+        }
+    }
+}
+
+/// Transfers a client that has not completed its first line; `false` if it stays with this process.
+async fn transfer(reader: &ClientReader, client: &TcpStream, successor: &ConnectionSender) -> bool {
+    let time_left = reader.time_left();
+    let connection = TransferredConnection::AwaitingRequest(reader.received(), time_left);
+    successor.transfer(connection, &[client.as_fd()]).await
+}
+
+/// A front that was told BUSY would send no clients here: it is told nothing and asks again on another connection.
+fn timeout_response(is_front: bool) -> LocalResponse {
+    if is_front {
+        return LocalResponse::Close;
+    }
+    invariants::count("no request in time");
+    LocalResponse::Rejected { retry_after: 0 }
+}
+
+/// Serves an established connection that another process of this balancer transferred.
+pub async fn serve_transferred(
+    runtime: Rc<Runtime>,
+    connection: EstablishedConnection,
+    client: TcpStream,
+    backend: TcpStream,
+    permit: ConnectionPermit,
+) {
+    let (request, server) = (connection.request, connection.server);
+    let Some((registration, commands)) = runtime.register_request(request.id) else {
+        invariants::count("transferred connection is here already");
+        return;
+    };
+    runtime.handle_event(Event::AlreadyEstablished(request, server));
+    runtime.mark_established(request.id);
+    resume(runtime, connection, client, backend, commands).await;
+    drop((registration, permit));
+}
--- /dev/null
+++ b/src/proxy/closing.rs
@@ -0,0 +1,66 @@
+//! How connections are closed, and how it is noticed that the peer has closed its side.
+
+use socket2::SockRef;
+use std::io::{self, ErrorKind};
+use std::mem::MaybeUninit;
+use std::net::Shutdown;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::task::yield_now;
+use tokio::time::timeout;
+
+/// When one side has closed, the other has this long to close too.
+pub const CLOSE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Bytes that [`discard`] reads at once.
+const DISCARD_CHUNK: usize = 16 * 1024;
+
+/// Reads and drops until the peer closes: closing with unread bytes would reset the connection and could take the last
+/// line with it.
+pub async fn discard(stream: &TcpStream) {
+    while stream.readable().await.is_ok() {
+        // Bound to a name: in the head of the match the buffer would live across the await.
+        let read = stream.try_read(&mut [0; DISCARD_CHUNK]);
+        match read {
+            Ok(0) => return,
+            // A peer that sends without pause must not starve the other tasks.
+            Ok(_) => yield_now().await,
+            Err(error) if error.kind() == ErrorKind::WouldBlock => {}
+            Err(_) => return,
+        }
+    }
+}
+
+/// Writes a last line, closes the sending side and waits, for a limited time, for the peer to close.
+pub async fn send_and_close(stream: &TcpStream, line: &[u8]) {
+    let close = async {
+        if write_all(stream, line).await.is_ok() {
+            let _ = SockRef::from(stream).shutdown(Shutdown::Write);
+            discard(stream).await;
+        }
+    };
+    let _ = timeout(CLOSE_TIMEOUT, close).await;
+}
+
+async fn write_all(stream: &TcpStream, mut line: &[u8]) -> io::Result<()> {
+    while !line.is_empty() && stream.writable().await.is_ok() {
+        match stream.try_write(line) {
+            Ok(written) => line = &line[written..],
+            Err(error) if error.kind() == ErrorKind::WouldBlock => {}
+            Err(error) => return Err(error),
+        }
+    }
+    Ok(())
+}
+
+/// Makes the connection close with a reset, as the other side's did.
+pub fn close_with_reset(stream: &TcpStream) {
+    let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
+}
+
+/// Whether the peer has closed or broken its side. Asks the kernel, which may know before the event loop does.
+pub fn has_disconnected(stream: &TcpStream) -> bool {
+    match SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]) {
+        Ok(received) => received == 0,
+        Err(error) => error.kind() != ErrorKind::WouldBlock,
+    }
+}
--- /dev/null
+++ b/src/proxy/direction.rs
@@ -0,0 +1,176 @@
+//! One direction of an established connection. Only complete lines are passed on, so that a line of the balancer's own
+//! can come between any two of them.
+
+use crate::invariants;
+use crate::protocol::client::MAX_LINE;
+use socket2::SockRef;
+use std::io::ErrorKind;
+use std::net::Shutdown;
+use tokio::net::TcpStream;
+
+/// What one step of a direction did.
+#[derive(Debug, PartialEq)]
+pub enum Step {
+    /// Bytes were read from the source.
+    Read,
+    /// Bytes were written to the destination.
+    Wrote,
+    /// The end of the source was passed on to the destination.
+    Ended,
+}
+
+/// The side of a direction that failed.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum FailedSide {
+    /// Reading from the source failed.
+    Source,
+    /// Writing to the destination failed.
+    Destination,
+}
+
+/// The bytes on their way in one direction.
+pub struct Direction {
+    buffer: Vec<u8>,
+    /// Bytes at the start of the buffer that may be written: complete lines, or all of it after the end.
+    writable: usize,
+    /// Ends, in the buffer, of the lines read since [`Self::take_line_ends`].
+    line_ends: Vec<usize>,
+    source_ended: bool,
+    end_passed_on: bool,
+}
+
+impl Direction {
+    /// A direction with these bytes read and not written yet.
+    pub fn new(buffer: Vec<u8>) -> Self {
+        let mut direction = Self {
+            buffer,
+            writable: 0,
+            line_ends: Vec::new(),
+            source_ended: false,
+            end_passed_on: false,
+        };
+        direction.find_line_ends(0);
+        direction
+    }
+
+    fn find_line_ends(&mut self, start: usize) {
+        let unsearched = self.buffer[start..].iter().enumerate();
+        let newlines = unsearched.filter(|(_, byte)| **byte == b'\n');
+        self.line_ends
+            .extend(newlines.map(|(at, _)| start + at + 1));
+        self.writable = self.line_ends.last().copied().unwrap_or(self.writable);
+    }
+
+    /// Writes what is writable, else reads more: the buffer never holds more than one read. Cancel safe.
+    ///
+    /// # Errors
+    /// The side that failed.
+    pub async fn step(
+        &mut self,
+        source: &TcpStream,
+        destination: &TcpStream,
+    ) -> Result<Step, FailedSide> {
+        loop {
+            if self.writable > 0 {
+                let writable = destination.writable().await;
+                writable.map_err(|_| FailedSide::Destination)?;
+                if self.try_write(destination)? {
+                    return Ok(Step::Wrote);
+                }
+            } else if self.source_ended {
+                if self.end_passed_on {
+                    return std::future::pending().await;
+                }
+                self.end_passed_on = true;
+                let _ = SockRef::from(destination).shutdown(Shutdown::Write);
+                return Ok(Step::Ended);
+            } else {
+                self.check_room()?;
+                source.readable().await.map_err(|_| FailedSide::Source)?;
+                if self.try_read(source)? {
+                    return Ok(Step::Read);
+                }
+            }
+        }
+    }
+
+    /// Writes without waiting; `false` if the destination takes nothing now.
+    fn try_write(&mut self, destination: &TcpStream) -> Result<bool, FailedSide> {
+        match destination.try_write(&self.buffer[..self.writable]) {
+            Ok(written) => {
+                self.buffer.drain(..written);
+                self.writable -= written;
+                Ok(true)
+            }
+            Err(error) if error.kind() == ErrorKind::WouldBlock => Ok(false),
+            Err(_) => Err(FailedSide::Destination),
+        }
+    }
+
+    /// A line without an end costs its own connection, not the memory of the process.
+    fn check_room(&self) -> Result<(), FailedSide> {
+        if self.buffer.len() < MAX_LINE {
+            return Ok(());
+        }
+        invariants::count("line of an established connection is too long");
+        Err(FailedSide::Source)
+    }
+
+    /// Reads without waiting; `false` if there was nothing to read, or the end.
+    fn try_read(&mut self, source: &TcpStream) -> Result<bool, FailedSide> {
+        let mut chunk = [0; MAX_LINE];
+        let room = MAX_LINE - self.buffer.len();
+        match source.try_read(&mut chunk[..room]) {
+            Ok(0) => {
+                self.end_source();
+                Ok(false)
+            }
+            Ok(read) => {
+                let start = self.buffer.len();
+                self.buffer.extend_from_slice(&chunk[..read]);
+                self.find_line_ends(start);
+                Ok(true)
+            }
+            Err(error) if error.kind() == ErrorKind::WouldBlock => Ok(false),
+            Err(_) => Err(FailedSide::Source),
+        }
+    }
+
+    /// Takes the ends, in the buffer, of the lines read since the last call.
+    pub fn take_line_ends(&mut self) -> Vec<usize> {
+        std::mem::take(&mut self.line_ends)
+    }
+
+    /// Reads nothing more; an incomplete line at the end is passed on as it is.
+    pub fn end_source(&mut self) {
+        self.source_ended = true;
+        self.writable = self.buffer.len();
+    }
+
+    /// Ends the direction with a line of the balancer's own, after the complete lines that are on their way.
+    pub fn end_with(&mut self, line: &[u8]) {
+        self.buffer.truncate(self.writable);
+        self.buffer.extend_from_slice(line);
+        self.end_source();
+    }
+
+    /// The bytes read and not written yet.
+    pub fn buffer(&self) -> &[u8] {
+        &self.buffer
+    }
+
+    /// Whether complete lines wait for the destination.
+    pub fn has_unwritten_lines(&self) -> bool {
+        self.writable > 0
+    }
+
+    /// Whether nothing more is read from the source.
+    pub fn has_source_ended(&self) -> bool {
+        self.source_ended
+    }
+
+    /// Whether the end of the source has been passed on to the destination.
+    pub fn is_end_passed_on(&self) -> bool {
+        self.end_passed_on
+    }
+}
--- a/src/proxy/relay.rs
+++ b/src/proxy/relay.rs
@@ -1,492 +1,376 @@
-//! Standing connections: lines pass both ways until one side ends, the backend falls silent, or the client is
-//! told to move.
+//! Relays an established connection: lines pass both ways until one side ends, the backend falls silent, or the client
+//! is asked to migrate.
 
-use crate::api::{AttemptEnded, Event, Outcome, Request, RequestId, ServerId};
+use crate::api::{AttemptEnded, Event, Outcome, Request, ServerId};
 use crate::invariants;
-use crate::protocol::client::{MAX_LINE, Said};
+use crate::protocol::client::Said;
 use crate::proxy::attempt::Backend;
-use crate::runtime::{Command, Runtime, duration};
+use crate::proxy::closing::{CLOSE_TIMEOUT, close_with_reset, discard};
+use crate::proxy::direction::{Direction, FailedSide, Step};
+use crate::proxy::reply_tracker::ReplyTracker;
+use crate::runtime::{Command, Runtime};
 use crate::transfer::{EstablishedConnection, TransferredConnection};
 use socket2::SockRef;
-use std::collections::VecDeque;
-use std::io::ErrorKind;
+use std::future::Future;
 use std::net::Shutdown;
+use std::ops::ControlFlow;
 use std::os::fd::AsFd;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc::UnboundedReceiver;
-use tokio::task::yield_now;
-use tokio::time::{Instant, sleep_until, timeout};
+use tokio::time::{Instant, sleep_until};
 
-/// A backend that has left a line unanswered for so long is gone without a sign. Clients send a line every 2 s
-/// and the connection has to end within 7 s: this leaves a second for our own delays.
-const SILENCE: Duration = Duration::from_secs(4);
-/// When one side has ended, the other gets this long to end too.
-const LINGER: Duration = Duration::from_secs(3);
-/// A backend that has said its last word gets this long to end, where the client would have to move.
-const LAST_WORD: Duration = Duration::from_secs(1);
-/// Lines sent and not answered are remembered up to this number.
-const MAX_ASKED: usize = 64;
+/// A backend that has announced the end of the connection has this long to close, where the client is to migrate.
+const ANNOUNCED_END_TIMEOUT: Duration = Duration::from_secs(1);
+/// Wake-up of a connection that waits for nothing in particular.
+const IDLE_WAKE_UP: Duration = Duration::from_secs(3600);
+/// The line that asks a client to connect elsewhere.
+const MIGRATE_LINE: &[u8] = b"MOVE\r\n";
 
-/// What a step of a flow did.
-#[derive(PartialEq)]
-enum Step {
-    Read,
-    Wrote,
-    End,
-}
-
-/// Which side of a flow broke.
-enum Broken {
-    From,
-    To,
-}
-
-/// One direction: whole lines are passed on, so that MOVE can come between any two of them.
-struct Flow {
-    buf: Vec<u8>,
-    /// Whole lines at the start of the buffer, not written yet.
-    ready: usize,
-    /// Read so far and searched for the ends of lines.
-    lines: Vec<usize>,
-    ended: bool,
-    /// The end has been passed on.
-    shut: bool,
-}
-
-impl Flow {
-    fn new(rest: Vec<u8>) -> Self {
-        let mut flow = Self {
-            buf: rest,
-            ready: 0,
-            lines: Vec::new(),
-            ended: false,
-            shut: false,
-        };
-        flow.find_lines(0);
-        flow
-    }
-
-    fn find_lines(&mut self, from: usize) {
-        let fresh = self.buf[from..].iter().enumerate();
-        self.lines.extend(
-            fresh
-                .filter(|(_, b)| **b == b'\n')
-                .map(|(at, _)| from + at + 1),
-        );
-        self.ready = self.lines.last().copied().unwrap_or(self.ready);
-    }
-
-    /// Writes what is ready, else reads more: the buffer never holds more than one read. Safe to drop halfway.
-    async fn step(&mut self, from: &TcpStream, to: &TcpStream) -> Result<Step, Broken> {
-        loop {
-            if self.ready > 0 {
-                to.writable().await.map_err(|_| Broken::To)?;
-                match to.try_write(&self.buf[..self.ready]) {
-                    Ok(n) => {
-                        self.buf.drain(..n);
-                        self.ready -= n;
-                        return Ok(Step::Wrote);
-                    }
-                    Err(e) if e.kind() == ErrorKind::WouldBlock => continue,
-                    Err(_) => return Err(Broken::To),
-                }
-            }
-            if self.ended {
-                if !self.shut {
-                    self.shut = true;
-                    let _ = SockRef::from(to).shutdown(Shutdown::Write);
-                    return Ok(Step::End);
-                }
-                return std::future::pending().await;
-            }
-            // A line that never ends costs its own connection, not our memory.
-            if self.buf.len() >= MAX_LINE {
-                invariants::count("a line of a standing connection is too long");
-                return Err(Broken::From);
-            }
-            from.readable().await.map_err(|_| Broken::From)?;
-            let mut chunk = [0; MAX_LINE];
-            let room = MAX_LINE - self.buf.len();
-            match from.try_read(&mut chunk[..room]) {
-                Ok(0) => {
-                    // What is left without an end goes on as it is.
-                    self.ended = true;
-                    self.ready = self.buf.len();
-                }
-                Ok(n) => {
-                    let start = self.buf.len();
-                    self.buf.extend_from_slice(&chunk[..n]);
-                    self.find_lines(start);
-                    return Ok(Step::Read);
-                }
-                Err(e) if e.kind() == ErrorKind::WouldBlock => {}
-                Err(_) => return Err(Broken::From),
-            }
-        }
-    }
-
-    /// Takes the fresh lines' places in the buffer.
-    fn fresh(&mut self) -> Vec<usize> {
-        std::mem::take(&mut self.lines)
-    }
-
-    /// Ends the flow with a last line, after the whole lines that are on their way.
-    fn finish_with(&mut self, line: &[u8]) {
-        self.buf.truncate(self.ready);
-        self.buf.extend_from_slice(line);
-        self.ready = self.buf.len();
-        self.ended = true;
-    }
-}
-
-/// Closes with a reset, as the other side did.
-fn reset(stream: &TcpStream) {
-    let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
-}
-
-/// One standing connection.
+/// An established connection.
 struct Relay {
     runtime: Rc<Runtime>,
     request: Request,
-    id: RequestId,
     server: ServerId,
     attempt: u32,
-    /// When the lines were sent that the backend has not answered yet.
-    asked: VecDeque<Instant>,
-    /// Lines read from the client that are not written yet.
-    pending_asks: usize,
-    /// The backend has been heard or asked last then, as far as silence goes.
-    heard: Instant,
-    /// How the backend said that it ends the connection.
-    last_word: Option<Outcome>,
-    /// The module knows that it is over.
-    told: bool,
-    /// The backend has reported a figure on the connection.
-    reported: bool,
+    client: TcpStream,
+    backend: TcpStream,
+    to_backend: Direction,
+    to_client: Direction,
+    replies: ReplyTracker,
+    /// The outcome that the backend has announced.
+    announced: Option<Outcome>,
+    /// The balancer has been told that the connection is over.
+    end_notified: bool,
+    /// The backend has reported a figure on this connection.
+    has_reported: bool,
+    /// One side has ended: when the connection is closed if the other does not end before.
+    close_at: Option<Instant>,
+    /// Nothing is passed to the backend any more.
+    to_backend_stopped: bool,
 }
 
-/// Passes lines between a client and its backend until the connection is over. What is only needed to begin is gone
-/// by then: an `async fn` would hold it for as long as the connection stands.
+/// Whether the relay goes on after an event.
+type Flow = ControlFlow<()>;
+const CONTINUE: Flow = ControlFlow::Continue(());
+const CLOSE: Flow = ControlFlow::Break(());
+
+/// Relays a connection that a backend has just accepted, until it is over. What is needed only to begin is dropped before
+/// the future begins: an `async fn` would hold it for as long as the connection stands.
 pub fn relay(
     runtime: Rc<Runtime>,
-    mut stands: Box<EstablishedConnection>,
+    connection: Box<EstablishedConnection>,
     client: TcpStream,
     backend: Backend,
     commands: UnboundedReceiver<Command>,
 ) -> impl Future<Output = ()> {
-    stands.to_client = [backend.answer.as_bytes(), b"\r\n", &backend.rest].concat();
-    let mut relay = Relay::new(runtime, &stands);
-    let (up, mut down) = (Flow::new(Vec::new()), Flow::new(stands.to_client));
-    // The first line is the answer, not a reply to a line.
-    let lines = down.fresh();
-    relay.backend_said(&down.buf, &lines, 1);
-    pass(relay, up, down, client, backend.stream, commands)
+    let received = [backend.response.as_bytes(), b"\r\n", &backend.rest].concat();
+    let mut relay = Relay::new(runtime, &connection, client, backend.stream);
+    relay.to_client = Direction::new(received);
+    // The first line accepts the request; it is no reply to a line.
+    relay.read_backend_lines(1);
+    relay.run(commands)
 }
 
-/// Goes on with a connection that stood at another process.
+/// Relays a connection that was established at another process, until it is over.
 pub fn resume(
     runtime: Rc<Runtime>,
-    stands: EstablishedConnection,
+    connection: EstablishedConnection,
     client: TcpStream,
     backend: TcpStream,
     commands: UnboundedReceiver<Command>,
 ) -> impl Future<Output = ()> {
-    let relay = Relay::new(runtime, &stands);
-    let (mut up, mut down) = (Flow::new(stands.to_backend), Flow::new(stands.to_client));
-    // The other process has heard these lines.
-    drop((up.fresh(), down.fresh()));
-    pass(relay, up, down, client, backend, commands)
+    let mut relay = Relay::new(runtime, &connection, client, backend);
+    relay.to_backend = Direction::new(connection.to_backend);
+    relay.to_client = Direction::new(connection.to_client);
+    // The other process has handled these lines.
+    relay.to_backend.take_line_ends();
+    relay.to_client.take_line_ends();
+    relay.run(commands)
 }
 
-#[expect(
-    clippy::manual_async_fn,
-    reason = "an `async fn` holds its arguments twice"
-)]
-fn pass(
-    mut relay: Relay,
-    mut up: Flow,
-    mut down: Flow,
-    client: TcpStream,
-    backend: TcpStream,
-    mut commands: UnboundedReceiver<Command>,
-) -> impl Future<Output = ()> {
-    async move {
-        // The end of one side; from then on the other has its time to end too.
-        let mut linger: Option<Instant> = None;
-        let mut up_dead = false;
-        loop {
-            let wake = linger.unwrap_or_else(|| relay.watch_until(&down));
-            tokio::select! {
-                biased;
-                command = commands.recv() => match command {
-                    // Its backend has said its last word, or has ended, maybe in the middle of a line: that goes on in kind.
-                    Some(Command::Migrate) if relay.last_word.is_some() || down.ended => {
-                        relay.over(relay.last_word.unwrap_or(Outcome::Reset));
-                        linger.get_or_insert_with(|| Instant::now() + LAST_WORD);
-                    }
-                    Some(Command::Migrate) if !relay.told => {
-                        relay.over(Outcome::Cancelled);
-                        leave(&mut down, &backend, &mut linger);
-                        up_dead = true;
-                    }
-                    // The module may have asked to move what has just ended.
-                    Some(Command::Migrate) => {}
-                    Some(Command::Transfer) => {
-                        // What is about to end, ends here.
-                        let whole = linger.is_none() && !up.ended && !down.ended;
-                        if whole && Box::pin(relay.given(&up, &down, &client, &backend)).await {
-                            return relay.gone();
-                        }
-                    }
-                    Some(command) => {
-                        invariants::holds(false, "a standing connection gets no command but to move");
-                        tracing::warn!(?command, "for a standing connection");
-                    }
-                    None => return,
-                },
-                step = down.step(&backend, &client) => match step {
-                    Ok(Step::Read) => {
-                        let lines = down.fresh();
-                        relay.backend_said(&down.buf, &lines, 0);
-                    }
-                    Ok(Step::Wrote) => {}
-                    Ok(Step::End) => {
-                        relay.over(relay.last_word.unwrap_or(Outcome::Reset));
-                        if up.shut {
-                            return;
-                        }
-                        linger.get_or_insert_with(|| Instant::now() + LINGER);
-                    }
-                    Err(Broken::From) if relay.last_word.is_some() || relay.told => {
-                        // After its last word or ours, the manner of the end says nothing more.
-                        down.ended = true;
-                        down.ready = down.buf.len();
-                    }
-                    Err(Broken::From) => {
-                        relay.over(Outcome::Reset);
-                        return reset(&client);
-                    }
-                    Err(Broken::To) => {
-                        relay.gone();
-                        return reset(&backend);
-                    }
-                },
-                step = up.step(&client, &backend), if !up_dead => match step {
-                    Ok(Step::Read) => relay.pending_asks += up.fresh().len(),
-                    Ok(Step::Wrote) => {
-                        if up.ready == 0 {
-                            relay.asked_all();
-                        }
-                    }
-                    Ok(Step::End) => {
-                        relay.gone();
-                        if down.shut {
-                            return;
-                        }
-                        linger.get_or_insert_with(|| Instant::now() + LINGER);
-                    }
-                    Err(Broken::From) => {
-                        relay.gone();
-                        return reset(&backend);
-                    }
-                    // The other direction tells how the backend ended; it may hold lines to pass on still.
-                    Err(Broken::To) => up_dead = true,
-                },
-                // After a move or the backend's end, all that the client can still do is to end its side.
-                end = discard(&client), if up_dead && down.shut => return end,
-                () = sleep_until(wake) => {
-                    if linger.is_some() {
-                        return;
-                    }
-                    if relay.silent(&down) {
-                        // The client can go elsewhere at once; the connection is not coming back.
-                        invariants::count("a backend fell silent");
-                        relay.over(Outcome::Reset);
-                        leave(&mut down, &backend, &mut linger);
-                        up_dead = true;
+impl Relay {
+    /// With nothing in the buffers.
+    fn new(
+        runtime: Rc<Runtime>,
+        connection: &EstablishedConnection,
+        client: TcpStream,
+        backend: TcpStream,
+    ) -> Self {
+        Self {
+            runtime,
+            request: connection.request,
+            server: connection.server,
+            attempt: connection.attempt,
+            client,
+            backend,
+            to_backend: Direction::new(Vec::new()),
+            to_client: Direction::new(Vec::new()),
+            replies: ReplyTracker::new(connection),
+            announced: None,
+            end_notified: false,
+            has_reported: connection.has_reported,
+            close_at: None,
+            to_backend_stopped: false,
+        }
+    }
+
+    #[expect(
+        clippy::manual_async_fn,
+        reason = "an `async fn` holds its arguments twice"
+    )]
+    fn run(mut self, mut commands: UnboundedReceiver<Command>) -> impl Future<Output = ()> {
+        async move {
+            loop {
+                let wake_up = self.wake_up();
+                let flow = tokio::select! {
+                    biased;
+                    command = commands.recv() => match command {
+                        Some(Command::Migrate) => self.migrate(),
+                        // Boxed: it is rare, and its future large.
+                        Some(Command::Transfer) => Box::pin(self.transfer()).await,
+                        Some(command) => unexpected(command),
+                        None => CLOSE,
+                    },
+                    step = self.to_client.step(&self.backend, &self.client) => self.handle_backend(step),
+                    step = self.to_backend.step(&self.client, &self.backend), if !self.to_backend_stopped => {
+                        self.handle_client(step)
                     }
+                    // All that the client can still do is to close its side.
+                    () = discard(&self.client), if self.waits_for_client() => CLOSE,
+                    () = sleep_until(wake_up) => self.handle_wake_up(),
+                };
+                if flow.is_break() {
+                    return;
                 }
             }
         }
     }
-}
-
-/// Tells the client to go elsewhere, between two lines, and ends both sides: the backend's at once, so that it
-/// does not carry the connection for as long as the client takes to leave.
-fn leave(down: &mut Flow, backend: &TcpStream, linger: &mut Option<Instant>) {
-    down.finish_with(b"MOVE\r\n");
-    let _ = SockRef::from(backend).shutdown(Shutdown::Both);
-    *linger = Some(Instant::now() + LINGER);
-}
 
-/// Reads and drops until the end: closing with unread bytes would turn the end into a reset and could take
-/// the last line with it.
-pub async fn discard(stream: &TcpStream) {
-    while stream.readable().await.is_ok() {
-        // Large, for whoever sends on and on. Named here: in the head of the match it would live over the await.
-        let read = stream.try_read(&mut [0; 16 * 1024]);
-        match read {
-            Ok(0) => return,
-            // Who sends on and on does not keep the others waiting.
-            Ok(_) => yield_now().await,
-            Err(e) if e.kind() == ErrorKind::WouldBlock => {}
-            Err(_) => return,
+    /// Handles the command to migrate the client.
+    fn migrate(&mut self) -> Flow {
+        if self.announced.is_some() || self.to_client.has_source_ended() {
+            // The backend is about to end, or has ended, maybe within a line: the client sees that end.
+            self.notify_end(self.announced.unwrap_or(Outcome::Reset));
+            self.close_within(ANNOUNCED_END_TIMEOUT);
+        } else if !self.end_notified {
+            self.notify_end(Outcome::Cancelled);
+            self.send_client_elsewhere();
         }
+        // Else the balancer has asked for a connection that has just ended.
+        CONTINUE
     }
-}
 
-/// Writes a last line and ends the stream in command.
-pub async fn say_last(stream: &TcpStream, line: &[u8]) {
-    let write = async {
-        let mut left = line;
-        while !left.is_empty() && stream.writable().await.is_ok() {
-            match stream.try_write(left) {
-                Ok(n) => left = &left[n..],
-                Err(e) if e.kind() == ErrorKind::WouldBlock => {}
-                Err(_) => return,
-            }
+    /// Transfers the connection to the successor of this process, if it is not about to end.
+    async fn transfer(&mut self) -> Flow {
+        if self.is_ending() || !self.try_transfer().await {
+            return CONTINUE;
         }
-        let _ = SockRef::from(stream).shutdown(Shutdown::Write);
-        discard(stream).await;
-    };
-    let _ = timeout(LINGER, write).await;
-}
+        self.notify_client_end();
+        CLOSE
+    }
 
-impl Relay {
-    fn new(runtime: Rc<Runtime>, stands: &EstablishedConnection) -> Self {
-        let now = Instant::now();
-        let ago = |age: &f64| now.checked_sub(duration(*age)).unwrap_or(now);
-        Self {
-            runtime,
-            request: stands.request,
-            id: stands.request.id,
-            server: stands.server,
-            attempt: stands.attempt,
-            asked: stands
-                .unanswered_ages
-                .iter()
-                .take(MAX_ASKED)
-                .map(ago)
-                .collect(),
-            pending_asks: stands.unsent_lines,
-            heard: ago(&stands.backend_silent_for),
-            last_word: None,
-            told: false,
-            reported: stands.has_reported,
-        }
+    fn is_ending(&self) -> bool {
+        self.close_at.is_some()
+            || self.to_backend.has_source_ended()
+            || self.to_client.has_source_ended()
+            || self.end_notified
+            || self.announced.is_some()
     }
 
-    /// Gives the connection to the process that takes this one's place: whether that one has it now.
-    async fn given(&self, up: &Flow, down: &Flow, client: &TcpStream, backend: &TcpStream) -> bool {
-        let giving = self.runtime.peer_processes.successor();
-        let Some(giving) = giving.filter(|_| !self.told && self.last_word.is_none()) else {
+    /// Whether the successor has taken the connection over.
+    async fn try_transfer(&self) -> bool {
+        let Some(successor) = self.runtime.peer_processes.successor() else {
             return false;
         };
-        let age = |at: &Instant| at.elapsed().as_secs_f64();
-        let stands = EstablishedConnection {
-            request: self.request,
-            server: self.server,
-            attempt: self.attempt,
-            to_backend: up.buf.clone(),
-            to_client: down.buf.clone(),
-            unanswered_ages: self.asked.iter().map(age).collect(),
-            backend_silent_for: age(&self.heard),
-            unsent_lines: self.pending_asks,
-            has_reported: self.reported,
-        };
-        let beside = [client.as_fd(), backend.as_fd()];
-        giving
-            .transfer(TransferredConnection::Established(stands), &beside)
-            .await
+        let mut connection = EstablishedConnection::new(self.request, self.server, self.attempt);
+        connection.to_backend = self.to_backend.buffer().to_vec();
+        connection.to_client = self.to_client.buffer().to_vec();
+        connection.has_reported = self.has_reported;
+        self.replies.save(&mut connection);
+        let descriptors = [self.client.as_fd(), self.backend.as_fd()];
+        let connection = TransferredConnection::Established(connection);
+        successor.transfer(connection, &descriptors).await
     }
 
-    /// Lines of the backend, which end at `ends` in the buffer; the first `skip` are not part of the talk.
-    fn backend_said(&mut self, buf: &[u8], ends: &[usize], skip: usize) {
-        self.heard = Instant::now();
-        let mut start = 0;
-        for (at, end) in ends.iter().enumerate() {
-            let line = &buf[start..*end];
-            start = *end;
-            if at < skip {
-                continue;
+    /// Handles a step of the direction from the backend to the client.
+    fn handle_backend(&mut self, step: Result<Step, FailedSide>) -> Flow {
+        match step {
+            Ok(Step::Read) => self.read_backend_lines(0),
+            Ok(Step::Wrote) => {}
+            Ok(Step::Ended) => {
+                self.notify_end(self.announced.unwrap_or(Outcome::Reset));
+                return self.await_other_end(self.to_backend.is_end_passed_on());
             }
-            tracing::trace!(
-                req = %self.id,
-                server = %self.server,
-                line = %String::from_utf8_lossy(line),
-                asked_ago = ?self.asked.front().map(Instant::elapsed),
-                "a backend said"
-            );
-            match Said::parse(line) {
-                Said::Load(figure) => {
-                    let first = !std::mem::replace(&mut self.reported, true);
-                    self.runtime
-                        .report_figure(self.id, self.server, figure, first);
-                }
-                Said::Bye => self.last_word = Some(Outcome::Success),
-                Said::Move => self.last_word = Some(Outcome::Cancelled),
-                Said::Reply => {
-                    if let Some(asked) = self.asked.pop_front() {
-                        let took = self.heard - asked;
-                        self.runtime
-                            .report_message_time(self.server, took.as_secs_f64());
-                    }
+            // After an announced end, or one of our own, the manner of it says nothing more.
+            Err(FailedSide::Source) if self.announced.is_some() || self.end_notified => {
+                self.to_client.end_source();
+            }
+            Err(FailedSide::Source) => {
+                self.notify_end(Outcome::Reset);
+                close_with_reset(&self.client);
+                return CLOSE;
+            }
+            Err(FailedSide::Destination) => return self.close_after_client(),
+        }
+        CONTINUE
+    }
+
+    /// Handles a step of the direction from the client to the backend.
+    fn handle_client(&mut self, step: Result<Step, FailedSide>) -> Flow {
+        match step {
+            Ok(Step::Read) => {
+                let lines = self.to_backend.take_line_ends().len();
+                self.replies.record_client_lines(lines);
+            }
+            Ok(Step::Wrote) => {
+                if !self.to_backend.has_unwritten_lines() {
+                    self.replies.record_sent();
                 }
             }
+            Ok(Step::Ended) => {
+                self.notify_client_end();
+                return self.await_other_end(self.to_client.is_end_passed_on());
+            }
+            Err(FailedSide::Source) => return self.close_after_client(),
+            // The other direction shows how the backend has ended; it may hold lines for the client still.
+            Err(FailedSide::Destination) => self.to_backend_stopped = true,
         }
+        CONTINUE
     }
 
-    /// All lines read from the client are on their way to the backend.
-    fn asked_all(&mut self) {
-        let now = Instant::now();
-        if self.asked.is_empty() {
-            self.heard = now;
+    /// One side has ended: closes if the other has too, else waits for it.
+    fn await_other_end(&mut self, other_ended: bool) -> Flow {
+        if other_ended {
+            return CLOSE;
         }
-        for _ in 0..std::mem::take(&mut self.pending_asks) {
-            if self.asked.len() < MAX_ASKED {
-                self.asked.push_back(now);
+        self.close_within(CLOSE_TIMEOUT);
+        CONTINUE
+    }
+
+    /// The client's side is broken: so is the backend's.
+    fn close_after_client(&mut self) -> Flow {
+        self.notify_client_end();
+        close_with_reset(&self.backend);
+        CLOSE
+    }
+
+    /// Whether only the client's closing is awaited.
+    fn waits_for_client(&self) -> bool {
+        self.to_backend_stopped && self.to_client.is_end_passed_on()
+    }
+
+    /// When the connection has to be looked at if nothing happens before.
+    fn wake_up(&self) -> Instant {
+        let silent_at = || {
+            let silent_at = self.replies.silent_at();
+            silent_at.filter(|_| !self.to_client.has_unwritten_lines())
+        };
+        let wake_up = self.close_at.or_else(silent_at);
+        wake_up.unwrap_or_else(|| Instant::now() + IDLE_WAKE_UP)
+    }
+
+    fn handle_wake_up(&mut self) -> Flow {
+        if self.close_at.is_some() {
+            return CLOSE;
+        }
+        // Where lines wait for the client, it is the client that holds the backend up.
+        if self.replies.is_silent() && !self.to_client.has_unwritten_lines() {
+            invariants::count("backend fell silent");
+            self.notify_end(Outcome::Reset);
+            self.send_client_elsewhere();
+        }
+        CONTINUE
+    }
+
+    /// Asks the client to connect elsewhere and ends both sides: the backend's at once, so that it does not carry the
+    /// connection for as long as the client takes to close.
+    fn send_client_elsewhere(&mut self) {
+        self.to_client.end_with(MIGRATE_LINE);
+        let _ = SockRef::from(&self.backend).shutdown(Shutdown::Both);
+        self.close_at = Some(Instant::now() + CLOSE_TIMEOUT);
+        self.to_backend_stopped = true;
+    }
+
+    /// Closes the connection after this time at the latest, if no earlier time is set.
+    fn close_within(&mut self, time: Duration) {
+        self.close_at.get_or_insert_with(|| Instant::now() + time);
+    }
+
+    /// Handles the lines read from the backend; the first `skip` of them are neither replies nor reports.
+    fn read_backend_lines(&mut self, skip: usize) {
+        self.replies.record_heard();
+        let mut start = 0;
+        for (number, end) in self.to_client.take_line_ends().into_iter().enumerate() {
+            if number >= skip {
+                self.handle_backend_line(start, end);
             }
+            start = end;
         }
     }
 
-    /// Until when nothing has to be looked at if nothing comes.
-    fn watch_until(&self, down: &Flow) -> Instant {
-        let far = Instant::now() + Duration::from_secs(3600);
-        if self.asked.is_empty() || down.ready > 0 {
-            far
-        } else {
-            self.heard + SILENCE
+    /// Handles one line of the backend, by its place in the buffer.
+    fn handle_backend_line(&mut self, start: usize, end: usize) {
+        let line = &self.to_client.buffer()[start..end];
+        tracing::trace!(
+            request = %self.request.id,
+            server = %self.server,
+            line = %String::from_utf8_lossy(line),
+            oldest_unanswered = ?self.replies.oldest_unanswered_age(),
+            "line from backend"
+        );
+        match Said::parse(line) {
+            Said::Load(figure) => self.report_figure(figure),
+            Said::Bye => self.announced = Some(Outcome::Success),
+            Said::Move => self.announced = Some(Outcome::Cancelled),
+            Said::Reply => {
+                if let Some(time) = self.replies.take_reply() {
+                    let seconds = time.as_secs_f64();
+                    self.runtime.report_message_time(self.server, seconds);
+                }
+            }
         }
     }
 
-    /// A line is unanswered for too long, and it is not our client that holds the backend up.
-    fn silent(&self, down: &Flow) -> bool {
-        !self.asked.is_empty() && down.ready == 0 && self.heard.elapsed() >= SILENCE
+    fn report_figure(&mut self, figure: f64) {
+        let first = !std::mem::replace(&mut self.has_reported, true);
+        self.runtime
+            .report_figure(self.request.id, self.server, figure, first);
     }
 
-    /// The backend's side is over: the module hears it once.
-    fn over(&mut self, outcome: Outcome) {
-        if !std::mem::replace(&mut self.told, true) {
-            tracing::debug!(req = %self.id, server = %self.server, ?outcome, "is over");
-            let (id, server, attempt) = (self.id, self.server, self.attempt);
-            self.runtime.handle_event(Event::AttemptEnded(AttemptEnded {
-                id,
-                attempt,
-                server,
-                outcome,
-                settled: true,
-            }));
+    /// Tells the balancer, once, that the backend's side is over.
+    fn notify_end(&mut self, outcome: Outcome) {
+        if std::mem::replace(&mut self.end_notified, true) {
+            return;
         }
+        let (id, server) = (self.request.id, self.server);
+        tracing::debug!(request = %id, %server, ?outcome, "connection ended");
+        self.runtime.handle_event(Event::AttemptEnded(AttemptEnded {
+            id,
+            attempt: self.attempt,
+            server,
+            outcome,
+            settled: true,
+        }));
     }
 
-    /// The client has left.
-    fn gone(&mut self) {
-        if !std::mem::replace(&mut self.told, true) {
-            tracing::debug!(req = %self.id, server = %self.server, "the client left");
-            self.runtime
-                .handle_event(Event::ClientDisconnected(self.id));
+    /// Tells the balancer, once, that the client's side is over.
+    fn notify_client_end(&mut self) {
+        if std::mem::replace(&mut self.end_notified, true) {
+            return;
         }
+        let (id, server) = (self.request.id, self.server);
+        tracing::debug!(request = %id, %server, "client disconnected");
+        self.runtime.handle_event(Event::ClientDisconnected(id));
     }
 }
+
+fn unexpected(command: Command) -> Flow {
+    invariants::holds(
+        false,
+        "an established connection is only migrated or transferred",
+    );
+    tracing::warn!(?command, "unexpected command for an established connection");
+    CONTINUE
+}
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -1,373 +1,262 @@
-//! A req: a client's connection from its first line to its one final answer.
+//! A request, from its line to an established connection or a final response.
 
-use crate::api::{AttemptEnded, Event, Outcome, Request, ServerId, Time};
+use crate::api::{AttemptEnded, Event, Request, ServerId, Time};
 use crate::invariants;
-use crate::protocol::client::{Lines, MAX_LINE, OpenRequest};
-use crate::proxy::attempt::{Backend, Kind, fetch};
-use crate::proxy::relay::{discard, relay, resume, say_last};
-use crate::runtime::connection_limit::ConnectionPermit;
-use crate::runtime::lifecycle_state::CountedClient;
+use crate::protocol::client::{Lines, OpenRequest};
+use crate::proxy::attempt::{self, AttemptError, AttemptKind, Backend};
+use crate::proxy::client_reader::MalformedRequest;
+use crate::proxy::closing::has_disconnected;
+use crate::proxy::local_response::LocalResponse;
+use crate::proxy::reopen::reopen;
 use crate::runtime::{Command, RequestRegistration, Runtime};
-use crate::transfer::{EstablishedConnection, TransferredConnection};
-use socket2::SockRef;
-use std::io::ErrorKind;
-use std::mem::MaybeUninit;
-use std::net::Shutdown;
-use std::os::fd::AsFd;
-use std::pin::pin;
+use crate::transfer::EstablishedConnection;
+use std::pin::{Pin, pin};
 use std::rc::Rc;
-use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc::UnboundedReceiver;
-use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
+use tokio::time::{Sleep, sleep_until};
 
-/// A client says what it wants within this time from its coming, however it spreads its words: some take 2 s, and
-/// who says nothing has to be gone after 3 s.
-const FIRST_LINE: Duration = Duration::from_millis(2500);
-/// A front that has asked may ask again within this.
-const FRONT: Duration = Duration::from_secs(10);
-/// The client's wait runs from its sending: the line's way here and the answer's way back come off.
-const MARGIN: Time = 0.02;
-/// How often a start that is not complete is looked at again.
-const NOT_READY: Duration = Duration::from_millis(20);
-/// Pause before an open connection is asked for again at its own backend.
-const AGAIN: Duration = Duration::from_millis(100);
-/// A connection that is open at a backend already is given up after this.
-const REOPEN: Time = 40.0;
-/// A server that the list does not name by then is not coming.
-const UNLISTED: Time = 1.0;
-/// What a client that is turned away may still say is read for so long, or, where there is no room to wait, so often.
-const LAST_WORDS: Duration = Duration::from_millis(250);
-const LAST_READS: usize = 16;
-/// Without a time to come again.
-const BUSY: &str = "BUSY\r\n";
+/// Seconds between the client's deadline and the request's: its line has travelled here, and the response has to
+/// travel back.
+const DEADLINE_MARGIN: Time = 0.02;
+/// The longest wait for a connection that is reopened, in seconds.
+const LONGEST_REOPEN_WAIT: Time = 40.0;
 
-/// Serves one connection of a client, to its end.
-pub async fn serve(
-    runtime: Rc<Runtime>,
-    client: TcpStream,
-    mut place: ConnectionPermit,
-    mut reader: Reader,
-) {
-    // Lines are short and waited for: none is held back for more to come.
-    let _ = client.set_nodelay(true);
-    let mut keep = false;
-    let mut ending = runtime.lifecycle.subscribe_exiting();
-    let first = loop {
-        tokio::select! {
-            biased;
-            first = reader.first_line(&runtime, &client) => break first,
-            () = place.evicted() => return turn_away(&runtime, &client).await,
-            // Its first line may be on its way just now: it is answered before it is read.
-            Ok(_) = ending.wait_for(|ending| *ending) => break First::Late,
-            giving = runtime.peer_processes.wait_for_successor(), if !keep => {
-                let left = (reader.end - Instant::now()).as_secs_f64();
-                let handed = TransferredConnection::AwaitingRequest(reader.lines.read(), left);
-                if giving.transfer(handed, &[client.as_fd()]).await {
-                    return;
-                }
-                keep = true;
-            }
-        }
-    };
-    let asked = reader.counted.is_none();
-    drop(reader);
-    let opened = match first {
-        First::Left => return,
-        // A front that hears BUSY would send nobody here; at the end of its connection it asks again on another one.
-        First::Late if asked => Opened::Answer(String::new()),
-        First::Late => {
-            invariants::count("a client says nothing in its time");
-            refused(0)
-        }
-        First::OpenRequest(opening) => {
-            if !place.acquire_for_service(runtime.descriptor_limit()) {
-                return turn_away(&runtime, &client).await;
-            }
-            open(&runtime, &client, opening).await
-        }
-        First::Unread(what) => unread(what),
-    };
-    let answer = match opened {
-        Opened::Left => return,
-        Opened::Stands(registration, stands, backend, commands) => {
-            relay(runtime, stands, client, backend, commands).await;
-            return drop(registration);
-        }
-        Opened::Answer(line) => line,
-    };
-    // What is left is the client's to end.
-    place.become_idle();
-    let _owed = runtime.lifecycle.clients_with_pending_close.count_client();
-    tokio::select! {
-        () = say_last(&client, answer.as_bytes()) => {}
-        () = place.evicted() => {}
-    }
+/// A connection that has been opened for a request.
+pub struct OpenedConnection {
+    /// Keeps the request registered.
+    pub registration: RequestRegistration,
+    /// What is known of the connection.
+    pub connection: Box<EstablishedConnection>,
+    /// The backend that accepted it.
+    pub backend: Backend,
+    /// The commands for the connection.
+    pub commands: UnboundedReceiver<Command>,
 }
 
-/// What comes before a request.
-enum First {
-    /// A line that asks for a connection.
-    OpenRequest(Box<OpenRequest>),
-    /// Something else.
-    Unread(&'static str),
-    /// Too little in its time.
-    Late,
-    /// The client has gone.
-    Left,
+/// How a request ends without a connection.
+pub enum RequestEnd {
+    /// With a response of the balancer's own.
+    Response(LocalResponse),
+    /// Without a response: the client has disconnected.
+    Disconnected,
 }
 
-/// Goes on with a connection that stood at another process of this balancer.
-pub async fn go_on(
-    runtime: Rc<Runtime>,
-    stands: EstablishedConnection,
-    client: TcpStream,
-    backend: TcpStream,
-    place: ConnectionPermit,
-) {
-    let (request, server) = (stands.request, stands.server);
-    let Some((registration, commands)) = runtime.register_request(request.id) else {
-        invariants::count("a connection that was handed over is here already");
-        return;
+/// Opens a connection for a request.
+///
+/// # Errors
+/// If the request ends without a connection.
+pub async fn open(
+    runtime: &Rc<Runtime>,
+    client: &TcpStream,
+    mut open_request: Box<OpenRequest>,
+) -> Result<OpenedConnection, RequestEnd> {
+    open_request.request.deadline = deadline(runtime, &open_request);
+    let request = open_request.request;
+    let Some((registration, mut commands)) = runtime.register_request(request.id) else {
+        return Err(malformed(MalformedRequest::IdInUse));
+    };
+    let (server, attempt, backend) = match open_request.at {
+        Some(server) => {
+            let backend = open_again(runtime, client, &open_request, server).await?;
+            (server, 0, backend)
+        }
+        None => open_new(runtime, client, &open_request, &mut commands).await?,
     };
-    runtime.handle_event(Event::AlreadyEstablished(request, server));
     runtime.mark_established(request.id);
-    resume(runtime, stands, client, backend, commands).await;
-    drop((registration, place));
-}
-
-/// What comes of a first line.
-enum Opened {
-    Stands(
-        RequestRegistration,
-        Box<EstablishedConnection>,
-        Backend,
-        UnboundedReceiver<Command>,
-    ),
-    /// Synthetic answer.
-    Answer(String),
-    /// The client has gone, and nothing is owed.
-    Left,
+    Ok(OpenedConnection {
+        registration,
+        connection: Box::new(EstablishedConnection::new(request, server, attempt)),
+        backend,
+        commands,
+    })
 }
 
-fn failed() -> Opened {
-    Opened::Answer("ERR\r\n".to_owned())
+/// Nobody is kept longer than its class waits, whatever it asks for; a connection that is reopened has longer.
+fn deadline(runtime: &Runtime, open_request: &OpenRequest) -> Time {
+    let longest_wait = match open_request.at {
+        Some(_) => LONGEST_REOPEN_WAIT,
+        None => runtime.process_config().longest_wait,
+    };
+    runtime.now() + open_request.wait.min(longest_wait) - DEADLINE_MARGIN
 }
 
-/// Come again, in so many milliseconds if there are any.
-fn refused(ms: u64) -> Opened {
-    Opened::Answer(match ms {
-        0 => BUSY.to_owned(),
-        ms => format!("BUSY {ms}\r\n"),
-    })
+fn malformed(reason: MalformedRequest) -> RequestEnd {
+    RequestEnd::Response(reason.respond())
 }
 
-/// A first line that cannot be read costs this connection and nothing else.
-fn unread(what: &str) -> Opened {
-    invariants::count("a client's first line cannot be read");
-    tracing::debug!(what, "a first line is not read");
-    failed()
+/// Opens a connection at the backend that has it already.
+async fn open_again(
+    runtime: &Rc<Runtime>,
+    client: &TcpStream,
+    open_request: &OpenRequest,
+    server: ServerId,
+) -> Result<Backend, RequestEnd> {
+    let backend = tokio::select! {
+        backend = reopen(runtime, open_request, server) => backend,
+        end = client_ends(client) => return Err(end),
+    };
+    let backend = backend.ok_or(RequestEnd::Response(LocalResponse::Failed))?;
+    let request = open_request.request;
+    tracing::debug!(request = %request.id, %server, group = ?request.group, "connection reopened");
+    runtime.handle_event(Event::AlreadyEstablished(request, server));
+    Ok(backend)
 }
 
-/// Turns a client away for want of room. Closing over unread bytes would reset the connection and could take the
-/// answer with it: what it has said is read, and of what it says at this instant as much as room is left to wait for.
-pub async fn turn_away(runtime: &Runtime, client: &TcpStream) {
-    invariants::count("a client is turned away for want of descriptors");
-    let _ = client.set_nodelay(true);
-    let _ = SockRef::from(client).send(BUSY.as_bytes());
-    let _ = SockRef::from(client).shutdown(Shutdown::Write);
-    let Some(_place) = runtime.connection_limit.acquire_for_lingering() else {
-        // Not waited for, only read, past what the runtime knows: the spare descriptors are taken.
-        for _ in 0..LAST_READS {
-            let read = SockRef::from(client).recv(&mut [MaybeUninit::uninit(); MAX_LINE]);
-            if !read.is_ok_and(|n| n > 0) {
-                break;
+/// Opens a connection at the backend that the balancer chooses. Gives its server and the number of the attempt.
+async fn open_new(
+    runtime: &Rc<Runtime>,
+    client: &TcpStream,
+    open_request: &OpenRequest,
+    commands: &mut UnboundedReceiver<Command>,
+) -> Result<(ServerId, u32, Backend), RequestEnd> {
+    let Request {
+        id,
+        class,
+        group,
+        is_reconnect,
+        ..
+    } = open_request.request;
+    tracing::debug!(request = %id, class, ?group, is_reconnect, wait = open_request.wait, "request received");
+    runtime.handle_event(Event::Request(open_request.request));
+    let overdue = open_request.request.deadline + DEADLINE_MARGIN;
+    let mut overdue = pin!(sleep_until(runtime.instant(overdue)));
+    let mut pending = PendingRequest {
+        runtime,
+        client,
+        open_request,
+        commands,
+        attempt: 0,
+    };
+    loop {
+        let (server, until) = pending.next_attempt(overdue.as_mut()).await?;
+        match pending.run_attempt(server, until).await? {
+            Ok(backend) => {
+                let attempt = pending.attempt;
+                tracing::debug!(request = %id, %server, attempt, "connection established");
+                runtime.handle_event(Event::Established(id, server));
+                return Ok((server, attempt, backend));
             }
+            Err(error) => pending.end_attempt(server, &error),
         }
-        return;
-    };
-    let _ = timeout(LAST_WORDS, discard(client)).await;
-}
-
-/// Whether the client has ended or broken its side, seen past what the runtime knows: nothing is sent for one that
-/// has gone.
-fn has_left(client: &TcpStream) -> bool {
-    match SockRef::from(client).peek(&mut [MaybeUninit::uninit()]) {
-        Ok(said) => said == 0,
-        Err(e) => e.kind() != ErrorKind::WouldBlock,
     }
 }
 
-/// What a client has said so far, before it has asked for a connection.
-pub struct Reader {
-    lines: Lines,
-    end: Instant,
-    counted: Option<CountedClient>,
+/// A request that the balancer decides.
+struct PendingRequest<'a> {
+    runtime: &'a Rc<Runtime>,
+    client: &'a TcpStream,
+    open_request: &'a OpenRequest,
+    commands: &'a mut UnboundedReceiver<Command>,
+    /// Number of the current attempt.
+    attempt: u32,
 }
 
-impl Reader {
-    /// Nothing said yet.
-    pub fn new(runtime: &Rc<Runtime>) -> Self {
-        Self::after(runtime, Vec::new(), FIRST_LINE)
-    }
-
-    /// These bytes said to another process of this balancer, and so much time left.
-    pub fn after(runtime: &Rc<Runtime>, said: Vec<u8>, left: Duration) -> Self {
-        Self {
-            lines: Lines::from(said),
-            end: Instant::now() + left,
-            counted: Some(runtime.lifecycle.clients_without_request.count_client()),
-        }
-    }
-
-    /// The first line that asks for a connection. All that a client sends before its answer has to be one line: who
-    /// sends more does not speak this protocol. Safe to drop halfway.
-    async fn first_line(&mut self, runtime: &Rc<Runtime>, client: &TcpStream) -> First {
+impl PendingRequest<'_> {
+    /// Waits for the command to start an attempt: its server and its deadline. Whether the client has disconnected is
+    /// looked at first: no attempt starts for one that has.
+    async fn next_attempt(
+        &mut self,
+        mut overdue: Pin<&mut Sleep>,
+    ) -> Result<(ServerId, Time), RequestEnd> {
         loop {
-            let line = match timeout_at(self.end, self.lines.next(client)).await {
-                Ok(Ok(Some(line))) if self.lines.is_empty() => line,
-                Ok(Ok(Some(_))) => return First::Unread("more than one line"),
-                Ok(Err(e)) if e.kind() == ErrorKind::Other => {
-                    return First::Unread("not a line of text");
+            let command = tokio::select! {
+                biased;
+                end = client_ends(self.client) => return Err(self.disconnect(end)),
+                command = self.commands.recv() => command,
+                () = &mut overdue => {
+                    // The client is owed its response all the same.
+                    invariants::holds(false, "requests are decided before their deadline");
+                    self.disconnect(RequestEnd::Disconnected);
+                    Some(Command::Fail)
                 }
-                Ok(_) => return First::Left,
-                Err(_) => return First::Late,
-            };
-            if line != "PING" {
-                let node = runtime.process_config();
-                return match OpenRequest::parse(&line, &node.classes, node.groups) {
-                    Ok(opening) => First::OpenRequest(Box::new(opening)),
-                    Err(what) => First::Unread(what),
-                };
-            }
-            // The front sends clients from the answer on, so it has to wait until a server is known.
-            while !runtime.is_ready() && !runtime.lifecycle.is_lameduck() {
-                sleep(NOT_READY).await;
-            }
-            let answer = match runtime.lifecycle.is_lameduck() {
-                true => BUSY,
-                false => "PONG\r\n",
             };
-            if client.try_write(answer.as_bytes()).is_err() {
-                return First::Left;
+            match command {
+                Some(Command::StartAttempt(server, until)) => return Ok((server, until)),
+                Some(Command::Reject(retry_after)) => return Err(rejected(retry_after)),
+                Some(Command::Fail) => return Err(failed()),
+                // Void: there is neither an attempt nor a connection.
+                Some(Command::CancelAttempt(_) | Command::Migrate | Command::Transfer) => {}
+                None => return Err(RequestEnd::Disconnected),
             }
-            // The front is nobody who waits for an answer of ours.
-            self.counted.take();
-            self.end = Instant::now() + FRONT;
         }
     }
-}
 
-async fn open(runtime: &Rc<Runtime>, client: &TcpStream, mut opening: Box<OpenRequest>) -> Opened {
-    // Nobody is kept longer than its class waits, whatever it says; an open connection has longer.
-    let longest = match opening.at {
-        Some(_) => REOPEN,
-        None => runtime.process_config().longest_wait,
-    };
-    let request = &mut opening.request;
-    request.deadline = runtime.now() + opening.wait.min(longest) - MARGIN;
-    let (id, due) = (request.id, request.deadline);
-    let Some((registration, mut commands)) = runtime.register_request(id) else {
-        return unread("the id is in use");
-    };
-    if let Some(server) = opening.at {
-        let backend = tokio::select! {
-            backend = reopen(runtime, &opening, server) => backend,
-            early = speaks(client) => return early,
-        };
-        let Some(backend) = backend else {
-            return failed();
-        };
-        tracing::debug!(req = %id, server = %server, group = ?opening.request.group, "is open");
-        runtime.handle_event(Event::AlreadyEstablished(opening.request, server));
-        runtime.mark_established(id);
-        let stands = Box::new(EstablishedConnection::new(opening.request, server, 0));
-        return Opened::Stands(registration, stands, backend, commands);
-    }
-    let Request {
-        class,
-        group,
-        is_reconnect: returned,
-        ..
-    } = opening.request;
-    tracing::debug!(req = %id, class, ?group, is_reconnect = returned, wait = opening.wait, "request received");
-    runtime.handle_event(Event::Request(opening.request));
-    let mut attempt = 0;
-    // Nothing here waits past the deadline; if something does, the client is still owed its answer.
-    let mut overdue = pin!(sleep_until(runtime.instant(due + MARGIN)));
-    loop {
-        // Who has gone comes first: no attempt begins for it.
-        let command = tokio::select! {
-            biased;
-            early = speaks(client) => {
-                runtime.handle_event(Event::ClientDisconnected(id));
-                return early;
-            }
-            command = commands.recv() => command,
-            () = &mut overdue => {
-                invariants::holds(false, "the module answers before the deadline");
-                runtime.handle_event(Event::ClientDisconnected(id));
-                Some(Command::Fail)
-            }
-        };
-        let (server, until) = match command {
-            Some(Command::StartAttempt(server, until)) => (server, until),
-            Some(Command::Reject(ms)) => return refused(ms),
-            Some(Command::Fail) => return failed(),
-            // What has been called off or moved is over already.
-            Some(Command::CancelAttempt(_) | Command::Migrate | Command::Transfer) => continue,
-            None => return Opened::Left,
+    /// Runs an attempt. Returning for any reason closes the attempt's connection, whatever its state.
+    async fn run_attempt(
+        &mut self,
+        server: ServerId,
+        until: Time,
+    ) -> Result<Result<Backend, AttemptError>, RequestEnd> {
+        let line = |milliseconds| {
+            let connected = !has_disconnected(self.client);
+            connected.then(|| self.open_request.for_backend(milliseconds))
         };
-        let line = |ms| (!has_left(client)).then(|| opening.for_backend(ms));
-        // Leaving this select closes the attempt's connection, whatever it was doing.
-        let ended = tokio::select! {
+        let until = until.min(self.open_request.request.deadline);
+        // Boxed, so that an established connection does not keep the room for it.
+        let attempt = Box::pin(attempt::run(
+            self.runtime,
+            server,
+            AttemptKind::New,
+            until,
+            line,
+        ));
+        let attempted = tokio::select! {
             biased;
-            early = speaks(client) => {
-                runtime.handle_event(Event::ClientDisconnected(id));
-                return early;
-            }
-            command = called_off(&mut commands, attempt) => match command {
-                Some(Command::Reject(ms)) => return refused(ms),
-                Some(Command::Fail) => return failed(),
-                _ => Err(Outcome::Cancelled),
+            end = client_ends(self.client) => return Err(self.disconnect(end)),
+            command = attempt_cancelled(self.commands, self.attempt) => match command {
+                Some(Command::Reject(retry_after)) => return Err(rejected(retry_after)),
+                Some(Command::Fail) => return Err(failed()),
+                _ => Err(AttemptError::Cancelled),
             },
-            ended = fetch(runtime, server, Kind::New, until.min(due), line) => ended,
+            attempted = attempt => attempted,
         };
-        if ended.is_err() && has_left(client) {
-            runtime.handle_event(Event::ClientDisconnected(id));
-            return Opened::Left;
-        }
-        match ended {
-            Ok(backend) => {
-                tracing::debug!(req = %id, server = %server, attempt, "stands");
-                runtime.handle_event(Event::Established(id, server));
-                runtime.mark_established(id);
-                let stands = Box::new(EstablishedConnection::new(opening.request, server, attempt));
-                return Opened::Stands(registration, stands, backend, commands);
-            }
-            Err(outcome) => {
-                tracing::debug!(req = %id, server = %server, attempt, ?outcome, "an attempt has ended");
-                runtime.handle_event(Event::AttemptEnded(AttemptEnded {
-                    id,
-                    attempt,
-                    server,
-                    outcome,
-                    settled: false,
-                }));
-                attempt += 1;
-            }
+        if attempted.is_err() && has_disconnected(self.client) {
+            return Err(self.disconnect(RequestEnd::Disconnected));
         }
+        Ok(attempted)
+    }
+
+    /// Tells the balancer how the current attempt failed.
+    fn end_attempt(&mut self, server: ServerId, error: &AttemptError) {
+        let (id, attempt, outcome) = (self.open_request.request.id, self.attempt, error.outcome());
+        tracing::debug!(request = %id, %server, attempt, ?outcome, %error, "attempt failed");
+        self.runtime.handle_event(Event::AttemptEnded(AttemptEnded {
+            id,
+            attempt,
+            server,
+            outcome,
+            settled: false,
+        }));
+        self.attempt += 1;
     }
+
+    /// Tells the balancer that the client waits no longer.
+    fn disconnect(&self, end: RequestEnd) -> RequestEnd {
+        let id = self.open_request.request.id;
+        self.runtime.handle_event(Event::ClientDisconnected(id));
+        end
+    }
+}
+
+fn failed() -> RequestEnd {
+    RequestEnd::Response(LocalResponse::Failed)
+}
+
+fn rejected(retry_after: u64) -> RequestEnd {
+    RequestEnd::Response(LocalResponse::Rejected { retry_after })
 }
 
-/// Waits for an command that ends the attempt that is out: it is called off, or the process leaves.
-async fn called_off(commands: &mut UnboundedReceiver<Command>, attempt: u32) -> Option<Command> {
+/// Waits for a command that ends the attempt in flight: it is cancelled, or the request gets its final response.
+async fn attempt_cancelled(
+    commands: &mut UnboundedReceiver<Command>,
+    attempt: u32,
+) -> Option<Command> {
     loop {
         match commands.recv().await {
-            Some(Command::CancelAttempt(n)) if n != attempt => {}
+            Some(Command::CancelAttempt(number)) if number != attempt => {}
             Some(Command::StartAttempt(..)) => {
-                // Two attempts of one request are never out at once.
-                invariants::holds(false, "an attempt is sent while one is out");
+                invariants::holds(false, "a request has one attempt in flight at a time");
             }
             Some(Command::Migrate | Command::Transfer) => {}
             command => return command,
@@ -375,42 +264,10 @@
     }
 }
 
-/// Waits until the client ends or breaks its side, or speaks before its turn.
-async fn speaks(client: &TcpStream) -> Opened {
+/// Waits until the client disconnects, or sends more before it has its response.
+async fn client_ends(client: &TcpStream) -> RequestEnd {
     match Lines::default().fill(client).await {
-        Ok(true) => unread("more before the answer"),
-        _ => Opened::Left,
-    }
-}
-
-/// Opens a connection again at the backend that it is open at: no decision, so no outcome for the module.
-async fn reopen(runtime: &Runtime, opening: &OpenRequest, server: ServerId) -> Option<Backend> {
-    let due = opening.request.deadline;
-    let listed_by = runtime.now() + UNLISTED;
-    loop {
-        let outcome = match fetch(runtime, server, Kind::Again, due, |ms| {
-            Some(opening.for_backend(ms))
-        })
-        .await
-        {
-            Ok(backend) => return Some(backend),
-            Err(outcome) => outcome,
-        };
-        tracing::warn!(
-            req = %opening.request.id,
-            server = %server,
-            ?outcome,
-            "is not open there"
-        );
-        // The backend's own word stands; a server that nobody knows is not worth the whole wait.
-        let said = matches!(
-            outcome,
-            Outcome::Error | Outcome::Rejected | Outcome::Cancelled
-        );
-        let unknown = outcome == Outcome::NotSent && runtime.now() >= listed_by;
-        if said || unknown || runtime.now() >= due {
-            return None;
-        }
-        sleep(AGAIN).await;
+        Ok(true) => malformed(MalformedRequest::DataBeforeResponse),
+        _ => RequestEnd::Disconnected,
     }
 }
--- a/tests/client_memory.rs
+++ b/tests/client_memory.rs
@@ -1,6 +1,6 @@
 //! What a client costs for as long as its connection stands.
 
-use spanspur::proxy::request::{go_on, serve};
+use spanspur::proxy::client::{serve, serve_transferred};
 
 /// Bytes that the runtime allocates for each client at once and keeps to its end: the future that serves it. What is
 /// held across an await is in it, whether that branch is ever taken or not: a buffer does not belong there, a rare and
@@ -20,8 +20,8 @@
 
 #[test]
 fn a_client_that_was_handed_over_costs_no_more() {
-    let bytes = size_of_future(|runtime, stands, (client, backend), place| {
-        go_on(runtime, stands, client, backend, place)
+    let bytes = size_of_future(|runtime, connection, (client, backend), permit| {
+        serve_transferred(runtime, connection, client, backend, permit)
     });
     assert!(bytes <= CLIENT, "{bytes} bytes for each client");
 }
