--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -6,6 +6,9 @@
 mod endpoint_list;
 mod health_check;
 mod rows;
+#[cfg(test)]
+#[path = "../../tests/common/wire_fixtures.rs"]
+mod wire_fixtures;
 
 pub use distribution::Followed;
 pub use endpoint_list::ListNews;
