--- a/src/lifecycle/startup.rs
+++ b/src/lifecycle/startup.rs
@@ -9,7 +9,8 @@
 use crate::invariants;
 use crate::lifecycle::graceful_shutdown;
 use crate::lifecycle::signals::{Reload, Signals};
-use crate::proxy::{listener, request};
+use crate::proxy::client_reader::ClientReader;
+use crate::proxy::{client, listener, local_response};
 use crate::runtime::Runtime;
 use spanspur_operator_config::{Format, Operator};
 use std::io::IsTerminal;
@@ -54,7 +55,7 @@
             serve_until_shutdown(node, operator, serve, inherited),
         )
     });
-    invariants::log_all();
+    invariants::log_counters();
     match served {
         Ok(()) => ExitCode::SUCCESS,
         Err(what) => {
@@ -155,7 +156,7 @@
 }
 
 async fn accept(runtime: Rc<Runtime>, listener: TcpListener) {
-    let mut on = runtime.accepting.subscribe();
+    let mut on = runtime.lifecycle.subscribe_accepting();
     loop {
         if on.wait_for(|on| *on).await.is_err() {
             return;
@@ -166,20 +167,25 @@
             accepted = listener.accept() => accepted,
         };
         match accepted {
-            Ok((client, _)) => {
-                match runtime.connection_limit.enter(runtime.descriptor_limit()) {
+            Ok((stream, _)) => {
+                match runtime
+                    .connection_limit
+                    .acquire_for_client(runtime.descriptor_limit())
+                {
                     Some(place) => {
-                        let reader = request::Reader::new(&runtime);
-                        drop(spawn_local(request::serve(
+                        let reader = ClientReader::new(&runtime);
+                        drop(spawn_local(client::serve(
                             runtime.clone(),
-                            client,
+                            stream,
                             place,
                             reader,
                         )));
                     }
                     None => {
                         let runtime = runtime.clone();
-                        spawn_local(async move { request::turn_away(&runtime, &client).await });
+                        spawn_local(async move {
+                            local_response::reject_for_descriptors(&runtime, &stream).await
+                        });
                     }
                 }
                 // In a crowd, those that give way for the next have to be gone before it is accepted.
--- a/src/lifecycle/hot_restart/tests.rs
+++ b/tests/transfer.rs
@@ -1,13 +1,20 @@
-//! The payloads of a hot restart in their bytes: the older and the newer process may be of different builds.
+//! The payloads of a hot restart (`src/transfer`) in their bytes: the older and the newer process may be of different builds.
 //!
 //! The fixtures `tests/fixtures/hot_restart/*.bin` hold whole frames. They were written by the tree at 71566bd
 //! (`WRITE_FIXTURES=1` writes them anew); rewriting them hides a change of the wire. The mirrors below are the form
 //! of the wire, kept apart from the types of the code: places and types of fields, not names.
 
-use super::*;
-use crate::Balancer;
-use crate::api::{EndpointState, Key, Request, RequestId, ServerId};
-use spanspur_hot_restart::frame::{decode, encode};
+use serde::{Deserialize, Serialize};
+use spanspur::Balancer;
+use spanspur::api::{Endpoint, EndpointState, Key, Request, RequestId, ServerId};
+use spanspur::discovery::endpoint_list::EndpointList;
+use spanspur::transfer::{
+    EstablishedConnection, Snapshot, TransferredConnection, list_update_frame,
+};
+use spanspur_admin::outs::Outs;
+use spanspur_hot_restart::frame::{Frame, VERSION, decode, encode};
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
 
 fn fixture(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -29,7 +36,7 @@
     read
 }
 
-/// What a client asked for, as it goes over.
+/// A client's request, as it is transferred.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 struct RequestMirror {
     id: u64,
@@ -42,29 +49,29 @@
     is_reconnect: bool,
 }
 
-/// A connection that stands, as it goes over.
+/// An established connection, as it is transferred.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-struct StandsMirror {
+struct EstablishedConnectionMirror {
     request: RequestMirror,
     server: u64,
     attempt: u32,
-    up: Vec<u8>,
-    down: Vec<u8>,
-    asked: Vec<f64>,
-    heard: f64,
-    pending_asks: u64,
-    reported: bool,
+    to_backend: Vec<u8>,
+    to_client: Vec<u8>,
+    unanswered_ages: Vec<f64>,
+    backend_silent_for: f64,
+    unsent_lines: u64,
+    has_reported: bool,
 }
 
-/// `TransferredConnection` in its command of variants.
+/// `TransferredConnection` in its order of variants.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-enum HandedMirror {
-    Standing(StandsMirror),
-    Reading(Vec<u8>, f64),
+enum TransferredConnectionMirror {
+    Established(EstablishedConnectionMirror),
+    AwaitingRequest(Vec<u8>, f64),
 }
 
-fn standing() -> StandsMirror {
-    StandsMirror {
+fn established() -> EstablishedConnectionMirror {
+    EstablishedConnectionMirror {
         request: RequestMirror {
             id: 0x0123_4567_89ab_cdef,
             class: 2,
@@ -77,17 +84,17 @@
         },
         server: ServerId::of("s-4").0,
         attempt: 3,
-        up: b"a line of the client that is not who".to_vec(),
-        down: b"whole\r\nand half of".to_vec(),
-        asked: vec![0.125, 0.5, 7.75],
-        heard: 0.0625,
-        pending_asks: 300,
-        reported: true,
+        to_backend: b"a line of the client that is not who".to_vec(),
+        to_client: b"whole\r\nand half of".to_vec(),
+        unanswered_ages: vec![0.125, 0.5, 7.75],
+        backend_silent_for: 0.0625,
+        unsent_lines: 300,
+        has_reported: true,
     }
 }
 
-fn bare() -> StandsMirror {
-    StandsMirror {
+fn without_data() -> EstablishedConnectionMirror {
+    EstablishedConnectionMirror {
         request: RequestMirror {
             id: 1,
             class: 0,
@@ -100,12 +107,12 @@
         },
         server: 0,
         attempt: 0,
-        up: Vec::new(),
-        down: Vec::new(),
-        asked: Vec::new(),
-        heard: 0.0,
-        pending_asks: 0,
-        reported: false,
+        to_backend: Vec::new(),
+        to_client: Vec::new(),
+        unanswered_ages: Vec::new(),
+        backend_silent_for: 0.0,
+        unsent_lines: 0,
+        has_reported: false,
     }
 }
 
@@ -117,7 +124,11 @@
 }
 
 /// The payload of a connection through the code's own types, held to its fixture and to its mirror.
-fn connection(name: &str, mirror: &HandedMirror, descriptors: usize) -> TransferredConnection {
+fn connection(
+    name: &str,
+    mirror: &TransferredConnectionMirror,
+    descriptors: usize,
+) -> TransferredConnection {
     let bytes = postcard::to_stdvec(mirror).expect("written");
     let (_, written) = through::<TransferredConnection>(&bytes);
     assert_eq!(written, bytes, "{name}: not the form of the mirror");
@@ -175,9 +186,9 @@
 }
 
 #[test]
-fn a_standing_connection_has_the_bytes_of_its_fixture() {
-    let mirror = HandedMirror::Standing(standing());
-    let TransferredConnection::Standing(stands) = connection("standing", &mirror, 2) else {
+fn an_established_connection_has_the_bytes_of_its_fixture() {
+    let mirror = TransferredConnectionMirror::Established(established());
+    let TransferredConnection::Established(transferred) = connection("standing", &mirror, 2) else {
         panic!("another kind of connection");
     };
     let Request {
@@ -189,7 +200,7 @@
         load_hint,
         mid_flow,
         is_reconnect,
-    } = stands.request;
+    } = transferred.request;
     assert_eq!(
         (id, class, key, group),
         (
@@ -203,22 +214,27 @@
         (deadline, load_hint, mid_flow, is_reconnect),
         (1234.5678, Some(0.25), true, false)
     );
-    assert_eq!(stands.server, ServerId::of("s-4"));
-    connection("standing_bare", &HandedMirror::Standing(bare()), 2);
+    assert_eq!(transferred.server, ServerId::of("s-4"));
+    connection(
+        "standing_bare",
+        &TransferredConnectionMirror::Established(without_data()),
+        2,
+    );
 }
 
 #[test]
-fn a_connection_that_is_half_read_has_the_bytes_of_its_fixture() {
+fn a_connection_awaiting_its_request_has_the_bytes_of_its_fixture() {
     let said = b"REQ 00000000000000aa half".to_vec();
-    let mirror = HandedMirror::Reading(said.clone(), 1.75);
-    let TransferredConnection::Reading(read, left) = connection("reading", &mirror, 1) else {
+    let mirror = TransferredConnectionMirror::AwaitingRequest(said.clone(), 1.75);
+    let TransferredConnection::AwaitingRequest(read, left) = connection("reading", &mirror, 1)
+    else {
         panic!("another kind of connection");
     };
     assert_eq!((read, left), (said, 1.75));
 }
 
 #[test]
-fn what_is_known_has_the_bytes_of_its_fixture_with_a_real_snapshot_in_it() {
+fn a_snapshot_with_a_real_balancer_has_the_bytes_of_its_fixture() {
     let snapshot = std::fs::read(fixture("balancer_snapshot.bin")).expect("the snapshot's fixture");
     let mut outs = Outs::default();
     outs.listed(ServerId::of("s-1").0);
@@ -227,9 +243,9 @@
     let known = Snapshot {
         discovery: "10.9.8.7:8500".parse().expect("an address"),
         revision: 1 << 40,
-        members: members(),
-        module: snapshot.clone(),
-        outs: outs.write(),
+        endpoints: members(),
+        balancer: snapshot.clone(),
+        maintenance: outs.write(),
         lameduck: true,
     };
     let payload = postcard::to_stdvec(&known).expect("written");
@@ -243,18 +259,18 @@
         (read.discovery, read.revision, read.lameduck),
         (known.discovery, 1 << 40, true)
     );
-    assert_members(&read.members);
-    assert_eq!(read.module, snapshot);
-    let (_, module) = through::<Balancer>(&read.module);
-    assert_eq!(module, snapshot, "the snapshot written again");
-    let taken_out = Outs::read(read.outs.as_bytes()).expect("a whole file");
+    assert_members(&read.endpoints);
+    assert_eq!(read.balancer, snapshot);
+    let (_, balancer) = through::<Balancer>(&read.balancer);
+    assert_eq!(balancer, snapshot, "the snapshot written again");
+    let taken_out = Outs::read(read.maintenance.as_bytes()).expect("a whole file");
     assert_eq!(taken_out.out().collect::<Vec<_>>(), ["s-1"]);
-    let list = read.list();
+    let list = read.into_endpoint_list();
     assert_eq!((list.revision, list.complete), (1 << 40, true));
 }
 
 #[test]
-fn news_of_the_list_has_the_bytes_of_its_fixture() {
+fn a_list_update_has_the_bytes_of_its_fixture() {
     for (name, complete, unusable) in [
         ("list_complete", true, None),
         ("list_changes", false, Some("'nowhere' of s-9".to_owned())),
@@ -265,7 +281,7 @@
             endpoints: members(),
             unusable: unusable.clone(),
         };
-        let Frame::List(payload) = kept(name, &news(&list), 0) else {
+        let Frame::List(payload) = kept(name, &list_update_frame(&list), 0) else {
             panic!("{name}: another frame");
         };
         let (read, again) = through::<EndpointList>(&payload);
@@ -277,3 +293,36 @@
         assert_members(&read.endpoints);
     }
 }
+
+/// Two fields of one type could change places without a change of the form.
+#[test]
+fn each_field_of_an_established_connection_is_read_from_its_own_place() {
+    let bytes = std::fs::read(fixture("hot_restart/standing.bin")).expect("the fixture");
+    let whole = decode(&bytes).expect("a frame");
+    let Some((Frame::Connection(_, payload), ..)) = whole else {
+        panic!("another frame: {whole:?}");
+    };
+    let Ok(TransferredConnection::Established(connection)) = postcard::from_bytes(&payload) else {
+        panic!("another kind of connection");
+    };
+    let EstablishedConnection {
+        request,
+        server,
+        attempt,
+        to_backend,
+        to_client,
+        unanswered_ages,
+        backend_silent_for,
+        unsent_lines,
+        has_reported,
+    } = connection;
+    assert_eq!(request.id, RequestId(0x0123_4567_89ab_cdef));
+    assert_eq!((server, attempt), (ServerId::of("s-4"), 3));
+    assert_eq!(to_backend, b"a line of the client that is not who");
+    assert_eq!(to_client, b"whole\r\nand half of");
+    assert_eq!(
+        (unanswered_ages, backend_silent_for),
+        (vec![0.125, 0.5, 7.75], 0.0625)
+    );
+    assert_eq!((unsent_lines, has_reported), (300, true));
+}
