--- a/src/proxy/relay.rs
+++ b/src/proxy/relay.rs
@@ -1,13 +1,12 @@
 //! Relays an established connection: lines pass both ways until one side ends, the backend falls silent, or the client
 //! is asked to migrate.
 
-use crate::api::{AttemptEnded, Event, Outcome, Request, ServerId};
+use crate::api::Outcome;
 use crate::invariants;
-use crate::protocol::client::Said;
 use crate::proxy::attempt::Backend;
 use crate::proxy::closing::{CLOSE_TIMEOUT, close_with_reset, discard};
 use crate::proxy::direction::{Direction, FailedSide, Step};
-use crate::proxy::reply_tracker::ReplyTracker;
+use crate::proxy::session::Session;
 use crate::runtime::{Command, Runtime};
 use crate::transfer::{EstablishedConnection, TransferredConnection};
 use socket2::SockRef;
@@ -30,21 +29,11 @@
 
 /// An established connection.
 struct Relay {
-    runtime: Rc<Runtime>,
-    request: Request,
-    server: ServerId,
-    attempt: u32,
+    session: Session,
     client: TcpStream,
     backend: TcpStream,
     to_backend: Direction,
     to_client: Direction,
-    replies: ReplyTracker,
-    /// The outcome that the backend has announced.
-    announced: Option<Outcome>,
-    /// The balancer has been told that the connection is over.
-    end_notified: bool,
-    /// The backend has reported a figure on this connection.
-    has_reported: bool,
     /// One side has ended: when the connection is closed if the other does not end before.
     close_at: Option<Instant>,
     /// Nothing is passed to the backend any more.
@@ -69,7 +58,7 @@
     let mut relay = Relay::new(runtime, &connection, client, backend.stream);
     relay.to_client = Direction::new(received);
     // The first line accepts the request; it is no reply to a line.
-    relay.read_backend_lines(1);
+    relay.handle_backend_lines(1);
     relay.run(commands)
 }
 
@@ -99,18 +88,11 @@
         backend: TcpStream,
     ) -> Self {
         Self {
-            runtime,
-            request: connection.request,
-            server: connection.server,
-            attempt: connection.attempt,
+            session: Session::new(runtime, connection),
             client,
             backend,
             to_backend: Direction::new(Vec::new()),
             to_client: Direction::new(Vec::new()),
-            replies: ReplyTracker::new(connection),
-            announced: None,
-            end_notified: false,
-            has_reported: connection.has_reported,
             close_at: None,
             to_backend_stopped: false,
         }
@@ -133,9 +115,9 @@
                         Some(command) => unexpected(command),
                         None => CLOSE,
                     },
-                    step = self.to_client.step(&self.backend, &self.client) => self.handle_backend(step),
+                    step = self.to_client.step(&self.backend, &self.client) => self.handle_backend_step(step),
                     step = self.to_backend.step(&self.client, &self.backend), if !self.to_backend_stopped => {
-                        self.handle_client(step)
+                        self.handle_client_step(step)
                     }
                     // All that the client can still do is to close its side.
                     () = discard(&self.client), if self.waits_for_client() => CLOSE,
@@ -150,12 +132,12 @@
 
     /// Handles the command to migrate the client.
     fn migrate(&mut self) -> Flow {
-        if self.announced.is_some() || self.to_client.has_source_ended() {
+        if self.session.is_end_announced() || self.to_client.has_source_ended() {
             // The backend is about to end, or has ended, maybe within a line: the client sees that end.
-            self.notify_end(self.announced.unwrap_or(Outcome::Reset));
+            self.session.notify_backend_end();
             self.close_within(ANNOUNCED_END_TIMEOUT);
-        } else if !self.end_notified {
-            self.notify_end(Outcome::Cancelled);
+        } else if !self.session.is_end_notified() {
+            self.session.notify_end(Outcome::Cancelled);
             self.send_client_elsewhere();
         }
         // Else the balancer has asked for a connection that has just ended.
@@ -167,7 +149,7 @@
         if self.is_ending() || !self.try_transfer().await {
             return CONTINUE;
         }
-        self.notify_client_end();
+        self.session.notify_client_end();
         CLOSE
     }
 
@@ -175,40 +157,40 @@
         self.close_at.is_some()
             || self.to_backend.has_source_ended()
             || self.to_client.has_source_ended()
-            || self.end_notified
-            || self.announced.is_some()
+            || self.session.is_end_notified()
+            || self.session.is_end_announced()
     }
 
     /// Whether the successor has taken the connection over.
     async fn try_transfer(&self) -> bool {
-        let Some(successor) = self.runtime.peer_processes.successor() else {
+        let Some(successor) = self.session.runtime().peer_processes.successor() else {
             return false;
         };
-        let mut connection = EstablishedConnection::new(self.request, self.server, self.attempt);
+        let mut connection = self.session.save();
         connection.to_backend = self.to_backend.buffer().to_vec();
         connection.to_client = self.to_client.buffer().to_vec();
-        connection.has_reported = self.has_reported;
-        self.replies.save(&mut connection);
         let descriptors = [self.client.as_fd(), self.backend.as_fd()];
         let connection = TransferredConnection::Established(connection);
         successor.transfer(connection, &descriptors).await
     }
 
     /// Handles a step of the direction from the backend to the client.
-    fn handle_backend(&mut self, step: Result<Step, FailedSide>) -> Flow {
+    fn handle_backend_step(&mut self, step: Result<Step, FailedSide>) -> Flow {
         match step {
-            Ok(Step::Read) => self.read_backend_lines(0),
+            Ok(Step::Read) => self.handle_backend_lines(0),
             Ok(Step::Wrote) => {}
             Ok(Step::Ended) => {
-                self.notify_end(self.announced.unwrap_or(Outcome::Reset));
+                self.session.notify_backend_end();
                 return self.await_other_end(self.to_backend.is_end_passed_on());
             }
             // After an announced end, or one of our own, the manner of it says nothing more.
-            Err(FailedSide::Source) if self.announced.is_some() || self.end_notified => {
+            Err(FailedSide::Source)
+                if self.session.is_end_announced() || self.session.is_end_notified() =>
+            {
                 self.to_client.end_source();
             }
             Err(FailedSide::Source) => {
-                self.notify_end(Outcome::Reset);
+                self.session.notify_end(Outcome::Reset);
                 close_with_reset(&self.client);
                 return CLOSE;
             }
@@ -218,19 +200,19 @@
     }
 
     /// Handles a step of the direction from the client to the backend.
-    fn handle_client(&mut self, step: Result<Step, FailedSide>) -> Flow {
+    fn handle_client_step(&mut self, step: Result<Step, FailedSide>) -> Flow {
         match step {
             Ok(Step::Read) => {
                 let lines = self.to_backend.take_line_ends().len();
-                self.replies.record_client_lines(lines);
+                self.session.replies.record_client_lines(lines);
             }
             Ok(Step::Wrote) => {
                 if !self.to_backend.has_unwritten_lines() {
-                    self.replies.record_sent();
+                    self.session.replies.record_sent();
                 }
             }
             Ok(Step::Ended) => {
-                self.notify_client_end();
+                self.session.notify_client_end();
                 return self.await_other_end(self.to_client.is_end_passed_on());
             }
             Err(FailedSide::Source) => return self.close_after_client(),
@@ -251,7 +233,7 @@
 
     /// The client's side is broken: so is the backend's.
     fn close_after_client(&mut self) -> Flow {
-        self.notify_client_end();
+        self.session.notify_client_end();
         close_with_reset(&self.backend);
         CLOSE
     }
@@ -264,7 +246,7 @@
     /// When the connection has to be looked at if nothing happens before.
     fn wake_up(&self) -> Instant {
         let silent_at = || {
-            let silent_at = self.replies.silent_at();
+            let silent_at = self.session.replies.silent_at();
             silent_at.filter(|_| !self.to_client.has_unwritten_lines())
         };
         let wake_up = self.close_at.or_else(silent_at);
@@ -276,9 +258,9 @@
             return CLOSE;
         }
         // Where lines wait for the client, it is the client that holds the backend up.
-        if self.replies.is_silent() && !self.to_client.has_unwritten_lines() {
+        if self.session.replies.is_silent() && !self.to_client.has_unwritten_lines() {
             invariants::count("backend fell silent");
-            self.notify_end(Outcome::Reset);
+            self.session.notify_end(Outcome::Reset);
             self.send_client_elsewhere();
         }
         CONTINUE
@@ -299,71 +281,17 @@
     }
 
     /// Handles the lines read from the backend; the first `skip` of them are neither replies nor reports.
-    fn read_backend_lines(&mut self, skip: usize) {
-        self.replies.record_heard();
+    fn handle_backend_lines(&mut self, skip: usize) {
+        self.session.replies.record_heard();
         let mut start = 0;
         for (number, end) in self.to_client.take_line_ends().into_iter().enumerate() {
             if number >= skip {
-                self.handle_backend_line(start, end);
+                let line = &self.to_client.buffer()[start..end];
+                self.session.handle_backend_line(line);
             }
             start = end;
         }
     }
-
-    /// Handles one line of the backend, by its place in the buffer.
-    fn handle_backend_line(&mut self, start: usize, end: usize) {
-        let line = &self.to_client.buffer()[start..end];
-        tracing::trace!(
-            request = %self.request.id,
-            server = %self.server,
-            line = %String::from_utf8_lossy(line),
-            oldest_unanswered = ?self.replies.oldest_unanswered_age(),
-            "line from backend"
-        );
-        match Said::parse(line) {
-            Said::Load(figure) => self.report_figure(figure),
-            Said::Bye => self.announced = Some(Outcome::Success),
-            Said::Move => self.announced = Some(Outcome::Cancelled),
-            Said::Reply => {
-                if let Some(time) = self.replies.take_reply() {
-                    let seconds = time.as_secs_f64();
-                    self.runtime.report_message_time(self.server, seconds);
-                }
-            }
-        }
-    }
-
-    fn report_figure(&mut self, figure: f64) {
-        let first = !std::mem::replace(&mut self.has_reported, true);
-        self.runtime
-            .report_figure(self.request.id, self.server, figure, first);
-    }
-
-    /// Tells the balancer, once, that the backend's side is over.
-    fn notify_end(&mut self, outcome: Outcome) {
-        if std::mem::replace(&mut self.end_notified, true) {
-            return;
-        }
-        let (id, server) = (self.request.id, self.server);
-        tracing::debug!(request = %id, %server, ?outcome, "connection ended");
-        self.runtime.handle_event(Event::AttemptEnded(AttemptEnded {
-            id,
-            attempt: self.attempt,
-            server,
-            outcome,
-            settled: true,
-        }));
-    }
-
-    /// Tells the balancer, once, that the client's side is over.
-    fn notify_client_end(&mut self) {
-        if std::mem::replace(&mut self.end_notified, true) {
-            return;
-        }
-        let (id, server) = (self.request.id, self.server);
-        tracing::debug!(request = %id, %server, "client disconnected");
-        self.runtime.handle_event(Event::ClientDisconnected(id));
-    }
 }
 
 fn unexpected(command: Command) -> Flow {
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -6,6 +6,7 @@
 pub mod clock;
 pub mod connection_limit;
 pub mod endpoint_directory;
+mod endpoints;
 pub mod latency_tracker;
 pub mod lifecycle_state;
 pub mod peer_processes;
@@ -19,19 +20,15 @@
 use crate::Balancer;
 use crate::api::*;
 use crate::config::ProcessConfig;
-use crate::discovery::endpoint_list::EndpointList;
-use crate::transfer::list_update_frame;
 use clock::Clock;
 use connection_limit::ConnectionLimit;
-use endpoint_directory::{EndpointDirectory, SlowStartWindow};
+use endpoint_directory::EndpointDirectory;
 use latency_tracker::LatencyTracker;
 use lifecycle_state::LifecycleState;
 use peer_processes::PeerProcesses;
 use report_classifier::{Report, ReportClassifier};
 use request_registry::RequestRegistry;
-use spanspur_admin::outs::Outs;
 use std::cell::RefCell;
-use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::{Notify, mpsc};
@@ -165,92 +162,6 @@
         });
     }
 
-    /// Applies an endpoint list: first to the directory, so that the balancer chooses among known addresses.
-    pub fn update_endpoints(self: &Rc<Self>, kind: UpdateKind, list: EndpointList) {
-        if let Some(entry) = &list.unusable {
-            tracing::warn!(entry, "unusable address in endpoint list");
-        }
-        let window = self.slow_start_window();
-        let endpoints = self.endpoints.borrow_mut().apply(kind, list, window);
-        self.handle_event(Event::EndpointsUpdated(kind, endpoints.into()));
-        self.endpoints_changed.notify_one();
-    }
-
-    /// Applies a list that control instances distributed in place of discovery, and passes it on to the other processes
-    /// of this balancer as if it had come from discovery.
-    pub fn update_from_distribution(self: &Rc<Self>, list: EndpointList) {
-        let kind = match list.complete {
-            true => UpdateKind::Full,
-            false => UpdateKind::Delta,
-        };
-        tracing::debug!(
-            revision = list.revision,
-            complete = list.complete,
-            entries = list.members.len(),
-            "endpoint list received from distribution"
-        );
-        self.lifecycle.set_discovery_answered();
-        self.peer_processes.broadcast(|| list_update_frame(&list));
-        self.update_endpoints(kind, list);
-    }
-
-    /// The servers under maintenance.
-    pub fn maintenance(&self) -> Outs {
-        self.endpoints.borrow().maintenance().clone()
-    }
-
-    /// Merges in newer knowledge of the servers under maintenance.
-    pub fn merge_maintenance(self: &Rc<Self>, maintenance: &Outs) {
-        self.endpoints.borrow_mut().merge_maintenance(maintenance);
-        self.refresh_endpoints();
-    }
-
-    /// Sets whether another process takes the clients.
-    pub fn set_clients_handed_over(self: &Rc<Self>, handed_over: bool) {
-        self.endpoints
-            .borrow_mut()
-            .set_clients_handed_over(handed_over);
-        self.refresh_endpoints();
-        self.lifecycle.set_accepting(!handed_over);
-    }
-
-    /// Masks all endpoints anew, and tells the balancer of those that changed as if discovery had.
-    fn refresh_endpoints(self: &Rc<Self>) {
-        let window = self.slow_start_window();
-        let changed = self.endpoints.borrow_mut().refresh(window);
-        if !changed.is_empty() {
-            self.handle_event(Event::EndpointsUpdated(UpdateKind::Delta, changed.into()));
-            self.endpoints_changed.notify_one();
-        }
-    }
-
-    fn slow_start_window(&self) -> SlowStartWindow {
-        SlowStartWindow {
-            now: self.now(),
-            length: self.process_config().config.slow_start_window,
-        }
-    }
-
-    /// Revision of the endpoint list applied last.
-    pub fn list_revision(&self) -> u64 {
-        self.endpoints.borrow().revision()
-    }
-
-    /// The address of a listed server.
-    pub fn endpoint_address(&self, server: ServerId) -> Option<SocketAddr> {
-        self.endpoints.borrow().address(server)
-    }
-
-    /// All listed servers with their addresses.
-    pub fn endpoint_addresses(&self) -> Vec<(ServerId, SocketAddr)> {
-        self.endpoints.borrow().addresses()
-    }
-
-    /// Whether the server is listed and takes new requests.
-    pub fn accepts_new_requests(&self, server: ServerId) -> bool {
-        self.endpoints.borrow().accepts_new_requests(server)
-    }
-
     /// The number of descriptors that this process may hold.
     pub fn descriptor_limit(&self) -> usize {
         let limit = self.process_config().sockets;
--- a/tests/sockets/endings.rs
+++ b/tests/sockets/endings.rs
@@ -239,7 +239,7 @@
     let (mut watch, _) = discovery.call();
     let client = balancer.open(0xf1, 2000);
     // It waits: nobody may be asked. It leaves, and there is room, in the same instant.
-    balancer.wait_for_reqs(1);
+    balancer.wait_for_requests(1);
     balancer.at_once(|| {
         drop(client);
         watch.say(&http(&list(2, false, &[backend.entry("SERVING")])));
--- a/tests/sockets/peers.rs
+++ b/tests/sockets/peers.rs
@@ -434,7 +434,7 @@
     }
 
     /// Waits until so many clients have asked that have no answer, by its log.
-    pub fn wait_for_reqs(&self, count: usize) {
+    pub fn wait_for_requests(&self, count: usize) {
         wait_until(|| self.log().matches("request received").count() >= count);
     }
 
