--- a/crates/fleet-rig/src/capacity/data.rs
+++ b/crates/fleet-rig/src/capacity/data.rs
@@ -10,8 +10,7 @@
 const PROCESSES: &str = "a balancer of several processes: missing";
 
 /// What would make a placement cheap while many servers are cold.
-const COLD: &str =
-    "a placement that does not look at each cold server for each: missing (`src/balancer/mod.rs`)";
+const COLD: &str = "a placement that does not look at each cold server for each: missing (`src/balancer/selection.rs`)";
 
 /// Connections that stand at one balancer.
 pub fn connections(book: &Book) -> Figure {
@@ -47,7 +46,7 @@
 pub fn rows(book: &Book) -> Vec<Row> {
     let core = || Limit::Own(Figure::of(1.0), "one process runs on one core");
     let relay = Mechanism::Is("src/proxy/relay.rs", "pub fn relay(");
-    let place = Mechanism::Is("src/balancer/mod.rs", "fn choose");
+    let place = Mechanism::Is("src/balancer/selection.rs", "fn choose");
     let list = Mechanism::Is("src/discovery/watcher.rs", "async fn follow");
     let stand = connections(book);
     let memory = || Limit::Own(book.given("balancer-memory") * 1e9, "assumed");
--- a/crates/fleet-rig/src/capacity/edges.rs
+++ b/crates/fleet-rig/src/capacity/edges.rs
@@ -89,10 +89,10 @@
     let held = book.given("connections") / servers();
     let room = held.clone() / book.given("server-fill");
     let topic = book.given("largest-topic");
-    let place = Mechanism::Is("src/balancer/mod.rs", "fn choose");
-    let budget = Mechanism::Is("src/balancer/mod.rs", "fn budget");
-    let cold =
-        book.code("src/balancer/mod.rs", "COLD_SAFETY") * room.clone() / book.given("warm-up");
+    let place = Mechanism::Is("src/balancer/selection.rs", "fn choose");
+    let budget = Mechanism::Is("src/balancer/slow_start.rs", "fn available_tokens");
+    let cold = book.code("src/balancer/slow_start.rs", "WARM_UP_BUDGET_SHARE") * room.clone()
+        / book.given("warm-up");
     vec![
         Row::new("connections that stand", "mean", Unit::Count, held.clone())
             .limit(Limit::Own(room.clone(), "assumed"))
--- a/crates/fleet-rig/src/data_path.rs
+++ b/crates/fleet-rig/src/data_path.rs
@@ -282,14 +282,17 @@
             id: ServerId::of(&format!("s-{n}")),
             state: EndpointState::Ready,
             weight: 1.0,
-            started: if cold && n % 2 == 0 { NOW - 10.0 } else { 0.0 },
+            started_at: if cold && n % 2 == 0 { NOW - 10.0 } else { 0.0 },
             ..Endpoint::default()
         })
         .collect();
     let mut balancer = Balancer::new(config(), 7);
     balancer.handle(
         NOW,
-        &Event::EndpointsUpdated(UpdateKind::Full, members),
+        &Event::EndpointsUpdated {
+            kind: UpdateKind::Full,
+            endpoints: members,
+        },
         &mut Vec::new(),
     );
     balancer
@@ -338,7 +341,10 @@
         let now = NOW + round as f64;
         balancer.handle(
             now,
-            &Event::EndpointsUpdated(kind, members),
+            &Event::EndpointsUpdated {
+                kind,
+                endpoints: members,
+            },
             &mut Vec::new(),
         );
         times.push(micros(start));
@@ -364,7 +370,7 @@
         });
         if let Some(server) = sent {
             held.insert(server);
-            balancer.handle(now, &Event::Established(id, server), &mut actions);
+            balancer.handle(now, &Event::Established { id, server }, &mut actions);
             actions.clear();
         }
         if GROUP.contains(&n) {
--- /dev/null
+++ b/src/balancer/api/action.rs
@@ -0,0 +1,44 @@
+//! Actions: what the process carries out, in the order given.
+
+use super::{RequestId, ServerId, Time};
+
+/// What the process is to do.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Action {
+    /// Send the request to a server. The attempts of a request are numbered from 0.
+    StartAttempt {
+        /// The request.
+        id: RequestId,
+        /// The server.
+        server: ServerId,
+        /// When the attempt times out.
+        timeout_at: Time,
+    },
+    /// Final answer: rejected. A retry by the client does no harm.
+    Reject {
+        /// The request.
+        id: RequestId,
+        /// Retry-After in seconds; 0 for none.
+        retry_after: Time,
+    },
+    /// Final answer: failed. The request may have executed.
+    Fail(RequestId),
+    /// Cancel an attempt in flight.
+    CancelAttempt {
+        /// The request.
+        id: RequestId,
+        /// The attempt's number, from 0.
+        attempt: u32,
+    },
+    /// Close an established connection gracefully, so that its client reconnects and is placed anew.
+    Migrate(RequestId),
+    /// Poll discovery, and subscribe to its changes.
+    PollDiscovery,
+    /// Report [`Event::Timer`](super::Event::Timer) with `token` in `after` seconds.
+    SetTimer {
+        /// Seconds from now.
+        after: Time,
+        /// The timer's token.
+        token: u64,
+    },
+}
--- /dev/null
+++ b/src/balancer/attempt.rs
@@ -0,0 +1,142 @@
+//! The attempts of a request: the next step of a pending one, its start, and what follows while it is in
+//! flight.
+
+use super::Balancer;
+use super::api::{Action, Request, RequestId, ServerId, Time};
+use super::request_state::{Phase, RequestState};
+use super::retry::RetryDecision;
+
+/// What is done with a pending request.
+enum NextStep {
+    Start {
+        server: ServerId,
+        timeout_at: Time,
+    },
+    /// No server has capacity yet.
+    Queue,
+    /// No attempt may follow, or none would be in time.
+    GiveFinalAnswer,
+}
+
+impl Balancer {
+    /// Starts an attempt of a pending request, queues it, or gives its final answer.
+    pub(super) fn attempt(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        match self.next_step(now, request) {
+            NextStep::Start { server, timeout_at } => {
+                self.start_attempt(now, id, server, timeout_at, actions);
+            }
+            NextStep::Queue => self.enqueue(id, actions),
+            NextStep::GiveFinalAnswer => self.give_final_answer(id, actions),
+        }
+    }
+
+    fn next_step(&self, now: Time, request: &RequestState) -> NextStep {
+        if self.decide_retry(now, request) != RetryDecision::Allowed {
+            return NextStep::GiveFinalAnswer;
+        }
+        if self.backoff.allows_attempt(now)
+            && let Some(server) = self.choose(now, request)
+        {
+            let timeout_at = self.attempt_timeout_at(now, request);
+            return NextStep::Start { server, timeout_at };
+        }
+        // A rejected client retries at once: to keep it waiting here costs the servers nothing.
+        if now + self.latency_objective(request) < request.request.deadline {
+            NextStep::Queue
+        } else {
+            NextStep::GiveFinalAnswer
+        }
+    }
+
+    fn start_attempt(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        server: ServerId,
+        timeout_at: Time,
+        actions: &mut Vec<Action>,
+    ) {
+        self.delay_next_attempt(now);
+        actions.push(Action::StartAttempt {
+            id,
+            server,
+            timeout_at,
+        });
+        self.spend_token(now, server);
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        request.phase = Phase::InFlight(server);
+        request.sent_at = now;
+        request.attempts += 1;
+        request.attempted.push(server);
+        let load = request.load;
+        self.attach(id, server, load);
+    }
+
+    /// Leaves a gap after an attempt while servers fail.
+    fn delay_next_attempt(&mut self, now: Time) {
+        if self.backoff.is_active() {
+            let gap = self
+                .backoff
+                .gap(self.queue_interval, self.arrival_rate.first_attempts);
+            let next_attempt_at = now + gap * self.random.next_jitter();
+            self.backoff.delay_next_attempt(next_attempt_at);
+        }
+    }
+
+    /// The attempt in flight became an established connection.
+    pub(super) fn attempt_established(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        server: ServerId,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        if request.phase != Phase::InFlight(server) {
+            return;
+        }
+        request.phase = Phase::Established(server);
+        let setup_time = now - request.sent_at;
+        self.established += 1;
+        self.backoff.decrease();
+        if let Some(server) = self.server_mut(server) {
+            server.record_established();
+        }
+        if let Some(excess) = self.setup_time.record(setup_time) {
+            let latency_ratio = excess / self.busy_message_latency;
+            if latency_ratio >= 1.0 {
+                self.record_latency_ratio(now, server, latency_ratio, actions);
+            }
+        }
+    }
+
+    /// Takes over a connection that was established before this balancer started.
+    pub(super) fn adopt_established(&mut self, now: Time, request: &Request, server: ServerId) {
+        if self.requests.contains_key(&request.id) || self.server_index(server).is_none() {
+            return;
+        }
+        let phase = Phase::Established(server);
+        let state = RequestState::new(now, request, phase, self.mean_load());
+        self.attach(request.id, server, state.load);
+        self.established += 1;
+        self.requests.insert(request.id, state);
+    }
+
+    /// Forgets a request whose client disconnected, and cancels its attempt in flight to spare the server.
+    pub(super) fn client_disconnected(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        if let Some(request) = self.release(id)
+            && matches!(request.phase, Phase::InFlight(_))
+            && self.config.can_cancel_attempts
+        {
+            let attempt = request.attempts - 1;
+            actions.push(Action::CancelAttempt { id, attempt });
+        }
+    }
+}
--- /dev/null
+++ b/src/balancer/discovery_poll.rs
@@ -0,0 +1,64 @@
+//! Polls of discovery: once at the start and after a change of the configuration, then with backoff after
+//! failures.
+
+use super::Balancer;
+use super::api::{Action, DiscoveryMode, Time};
+use serde::{Deserialize, Serialize};
+
+/// The timer that polls discovery again.
+pub(super) const DISCOVERY_POLL_TIMER: u64 = 1;
+/// Backoff after the first failure, in `poll_interval`.
+const INITIAL_BACKOFF_INTERVALS: f64 = 1.0 / 32.0;
+/// How often the backoff is doubled at most: it stays within half of `poll_interval`.
+const MAX_BACKOFF_DOUBLINGS: i32 = 4;
+/// Longest backoff before jitter, in seconds.
+const MAX_BACKOFF: Time = 2.0;
+
+/// State of the polls. A part of the snapshot: the order and the types of the fields are fixed.
+#[derive(Default, Deserialize, Serialize)]
+pub(super) struct DiscoveryPoll {
+    consecutive_failures: i32,
+    /// The first poll was requested.
+    is_started: bool,
+}
+
+impl DiscoveryPoll {
+    /// Forgets failures: the configuration may name another discovery service.
+    pub(super) fn restart(&mut self) {
+        *self = Self::default();
+    }
+
+    pub(super) fn record_success(&mut self) {
+        self.consecutive_failures = 0;
+    }
+
+    /// Takes a failure; seconds until the next poll, before jitter.
+    fn record_failure(&mut self, poll_interval: Time) -> Time {
+        let doublings = self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
+        let intervals = INITIAL_BACKOFF_INTERVALS * f64::from(1 << doublings);
+        self.consecutive_failures += 1;
+        (poll_interval * intervals).min(MAX_BACKOFF)
+    }
+}
+
+impl Balancer {
+    /// Requests the first poll, if that has not been done.
+    pub(super) fn poll_discovery_first(&mut self, actions: &mut Vec<Action>) {
+        let was_started = std::mem::replace(&mut self.discovery_poll.is_started, true);
+        if !was_started && self.config.discovery_mode == DiscoveryMode::Polled {
+            actions.push(Action::PollDiscovery);
+        }
+    }
+
+    /// Polls again after a backoff. Jitter keeps balancers apart whose polls failed at the same time.
+    pub(super) fn schedule_discovery_poll(&mut self, actions: &mut Vec<Action>) {
+        let backoff = self
+            .discovery_poll
+            .record_failure(self.config.poll_interval);
+        let after = backoff * self.random.next_jitter();
+        actions.push(Action::SetTimer {
+            after,
+            token: DISCOVERY_POLL_TIMER,
+        });
+    }
+}
--- /dev/null
+++ b/src/balancer/load_estimate.rs
@@ -0,0 +1,117 @@
+//! Estimates of load: the rate of arrivals, the mean load of a connection, and how far this balancer's
+//! load on a server exceeds its part of the server's capacity.
+
+use super::Balancer;
+use super::api::{RequestId, ServerId, Time};
+use super::servers::Server;
+use serde::{Deserialize, Serialize};
+
+/// Capacity of a server per unit of weight, in microseconds of work a second.
+pub(super) const CAPACITY_PER_WEIGHT: f64 = 1e6;
+/// Assumed load of a connection before any is reported, in microseconds of work a second.
+const DEFAULT_CONNECTION_LOAD: f64 = CAPACITY_PER_WEIGHT / 10.0;
+/// Arrivals are averaged exponentially over this many seconds.
+const ARRIVAL_RATE_TIME_CONSTANT: Time = 10.0;
+/// The mean load is taken over about this many reports.
+const MEAN_LOAD_SAMPLES: f64 = 100.0;
+/// Share of its capacity to which a server is filled in the order of the ranking.
+const TARGET_UTILIZATION: f64 = 0.8;
+/// By how many standard deviations (Poisson) this balancer's load may exceed its part: of few connections
+/// it cannot tell how loaded the server is.
+const TOLERATED_DEVIATIONS: f64 = 2.0;
+
+/// Requests a second, averaged exponentially. A part of the snapshot: the order and the types of the
+/// fields are fixed.
+#[derive(Default, Deserialize, Serialize)]
+pub(super) struct ArrivalRate {
+    /// Requests of clients that do not reconnect, a second.
+    pub(super) first_attempts: f64,
+    /// All requests, a second.
+    pub(super) total: f64,
+    /// When a request was last recorded.
+    updated_at: Time,
+}
+
+impl ArrivalRate {
+    pub(super) fn record(&mut self, now: Time, is_reconnect: bool) {
+        let decay = libm::exp((self.updated_at - now) / ARRIVAL_RATE_TIME_CONSTANT);
+        let arrival = 1.0 / ARRIVAL_RATE_TIME_CONSTANT;
+        let first_attempt = if is_reconnect { 0.0 } else { arrival };
+        self.first_attempts = self.first_attempts * decay + first_attempt;
+        self.total = self.total * decay + arrival;
+        self.updated_at = now;
+    }
+}
+
+/// A mean in which each new sample has the weight of one among the last [`MEAN_LOAD_SAMPLES`]. A part of
+/// the snapshot: the order and the types of the fields are fixed.
+#[derive(Default, Deserialize, Serialize)]
+pub(super) struct RunningMean {
+    mean: f64,
+    /// How many samples the mean is of, at most [`MEAN_LOAD_SAMPLES`].
+    samples: f64,
+}
+
+impl RunningMean {
+    fn record(&mut self, sample: f64) {
+        self.samples = (self.samples + 1.0).min(MEAN_LOAD_SAMPLES);
+        self.mean += (sample - self.mean) / self.samples;
+    }
+
+    fn is_empty(&self) -> bool {
+        self.samples == 0.0
+    }
+}
+
+impl Balancer {
+    /// Takes the present load of a connection, in microseconds of work a second.
+    pub(super) fn record_load(&mut self, id: RequestId, load: f64) {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let load_before = std::mem::replace(&mut request.load, load);
+        if let Some(server) = request.phase.server()
+            && let Some(server) = self.server_mut(server)
+        {
+            server.load += load - load_before;
+        }
+        self.mean_load.record(load);
+    }
+
+    /// Puts a request with its load on a server.
+    pub(super) fn attach(&mut self, id: RequestId, server: ServerId, load: f64) {
+        if let Some(server) = self.server_mut(server) {
+            server.in_flight.insert(id);
+            server.load += load;
+        }
+    }
+
+    /// Mean load of a connection, in microseconds of work a second.
+    pub(super) fn mean_load(&self) -> f64 {
+        let mean = self.mean_load.mean;
+        if mean > 0.0 {
+            mean
+        } else {
+            DEFAULT_CONNECTION_LOAD
+        }
+    }
+
+    /// By which share this balancer's load on a server, with one more connection, exceeds its part of the
+    /// target utilization; 0 if it does not. Balancers do not know each other's load: if each keeps to
+    /// its part, the sum is kept.
+    pub(super) fn excess_load(&self, server: &Server, capacity_share: f64) -> f64 {
+        if self.mean_load.is_empty() {
+            return 0.0;
+        }
+        let target_load =
+            TARGET_UTILIZATION * CAPACITY_PER_WEIGHT * server.endpoint.weight * capacity_share;
+        let part = target_load / self.balancer_count();
+        let mean_load = self.mean_load();
+        // A part of less than one connection says nothing: it would spread a group over all servers.
+        if part < mean_load {
+            return 0.0;
+        }
+        let tolerated = part + TOLERATED_DEVIATIONS * libm::sqrt(part * mean_load);
+        ((server.load.max(0.0) + mean_load) / tolerated - 1.0).max(0.0)
+    }
+}
--- /dev/null
+++ b/src/balancer/outlier_ejection.rs
@@ -0,0 +1,92 @@
+//! Outlier ejection: a server that fails gets nothing for a while, twice as long after each failure in a
+//! row.
+
+use super::Balancer;
+use super::api::{Outcome, ServerId, Time};
+use super::servers::Server;
+
+/// Ejection after the first failure, in connect timeouts.
+const BASE_EJECTION_CONNECT_TIMEOUTS: f64 = 2.0;
+/// How often that is doubled at most.
+const MAX_EJECTION_DOUBLINGS: u32 = 5;
+/// Errors and resets are failures of the server from this share of its answers on: one alone may be the
+/// request's fault, or the network's.
+const FAILING_ERROR_RATE: f64 = 0.4;
+/// Weight of an answer in the moving average of the error rate.
+const ERROR_RATE_SMOOTHING: f64 = 0.25;
+
+impl Server {
+    fn record_error(&mut self) {
+        self.error_rate += (1.0 - self.error_rate) * ERROR_RATE_SMOOTHING;
+    }
+
+    /// Whether an outcome is a failure of the server.
+    fn is_failure(&self, outcome: Outcome) -> bool {
+        match outcome {
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::Timeout => true,
+            Outcome::Error | Outcome::Reset => self.error_rate >= FAILING_ERROR_RATE,
+            Outcome::Success | Outcome::Cancelled | Outcome::NotSent => false,
+        }
+    }
+
+    fn eject(&mut self, now: Time, base_ejection: Time) {
+        let doublings = self.consecutive_failures.min(MAX_EJECTION_DOUBLINGS);
+        let ejection = base_ejection * f64::from(1 << doublings);
+        self.ejected_until = self.ejected_until.max(now + ejection);
+        self.consecutive_failures += 1;
+        self.unhealthy_since = now;
+    }
+
+    /// An attempt became an established connection.
+    pub(super) fn record_established(&mut self) {
+        self.error_rate -= self.error_rate * ERROR_RATE_SMOOTHING;
+        if self.error_rate < FAILING_ERROR_RATE {
+            self.consecutive_failures = 0;
+        }
+    }
+}
+
+impl Balancer {
+    /// Takes the outcome of an attempt or a connection, and ejects a server that fails.
+    pub(super) fn record_outcome(&mut self, now: Time, server: ServerId, outcome: Outcome) {
+        let base_ejection = BASE_EJECTION_CONNECT_TIMEOUTS * self.config.connect_timeout;
+        let Some(server) = self.server_mut(server) else {
+            return;
+        };
+        if matches!(outcome, Outcome::Error | Outcome::Reset) {
+            server.record_error();
+        }
+        if !server.is_failure(outcome) {
+            return;
+        }
+        // What ends during an ejection began before it: many connections that break at once are one
+        // failure.
+        if server.consecutive_failures == 0 || now >= server.ejected_until {
+            server.eject(now, base_ejection);
+            // A server that cannot be reached takes no harm from attempts.
+            if outcome != Outcome::ConnectFailed {
+                self.backoff.increase();
+            }
+        }
+    }
+
+    /// A health check has reached a server (`None`), or it stays ejected until a time.
+    pub(super) fn record_health_check(
+        &mut self,
+        now: Time,
+        server: ServerId,
+        ejected_until: Option<Time>,
+    ) {
+        let Some(server) = self.server_mut(server) else {
+            return;
+        };
+        if let Some(ejected_until) = ejected_until {
+            server.ejected_until = server.ejected_until.max(ejected_until);
+            server.consecutive_failures = server.consecutive_failures.max(1);
+            server.unhealthy_since = now;
+        } else if server.consecutive_failures > 0 {
+            server.consecutive_failures = 0;
+            server.ejected_until = now;
+        }
+    }
+}
--- /dev/null
+++ b/src/balancer/request_state.rs
@@ -0,0 +1,94 @@
+//! State of a request from its arrival to its end, an established connection included.
+
+use super::Balancer;
+use super::api::{Key, Request, RequestId, ServerId, Time};
+
+/// Where a request is.
+#[derive(Clone, Copy, PartialEq)]
+pub(super) enum Phase {
+    /// Between attempts, or queued for capacity.
+    Pending,
+    /// An attempt at this server is in flight.
+    InFlight(ServerId),
+    /// A connection to this server is established.
+    Established(ServerId),
+}
+
+impl Phase {
+    /// The server that has the request.
+    pub(super) fn server(self) -> Option<ServerId> {
+        match self {
+            Self::Pending => None,
+            Self::InFlight(server) | Self::Established(server) => Some(server),
+        }
+    }
+}
+
+/// The first attempt of a request that may have executed: later ones have to respect its deduplication
+/// scope and window.
+#[derive(Clone, Copy)]
+pub(super) struct PossibleExecution {
+    pub(super) sent_at: Time,
+    pub(super) zone: u32,
+    pub(super) cell: u32,
+}
+
+/// A request from its arrival to its end.
+pub(super) struct RequestState {
+    pub(super) request: Request,
+    pub(super) phase: Phase,
+    /// How many attempts were started.
+    pub(super) attempts: u32,
+    /// The servers of these attempts.
+    pub(super) attempted: Vec<ServerId>,
+    /// When the last attempt was started.
+    pub(super) sent_at: Time,
+    pub(super) first_possible_execution: Option<PossibleExecution>,
+    /// As last reported, else as hinted, else the mean; in microseconds of work a second.
+    pub(super) load: f64,
+    /// How many servers answered with an error.
+    pub(super) error_responses: u32,
+}
+
+impl RequestState {
+    pub(super) fn new(now: Time, request: &Request, phase: Phase, mean_load: f64) -> Self {
+        Self {
+            request: *request,
+            phase,
+            attempts: u32::from(phase != Phase::Pending),
+            attempted: Vec::new(),
+            sent_at: now,
+            first_possible_execution: None,
+            load: request.load_hint.unwrap_or(mean_load),
+            error_responses: 0,
+        }
+    }
+
+    /// What the servers are ranked by: the group, else the client, else the request itself.
+    pub(super) fn placement_key(&self) -> Key {
+        let request = &self.request;
+        request.group.or(request.key).unwrap_or(Key(request.id.0))
+    }
+}
+
+impl Balancer {
+    /// Forgets a request that has ended.
+    pub(super) fn release(&mut self, id: RequestId) -> Option<RequestState> {
+        let request = self.requests.remove(&id)?;
+        self.detach(id, request.phase, request.load);
+        Some(request)
+    }
+
+    /// Takes a request and its load off its server.
+    pub(super) fn detach(&mut self, id: RequestId, phase: Phase, load: f64) {
+        if matches!(phase, Phase::Established(_)) {
+            self.established -= 1;
+        }
+        if let Some(server) = phase.server()
+            && let Some(server) = self.server_mut(server)
+        {
+            server.in_flight.remove(&id);
+            server.load -= load;
+        }
+    }
+}
--- /dev/null
+++ b/src/balancer/retry.rs
@@ -0,0 +1,158 @@
+//! Retries: whether an attempt may follow, when it times out, and the final answer where none may.
+
+use super::Balancer;
+use super::api::{
+    Action, AttemptEnded, DeduplicationScope, Idempotency, Outcome, RequestId, ServerId, Time,
+};
+use super::request_state::{Phase, PossibleExecution, RequestState};
+
+/// An attempt's timeout in latency objectives, unless it is the last one.
+const ATTEMPT_TIMEOUT_OBJECTIVES: f64 = 2.0;
+/// A request that this many servers answer with an error is itself at fault, and fails.
+const MAX_ERROR_RESPONSES: u32 = 2;
+
+/// Whether an attempt may be started; otherwise the reason why not.
+#[derive(Clone, Copy, PartialEq)]
+pub(super) enum RetryDecision {
+    Allowed,
+    /// The request had its maximum of attempts.
+    AttemptsExhausted,
+    /// The client has given up.
+    DeadlineExceeded,
+    /// An attempt may have executed, and a second execution does harm.
+    MayHaveExecuted,
+    /// An attempt may have executed, and its duplicates are discarded only until before this one would
+    /// arrive.
+    DeduplicationWindowOver,
+}
+
+impl RequestState {
+    /// Whether the server has the request now.
+    fn is_at(&self, server: ServerId) -> bool {
+        self.phase.server() == Some(server)
+    }
+}
+
+impl Balancer {
+    /// Whether a request may have an attempt now.
+    pub(super) fn decide_retry(&self, now: Time, request: &RequestState) -> RetryDecision {
+        if request.attempts >= self.config.max_attempts {
+            return RetryDecision::AttemptsExhausted;
+        }
+        let is_before_deadline = now < request.request.deadline;
+        if !is_before_deadline {
+            return RetryDecision::DeadlineExceeded;
+        }
+        let idempotency = self.class(request).map(|class| class.idempotency);
+        let latest_arrival = now + self.config.connect_timeout;
+        match (idempotency, request.first_possible_execution) {
+            (Some(Idempotency::NonIdempotent), Some(_)) => RetryDecision::MayHaveExecuted,
+            (Some(Idempotency::Keyed { window, .. }), Some(execution))
+                if latest_arrival >= execution.sent_at + window =>
+            {
+                RetryDecision::DeduplicationWindowOver
+            }
+            _ => RetryDecision::Allowed,
+        }
+    }
+
+    /// When an attempt that starts now times out. Leaves time for another one, unless it is the last.
+    pub(super) fn attempt_timeout_at(&self, now: Time, request: &RequestState) -> Time {
+        let is_last = request.attempts + 1 >= self.config.max_attempts;
+        let timeout = if is_last {
+            f64::INFINITY
+        } else {
+            self.latency_objective(request) * ATTEMPT_TIMEOUT_OBJECTIVES
+        };
+        request.request.deadline.min(now + timeout)
+    }
+
+    /// In seconds; for a request of a class that does not exist, its deadline.
+    pub(super) fn latency_objective(&self, request: &RequestState) -> Time {
+        self.class(request)
+            .map_or(request.request.deadline, |class| class.latency_objective)
+    }
+
+    /// Takes the end of an attempt: its outcome speaks for or against the server, then the request is
+    /// released, fails or is attempted again.
+    pub(super) fn attempt_ended(
+        &mut self,
+        now: Time,
+        ended: &AttemptEnded,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(request) = self.requests.get(&ended.id) else {
+            return;
+        };
+        let is_superseded = !request.is_at(ended.server);
+        if is_superseded && !ended.is_final {
+            return;
+        }
+        self.record_outcome(now, ended.server, ended.outcome);
+        if ended.is_final {
+            self.release(ended.id);
+            return;
+        }
+        if self.return_to_pending(ended) >= MAX_ERROR_RESPONSES {
+            self.release(ended.id);
+            actions.push(Action::Fail(ended.id));
+            return;
+        }
+        self.attempt(now, ended.id, actions);
+    }
+
+    /// Takes a request off the server whose attempt ended; how many servers have answered with an error.
+    fn return_to_pending(&mut self, ended: &AttemptEnded) -> u32 {
+        let (zone, cell) = self.location(ended.server);
+        let Some(request) = self.requests.get_mut(&ended.id) else {
+            return 0;
+        };
+        let phase = std::mem::replace(&mut request.phase, Phase::Pending);
+        let load = request.load;
+        if ended.outcome.may_have_executed() {
+            let execution = PossibleExecution {
+                sent_at: request.sent_at,
+                zone,
+                cell,
+            };
+            request.first_possible_execution.get_or_insert(execution);
+        }
+        request.error_responses += u32::from(ended.outcome == Outcome::Error);
+        let error_responses = request.error_responses;
+        self.detach(ended.id, phase, load);
+        error_responses
+    }
+
+    /// Zone and cell of a server; 0 and 0 if it is unknown.
+    fn location(&self, server: ServerId) -> (u32, u32) {
+        self.server_index(server).map_or((0, 0), |index| {
+            let endpoint = &self.servers[index].endpoint;
+            (endpoint.zone, endpoint.cell)
+        })
+    }
+
+    /// Ends a request without a connection: rejected where a retry by the client does no harm, else failed.
+    pub(super) fn give_final_answer(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.release(id) else {
+            return;
+        };
+        let retry_after = self.config.max_retry_after.unwrap_or(0.0) * self.random.next_fraction();
+        actions.push(if self.is_client_retry_harmless(&request) {
+            Action::Reject { id, retry_after }
+        } else {
+            Action::Fail(id)
+        });
+    }
+
+    /// The client's retry may reach any server, at any time.
+    fn is_client_retry_harmless(&self, request: &RequestState) -> bool {
+        let is_repeatable = match self.class(request).map(|class| class.idempotency) {
+            Some(Idempotency::NonIdempotent) => false,
+            Some(Idempotency::Keyed { scope, .. }) => scope == DeduplicationScope::All,
+            Some(Idempotency::Idempotent) | None => true,
+        };
+        let cannot_have_executed =
+            request.first_possible_execution.is_none() && request.phase == Phase::Pending;
+        is_repeatable || cannot_have_executed
+    }
+}
--- /dev/null
+++ b/src/balancer/servers.rs
@@ -0,0 +1,134 @@
+//! The servers as this balancer knows them, and updates of the endpoint list.
+
+use super::Balancer;
+use super::api::{Endpoint, EndpointState, RequestId, Time, UpdateKind};
+use super::random::{mix64, unit_fraction};
+use super::slow_start::TokenBucket;
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeSet;
+
+/// The golden ratio's conjugate: its multiples modulo 1 are spread evenly.
+const GOLDEN_RATIO_CONJUGATE: f64 = 0.618_033_988_749_895;
+
+/// A server as this balancer knows it. A part of the snapshot: the order and the types of the fields are
+/// fixed.
+#[derive(Default, Deserialize, Serialize)]
+pub(super) struct Server {
+    pub(super) endpoint: Endpoint,
+    /// Requests of this balancer in flight or established there.
+    #[serde(skip)]
+    pub(super) in_flight: BTreeSet<RequestId>,
+    /// Message latency in busy thresholds: from 1 on the server is busy.
+    pub(super) latency_ratio: f64,
+    /// It gets nothing before this time: it failed, or was reported busy.
+    pub(super) ejected_until: Time,
+    /// Ejections for failures in a row; 0 if it is ejected only as busy.
+    pub(super) consecutive_failures: u32,
+    /// Moving average of the share of its answers that are errors or resets.
+    pub(super) error_rate: f64,
+    /// Load of the requests in `in_flight`, in microseconds of work a second.
+    #[serde(skip)]
+    pub(super) load: f64,
+    /// When it was last overloaded or ejected for a failure; it recovers for a slow-start window.
+    pub(super) unhealthy_since: Time,
+    /// Attempts that this balancer may start there while it warms up or recovers.
+    pub(super) slow_start_tokens: TokenBucket,
+}
+
+impl Server {
+    fn new(now: Time, endpoint: Endpoint, balancer_index: u32) -> Self {
+        Self {
+            endpoint,
+            unhealthy_since: f64::NEG_INFINITY,
+            slow_start_tokens: TokenBucket {
+                tokens: initial_tokens(&endpoint, balancer_index),
+                updated_at: now,
+            },
+            ..Self::default()
+        }
+    }
+
+    /// Ejected because of failures, not only because it is busy.
+    pub(super) fn is_ejected_for_failures(&self, now: Time) -> bool {
+        self.is_ejected(now) && self.consecutive_failures > 0
+    }
+
+    pub(super) fn is_ejected(&self, now: Time) -> bool {
+        self.ejected_until > now
+    }
+}
+
+/// The fraction of an attempt that a balancer's budget for a new server begins with. Spread evenly over the
+/// balancers, so that each of many small budgets adds up to an attempt at another time.
+fn initial_tokens(endpoint: &Endpoint, balancer_index: u32) -> f64 {
+    let phase =
+        f64::from(balancer_index) * GOLDEN_RATIO_CONJUGATE + unit_fraction(mix64(endpoint.id.0));
+    phase.fract()
+}
+
+/// The entry with a start that is not in the future and a usable weight.
+fn sanitized(now: Time, entry: &Endpoint) -> Endpoint {
+    let has_usable_weight = entry.weight.is_finite() && entry.weight > 0.0;
+    Endpoint {
+        started_at: entry.started_at.min(now),
+        weight: if has_usable_weight { entry.weight } else { 1.0 },
+        ..*entry
+    }
+}
+
+impl Balancer {
+    /// Takes over an update of the endpoint list.
+    pub(super) fn update_endpoints(&mut self, now: Time, kind: UpdateKind, entries: &[Endpoint]) {
+        self.discovery_poll.record_success();
+        if kind != UpdateKind::Delta {
+            for server in &mut self.servers {
+                server.endpoint.state = EndpointState::Removed;
+            }
+        }
+        for entry in entries {
+            self.upsert_server(now, sanitized(now, entry));
+        }
+        self.total_weight = self.ready_weight();
+        self.forget_removed_servers(now);
+    }
+
+    fn upsert_server(&mut self, now: Time, endpoint: Endpoint) {
+        let new = Server::new(now, endpoint, self.config.balancer_index);
+        let found = self
+            .servers
+            .binary_search_by_key(&endpoint.id, |server| server.endpoint.id);
+        match found {
+            Err(index) => self.servers.insert(index, new),
+            Ok(index) => {
+                let known = &mut self.servers[index];
+                if known.endpoint.started_at == endpoint.started_at {
+                    known.endpoint = endpoint;
+                } else {
+                    // Restarted: failures and latency of the old process do not apply to the new one.
+                    let old = std::mem::replace(known, new);
+                    known.in_flight = old.in_flight;
+                    known.load = old.load;
+                }
+            }
+        }
+    }
+
+    fn ready_weight(&self) -> f64 {
+        self.servers
+            .iter()
+            .filter(|server| server.endpoint.state == EndpointState::Ready)
+            .map(|server| server.endpoint.weight)
+            .sum()
+    }
+
+    /// Keeps a removed server while it has requests, and while it would be warming up: one that is listed
+    /// again must not start with a fresh slow-start budget.
+    fn forget_removed_servers(&mut self, now: Time) {
+        let warming_up_since = now - self.config.slow_start_window;
+        self.servers.retain(|server| {
+            server.endpoint.state != EndpointState::Removed
+                || !server.in_flight.is_empty()
+                || server.endpoint.started_at > warming_up_since
+        });
+    }
+}
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -239,8 +239,10 @@
         let shut = probed
             .is_down()
             .then(|| self.runtime.now() + every * HOLDS_PERIODS);
-        self.runtime
-            .handle_event(Event::HealthChecked(server, shut));
+        self.runtime.handle_event(Event::HealthChecked {
+            server,
+            ejected_until: shut,
+        });
         if let Probed::Answered { ms } | Probed::Slow { ms } = probed {
             self.runtime
                 .report_message_time(server, f64::from(ms) / 1000.0);
--- a/src/cluster/rows.rs
+++ b/src/cluster/rows.rs
@@ -88,7 +88,7 @@
             zone: member.zone,
             state: member.state as u8,
             weight: member.weight,
-            started: member.started,
+            started: member.started_at,
             cell: member.cell,
             address,
         }
@@ -104,7 +104,7 @@
                 _ => EndpointState::Removed,
             },
             weight: self.weight,
-            started: self.started,
+            started_at: self.started,
             cell: self.cell,
         }
     }
--- a/src/discovery/endpoint_list.rs
+++ b/src/discovery/endpoint_list.rs
@@ -74,7 +74,7 @@
                 _ => EndpointState::Draining,
             },
             weight: self.size.unwrap_or(1.0),
-            started: if started.is_finite() {
+            started_at: if started.is_finite() {
                 started.max(0.0)
             } else {
                 0.0
--- a/src/protocol/simulator.rs
+++ b/src/protocol/simulator.rs
@@ -232,7 +232,7 @@
             }
         },
         weight: entry.size.unwrap_or(1.0),
-        started: sane(entry.came_up.unwrap_or(0.0), "cameUp")?,
+        started_at: sane(entry.came_up.unwrap_or(0.0), "cameUp")?,
         cell: entry.pod.unwrap_or(0),
     })
 }
@@ -345,7 +345,10 @@
             .lists
             .get(&slot)
             .ok_or_else(|| format!("list {slot} was never defined"))?;
-        Ok(Event::EndpointsUpdated(kind, list.clone()))
+        Ok(Event::EndpointsUpdated {
+            kind,
+            endpoints: list.clone(),
+        })
     }
 
     fn request(&self, raw: &Raw, id: RequestId, instance: &Instance) -> Result<Request, String> {
@@ -374,13 +377,19 @@
             }
             "takenOver" => {
                 let id = request_id(raw.id.take())?;
-                Event::AlreadyEstablished(self.request(&raw, id, instance)?, self.host(&raw)?)
+                Event::AlreadyEstablished {
+                    request: self.request(&raw, id, instance)?,
+                    server: self.host(&raw)?,
+                }
             }
             "underWay" => {
                 let server = self.host(&raw)?;
                 need(raw.shot, "shot")?;
                 time(raw.time_taken, "timeTaken")?;
-                Event::Established(request_id(raw.id)?, server)
+                Event::Established {
+                    id: request_id(raw.id)?,
+                    server,
+                }
             }
             "done" => {
                 time(raw.time_taken, "timeTaken")?;
@@ -389,7 +398,7 @@
                     id: request_id(raw.id)?,
                     attempt: need(raw.shot, "shot")?,
                     outcome: outcome(raw.status)?,
-                    settled: need(raw.settled, "settled")?,
+                    is_final: need(raw.settled, "settled")?,
                 })
             }
             "signal" => {
@@ -398,8 +407,11 @@
                 need(raw.shot, "shot")?;
                 let level = time(raw.level, "level")?;
                 match need(raw.topic, "topic")? {
-                    1 => Event::LoadReport(id, level),
-                    2 => Event::LatencyReport(server, level / 1000.0),
+                    1 => Event::LoadReport { id, load: level },
+                    2 => Event::LatencyReport {
+                        server,
+                        message_latency: level / 1000.0,
+                    },
                     other => return Err(format!("field 'topic' is {other}, which is no news")),
                 }
             }
@@ -436,11 +448,15 @@
                 .ok_or("a server without an address")
         };
         Ok(match action {
-            Action::StartAttempt { id, server, until } => Step::Relay {
+            Action::StartAttempt {
+                id,
+                server,
+                timeout_at,
+            } => Step::Relay {
                 who,
                 id: hex(id),
                 host: name(server)?,
-                until,
+                until: timeout_at,
             },
             Action::Reject { id, retry_after } => Step::Shed {
                 who,
--- a/src/proxy/latency_tracker.rs
+++ b/src/proxy/latency_tracker.rs
@@ -43,10 +43,10 @@
     /// Takes one measure; says what the module is to hear: once a second while over, once when clear.
     pub fn measured(&mut self, now: Time, server: ServerId, took: Time) -> Option<Event> {
         if took <= self.threshold {
-            return self
-                .slow
-                .remove(&server)
-                .map(|_| Event::LatencyReport(server, took));
+            return self.slow.remove(&server).map(|_| Event::LatencyReport {
+                server,
+                message_latency: took,
+            });
         }
         match self.slow.get_mut(&server) {
             Some(slow) if now < slow.told + REPEAT => return None,
@@ -55,7 +55,10 @@
                 self.slow.insert(server, Slow { told: now });
             }
         }
-        Some(Event::LatencyReport(server, took))
+        Some(Event::LatencyReport {
+            server,
+            message_latency: took,
+        })
     }
 }
 
--- a/src/proxy/relay.rs
+++ b/src/proxy/relay.rs
@@ -507,7 +507,7 @@
                 attempt,
                 server,
                 outcome,
-                settled: true,
+                is_final: true,
             }));
         }
     }
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -150,7 +150,7 @@
         invariants::count("a connection that was handed over is here already");
         return;
     };
-    runtime.handle_event(Event::AlreadyEstablished(request, server));
+    runtime.handle_event(Event::AlreadyEstablished { request, server });
     runtime.mark_established(request.id);
     resume(runtime, stands, client, backend, commands).await;
     drop((registration, place));
@@ -301,7 +301,10 @@
             return failed();
         };
         tracing::debug!(req = %id, server = %server, group = ?opening.request.group, "is open");
-        runtime.handle_event(Event::AlreadyEstablished(opening.request, server));
+        runtime.handle_event(Event::AlreadyEstablished {
+            request: opening.request,
+            server,
+        });
         runtime.mark_established(id);
         let stands = Box::new(EstablishedConnection::new(opening.request, server, 0));
         return Opened::Stands(registration, stands, backend, commands);
@@ -362,7 +365,7 @@
         match ended {
             Ok(backend) => {
                 tracing::debug!(req = %id, server = %server, attempt, "stands");
-                runtime.handle_event(Event::Established(id, server));
+                runtime.handle_event(Event::Established { id, server });
                 runtime.mark_established(id);
                 let stands = Box::new(EstablishedConnection::new(opening.request, server, attempt));
                 return Opened::Stands(registration, stands, backend, commands);
@@ -374,7 +377,7 @@
                     attempt,
                     server,
                     outcome,
-                    settled: false,
+                    is_final: false,
                 }));
                 attempt += 1;
             }
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -187,9 +187,11 @@
         for action in actions.drain(..) {
             tracing::trace!(?action);
             match action {
-                Action::StartAttempt { id, server, until } => {
-                    state.send_command(id, Command::StartAttempt(server, until))
-                }
+                Action::StartAttempt {
+                    id,
+                    server,
+                    timeout_at,
+                } => state.send_command(id, Command::StartAttempt(server, timeout_at)),
                 Action::Reject { id, retry_after } => {
                     state.send_command(id, Command::Reject((retry_after * 1000.0) as u64));
                 }
@@ -244,7 +246,10 @@
                 _ => drop(listed.insert(raw.id, Listed { raw, seen, address })),
             }
         }
-        let event = Event::EndpointsUpdated(kind, members.into());
+        let event = Event::EndpointsUpdated {
+            kind,
+            endpoints: members.into(),
+        };
         // The module's turn takes the state again.
         drop(state);
         self.handle_event(event);
@@ -302,14 +307,17 @@
                 slow_start_window,
                 self.clients_handed_over.get(),
             );
-            if (seen.state, seen.started) != (at.seen.state, at.seen.started) {
+            if (seen.state, seen.started_at) != (at.seen.state, at.seen.started_at) {
                 at.seen = seen;
                 changed.push(seen);
             }
         }
         drop(state);
         if !changed.is_empty() {
-            self.handle_event(Event::EndpointsUpdated(UpdateKind::Delta, changed.into()));
+            self.handle_event(Event::EndpointsUpdated {
+                kind: UpdateKind::Delta,
+                endpoints: changed.into(),
+            });
             self.endpoints_changed.notify_one();
         }
     }
@@ -461,10 +469,13 @@
             .reports
             .read(now, server, figure, first);
         match report {
-            Report::Load(load) => self.handle_event(Event::LoadReport(id, load)),
+            Report::Load(load) => self.handle_event(Event::LoadReport { id, load }),
             Report::MessageTime(took) => {
                 tracing::debug!(%server, took, "a backend reports how long messages take");
-                self.handle_event(Event::LatencyReport(server, took));
+                self.handle_event(Event::LatencyReport {
+                    server,
+                    message_latency: took,
+                });
             }
             Report::Ambiguous => {}
         }
@@ -498,7 +509,7 @@
     slow_start_window: Time,
     handed: bool,
 ) -> Endpoint {
-    let mask = outs.mask(raw.id.0, raw.started, now, slow_start_window);
+    let mask = outs.mask(raw.id.0, raw.started_at, now, slow_start_window);
     let state = match raw.state {
         EndpointState::Ready if mask.out => EndpointState::Draining,
         // Two processes that both use a cold server's budget use it twice.
@@ -507,10 +518,10 @@
         }
         state => state,
     };
-    let started = mask.started;
+    let started_at = mask.started;
     Endpoint {
         state,
-        started,
+        started_at,
         ..raw
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -41,7 +41,7 @@
         zone: 0,
         state: EndpointState::Ready,
         weight: 1.0,
-        started: 0.0,
+        started_at: 0.0,
         cell: 0,
     }
 }
@@ -66,7 +66,13 @@
     }
 
     pub fn list(&mut self, now: Time, kind: UpdateKind, entries: &[Endpoint]) -> Vec<Action> {
-        self.give(now, Event::EndpointsUpdated(kind, entries.into()))
+        self.give(
+            now,
+            Event::EndpointsUpdated {
+                kind,
+                endpoints: entries.into(),
+            },
+        )
     }
 
     pub fn next_id(&mut self) -> RequestId {
@@ -93,7 +99,7 @@
         to
     }
 
-    /// Ends attempt `attempt` of a request, unsettled.
+    /// Ends attempt `attempt` of a request, not final.
     pub fn end(
         &mut self,
         now: Time,
@@ -102,7 +108,6 @@
         server: ServerId,
         outcome: Outcome,
     ) -> Vec<Action> {
-        let settled = false;
         self.give(
             now,
             Event::AttemptEnded(AttemptEnded {
@@ -110,7 +115,7 @@
                 attempt,
                 server,
                 outcome,
-                settled,
+                is_final: false,
             }),
         )
     }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -55,8 +55,14 @@
             for i in 0..held {
                 let id = RequestId(1_000_000 + i);
                 let to = old[((seed + i) % servers) as usize].id;
-                node.give(0.0, Event::AlreadyEstablished(Request::new(id, 0, 2.0), to));
-                node.give(0.1, Event::LoadReport(id, LOAD));
+                node.give(
+                    0.0,
+                    Event::AlreadyEstablished {
+                        request: Request::new(id, 0, 2.0),
+                        server: to,
+                    },
+                );
+                node.give(0.1, Event::LoadReport { id, load: LOAD });
             }
             node
         };
@@ -74,8 +80,8 @@
             ..Request::new(id, 0, now + 2.0)
         };
         let to = self.nodes[node].ask(now, request)?;
-        self.nodes[node].give(now, Event::Established(id, to));
-        self.nodes[node].give(now, Event::LoadReport(id, LOAD));
+        self.nodes[node].give(now, Event::Established { id, server: to });
+        self.nodes[node].give(now, Event::LoadReport { id, load: LOAD });
         Some(to)
     }
 
@@ -97,7 +103,7 @@
     let mut fleet = Fleet::new(5);
     let cold: Vec<Endpoint> = (10..20)
         .map(|i| Endpoint {
-            started: 100.0,
+            started_at: 100.0,
             ..of_size(i)
         })
         .collect();
@@ -130,7 +136,7 @@
         new += times.iter().filter(|at| **at < until).count();
         for (i, at) in times.iter().enumerate() {
             let window = times[i..].iter().take_while(|t| **t < at + 2.0).count();
-            let most = bearable(at - server.started);
+            let most = bearable(at - server.started_at);
             let most = most + chance * most.sqrt();
             assert!(
                 window as f64 <= most.max(2.0),
@@ -146,7 +152,7 @@
     let mut fleet = Fleet::of(300, 36, 5);
     let cold: Vec<Endpoint> = (40..94)
         .map(|i| Endpoint {
-            started: 100.0 + 7.0 * (i - 40) as f64 / 54.0,
+            started_at: 100.0 + 7.0 * (i - 40) as f64 / 54.0,
             ..of_size(i)
         })
         .collect();
@@ -155,7 +161,10 @@
     let mut sent: BTreeMap<ServerId, Vec<Time>> = BTreeMap::new();
     for i in 0..15_000 {
         let now = 100.0 + f64::from(i) / 1000.0;
-        let known = cold.iter().take_while(|s| s.started + 1.0 <= now).count();
+        let known = cold
+            .iter()
+            .take_while(|s| s.started_at + 1.0 <= now)
+            .count();
         if known > told {
             fleet.tell(now, &cold[told..known]);
             told = known;
@@ -171,7 +180,7 @@
     let due: Time = cold
         .iter()
         .map(|s| {
-            let age = 114.0 - s.started;
+            let age = 114.0 - s.started_at;
             0.85 * bearable(age / 2.0) / 2.0 * age
         })
         .sum();
@@ -202,7 +211,7 @@
             fleet.random = Random(seed);
             let cold: Vec<Endpoint> = (20..26)
                 .map(|i| Endpoint {
-                    started: 100.0 + 0.3 * (i - 20) as f64,
+                    started_at: 100.0 + 0.3 * (i - 20) as f64,
                     ..of_size(i)
                 })
                 .collect();
@@ -239,7 +248,7 @@
                 assert!(times.len() > 20, "{} used of {server:?}", times.len());
                 for (i, at) in times.iter().enumerate() {
                     let window = times[i..].iter().take_while(|t| **t < at + 2.0).count();
-                    let most = allowed(at - server.started);
+                    let most = allowed(at - server.started_at);
                     assert!(
                         window as f64 <= most,
                         "{nodes} nodes, lull {lull}, restarts {restarts}, seed {seed}: {window} from {at}, {most} allowed"
@@ -254,7 +263,7 @@
 fn parts_of_a_budget_that_nobody_used_do_not_come_in_one_wave() {
     let mut fleet = Fleet::new(5);
     let cold = Endpoint {
-        started: 100.0,
+        started_at: 100.0,
         ..of_size(10)
     };
     fleet.tell(100.5, &[cold]);
--- a/tests/hostile.rs
+++ b/tests/hostile.rs
@@ -86,15 +86,15 @@
         let old = self
             .listed
             .get(&server(number).id)
-            .map_or(0.0, |m| m.started);
-        let started = if self.random.below(6) == 0 {
+            .map_or(0.0, |m| m.started_at);
+        let started_at = if self.random.below(6) == 0 {
             self.now
         } else {
             old
         };
         Endpoint {
             state,
-            started,
+            started_at,
             zone: number as u32 % 3,
             cell: number as u32 % 4,
             ..server(number)
@@ -115,11 +115,14 @@
         }
         for entry in &entries {
             let old = self.listed.insert(entry.id, *entry);
-            if old.is_none_or(|m| m.started != entry.started) {
+            if old.is_none_or(|m| m.started_at != entry.started_at) {
                 self.cold_sends.remove(&entry.id);
             }
         }
-        self.give(Event::EndpointsUpdated(kind, entries.into()));
+        self.give(Event::EndpointsUpdated {
+            kind,
+            endpoints: entries.into(),
+        });
     }
 
     fn give(&mut self, event: Event) {
@@ -131,13 +134,17 @@
     fn carry_out(&mut self, action: Action) {
         let now = self.now;
         match action {
-            Action::StartAttempt { id, server, until } => {
+            Action::StartAttempt {
+                id,
+                server,
+                timeout_at,
+            } => {
                 self.sends += 1;
                 let seen = self.seen.get_mut(&id).expect("a known request");
                 assert!(!seen.answered && !seen.stands, "sent after its end");
                 assert_eq!(seen.out, None, "two attempts at once");
                 assert!(
-                    now < seen.request.deadline && until <= seen.request.deadline,
+                    now < seen.request.deadline && timeout_at <= seen.request.deadline,
                     "out of its time"
                 );
                 seen.attempts += 1;
@@ -166,7 +173,7 @@
                     }
                 }
                 seen.out = Some((server, now));
-                if to.started > 0.0 && now < to.started + WARM_UP {
+                if to.started_at > 0.0 && now < to.started_at + WARM_UP {
                     self.cold_send(to);
                 }
             }
@@ -282,12 +289,12 @@
                     attempt,
                     server,
                     outcome,
-                    settled: true,
+                    is_final: true,
                 };
                 return self.give(Event::AttemptEnded(ended));
             }
             seen.stands = true;
-            return self.give(Event::Established(id, server));
+            return self.give(Event::Established { id, server });
         }
         let outcomes = [
             Outcome::Rejected,
@@ -308,7 +315,7 @@
             attempt,
             server,
             outcome,
-            settled: false,
+            is_final: false,
         };
         self.give(Event::AttemptEnded(ended));
         // The same news once more, late: it must be ignored unless that attempt is out again.
@@ -343,7 +350,7 @@
                     attempt,
                     server,
                     outcome: Outcome::Timeout,
-                    settled: false,
+                    is_final: false,
                 }));
                 self.now = now;
             }
@@ -359,7 +366,10 @@
             82..=84 => {
                 let at = server(self.random.below(SERVERS + 2)).id;
                 let delay = self.random.below(30) as f64 / 1000.0;
-                self.give(Event::LatencyReport(at, delay));
+                self.give(Event::LatencyReport {
+                    server: at,
+                    message_latency: delay,
+                });
             }
             90..=92 => {
                 let bytes = (0..self.random.below(12))
@@ -385,7 +395,10 @@
                 self.listed = listed;
                 let entries: Vec<Endpoint> = self.listed.values().copied().collect();
                 self.node = Node::seeded(settings(), ids);
-                self.give(Event::EndpointsUpdated(UpdateKind::Cached, entries.into()));
+                self.give(Event::EndpointsUpdated {
+                    kind: UpdateKind::Cached,
+                    endpoints: entries.into(),
+                });
             }
             _ => {
                 let gone = RequestId(self.random.below(self.ids + 5));
--- a/tests/life.rs
+++ b/tests/life.rs
@@ -196,13 +196,13 @@
     let id = node.next_id();
     let actions = node.give(1.0, Event::Request(Request::new(id, 0, 3.0)));
     assert!(
-        matches!(actions[..], [Action::StartAttempt { until, .. }] if until > 1.0 && until < 3.0),
+        matches!(actions[..], [Action::StartAttempt { timeout_at, .. }] if timeout_at > 1.0 && timeout_at < 3.0),
         "{actions:?}"
     );
     let late = node.next_id();
     let actions = node.give(1.0, Event::Request(Request::new(late, 0, 1.2)));
     assert!(
-        matches!(actions[..], [Action::StartAttempt { until, .. }] if until == 1.2),
+        matches!(actions[..], [Action::StartAttempt { timeout_at, .. }] if timeout_at == 1.2),
         "{actions:?}"
     );
     let over = node.next_id();
@@ -245,16 +245,22 @@
         attempt: 0,
         server: to,
         outcome: Outcome::Success,
-        settled: true,
+        is_final: true,
     };
     assert!(node.give(1.1, Event::AttemptEnded(ended)).is_empty());
     assert!(
         node.end(1.2, id, 0, to, Outcome::Reset).is_empty(),
         "a late outcome"
     );
-    assert!(node.give(1.3, Event::Established(id, to)).is_empty());
+    assert!(
+        node.give(1.3, Event::Established { id, server: to })
+            .is_empty()
+    );
     assert!(node.give(1.3, Event::ClientDisconnected(id)).is_empty());
-    assert!(node.give(1.3, Event::LoadReport(id, 5.0)).is_empty());
+    assert!(
+        node.give(1.3, Event::LoadReport { id, load: 5.0 })
+            .is_empty()
+    );
     assert!(
         node.give(1.4, Event::Timer(77)).is_empty(),
         "a timer never set"
@@ -279,7 +285,7 @@
             "{actions:?}"
         );
         let (id, to) = request(&mut node, 1.0);
-        node.give(1.1, Event::Established(id, to));
+        node.give(1.1, Event::Established { id, server: to });
         assert!(
             node.give(1.2, Event::ClientDisconnected(id)).is_empty(),
             "a standing stream is not called off"
@@ -292,22 +298,31 @@
     let mut node = started(config(), 3);
     let (id, to) = (node.next_id(), fleet(3)[1].id);
     assert!(
-        node.give(0.0, Event::AlreadyEstablished(Request::new(id, 0, 2.0), to))
-            .is_empty()
+        node.give(
+            0.0,
+            Event::AlreadyEstablished {
+                request: Request::new(id, 0, 2.0),
+                server: to
+            }
+        )
+        .is_empty()
     );
     let ended = AttemptEnded {
         id,
         attempt: 0,
         server: to,
         outcome: Outcome::Reset,
-        settled: true,
+        is_final: true,
     };
     assert!(node.give(5.0, Event::AttemptEnded(ended)).is_empty());
     let (other, unlisted) = (node.next_id(), ServerId::of("nobody:1"));
     assert!(
         node.give(
             6.0,
-            Event::AlreadyEstablished(Request::new(other, 0, 8.0), unlisted)
+            Event::AlreadyEstablished {
+                request: Request::new(other, 0, 8.0),
+                server: unlisted
+            }
         )
         .is_empty()
     );
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -37,7 +37,7 @@
     for _ in 0..count {
         let id = node.next_id();
         let to = node.ask(1.0, Request::new(id, 0, 3.0)).expect("a server");
-        node.give(1.1, Event::Established(id, to));
+        node.give(1.1, Event::Established { id, server: to });
         open.push((id, to));
     }
     let each = (LIVE.load(Ordering::Relaxed) - before - own) / count;
@@ -49,7 +49,7 @@
             attempt: 0,
             server,
             outcome: Outcome::Success,
-            settled: true,
+            is_final: true,
         };
         let end = if i % 2 == 0 {
             Event::AttemptEnded(ended)
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -30,7 +30,10 @@
         let id = RequestId(1_000_000 + i);
         node.give(
             0.0,
-            Event::AlreadyEstablished(Request::new(id, 0, 2.0), server(i % servers).id),
+            Event::AlreadyEstablished {
+                request: Request::new(id, 0, 2.0),
+                server: server(i % servers).id,
+            },
         );
     }
     node
@@ -46,7 +49,7 @@
 /// Sends that `nodes` nodes, all pressing on one server that started at 100.0, put there up to `until`.
 fn sent_to_cold(nodes: u64, each: u64, warm: f64, until: Time) -> usize {
     let cold = Endpoint {
-        started: 100.0,
+        started_at: 100.0,
         ..server(0)
     };
     let mut count = 0;
@@ -131,7 +134,7 @@
                 100.0,
                 UpdateKind::Delta,
                 &[Endpoint {
-                    started: 100.0,
+                    started_at: 100.0,
                     ..server(0)
                 }],
             );
@@ -155,7 +158,7 @@
         50.0,
         UpdateKind::Delta,
         &[Endpoint {
-            started: 50.0,
+            started_at: 50.0,
             ..server(0)
         }],
     );
@@ -169,7 +172,7 @@
         70.0,
         UpdateKind::Delta,
         &[Endpoint {
-            started: 70.0,
+            started_at: 70.0,
             ..server(0)
         }],
     );
@@ -183,7 +186,7 @@
 fn every_server_cold_at_once_lets_some_in_and_answers_the_rest_in_time() {
     let list: Vec<Endpoint> = (0..5)
         .map(|i| Endpoint {
-            started: 10.0,
+            started_at: 10.0,
             ..server(i)
         })
         .collect();
@@ -201,7 +204,7 @@
             match action {
                 Action::StartAttempt { id, server, .. } => {
                     placed += 1;
-                    node.give(now, Event::Established(id, server));
+                    node.give(now, Event::Established { id, server });
                     end.remove(&id);
                 }
                 Action::Reject { id, .. } => {
@@ -224,7 +227,13 @@
     let before: Vec<_> = (0..300)
         .map(|i| node.place(1.0, Key(mix(9, 0.0, i))))
         .collect();
-    node.give(2.0, Event::LatencyReport(server(0).id, 0.024));
+    node.give(
+        2.0,
+        Event::LatencyReport {
+            server: server(0).id,
+            message_latency: 0.024,
+        },
+    );
     for (i, was) in before.iter().enumerate() {
         let to = node.place(2.1, Key(mix(9, 0.0, i as u64)));
         if *was == Some(server(0).id) {
@@ -233,7 +242,13 @@
             assert_eq!(to, *was);
         }
     }
-    node.give(3.0, Event::LatencyReport(server(0).id, 0.004));
+    node.give(
+        3.0,
+        Event::LatencyReport {
+            server: server(0).id,
+            message_latency: 0.004,
+        },
+    );
     for (i, was) in before.iter().enumerate() {
         assert_eq!(node.place(3.1, Key(mix(9, 0.0, i as u64))), *was);
     }
@@ -243,7 +258,13 @@
 fn a_busy_server_is_tried_again_by_a_node_that_left_it() {
     let mut node = loaded(aimed(), 1, 2, 0);
     let key = key_of_first(2);
-    node.give(2.0, Event::LatencyReport(server(0).id, 0.024));
+    node.give(
+        2.0,
+        Event::LatencyReport {
+            server: server(0).id,
+            message_latency: 0.024,
+        },
+    );
     assert_eq!(node.place(5.0, key), Some(server(1).id));
     assert_eq!(node.place(12.0, key), Some(server(0).id));
 }
@@ -252,12 +273,26 @@
 fn all_busy_takes_the_least_busy_and_all_drowning_waits() {
     let mut node = loaded(aimed(), 1, 3, 2);
     for (i, delay) in [0.027, 0.022, 0.029].into_iter().enumerate() {
-        node.give(2.0, Event::LatencyReport(server(i as u64).id, delay));
+        node.give(
+            2.0,
+            Event::LatencyReport {
+                server: server(i as u64).id,
+                message_latency: delay,
+            },
+        );
     }
     for i in 0..50 {
         assert_eq!(node.place(2.1, Key(mix(5, 0.0, i))), Some(server(1).id));
     }
-    (0..3).for_each(|i| drop(node.give(3.0, Event::LatencyReport(server(i).id, 0.5))));
+    (0..3).for_each(|i| {
+        drop(node.give(
+            3.0,
+            Event::LatencyReport {
+                server: server(i).id,
+                message_latency: 0.5,
+            },
+        ))
+    });
     assert_eq!(
         node.place(3.1, Key(1)),
         None,
@@ -303,7 +338,13 @@
             ..Request::new(id, 0, now + 2.0)
         },
     );
-    node.give(now, Event::Established(id, server(0).id));
+    node.give(
+        now,
+        Event::Established {
+            id,
+            server: server(0).id,
+        },
+    );
     let id = node.next_id();
     node.ask(
         now,
@@ -320,12 +361,21 @@
 #[test]
 fn connections_leave_a_busy_server_slowly_heaviest_first_and_a_drowned_one_even_without_room() {
     let mut node = loaded(aimed(), 1, 5, 100);
-    node.give(1.0, Event::LoadReport(RequestId(1_000_000 + 35), 900_000.0));
+    node.give(
+        1.0,
+        Event::LoadReport {
+            id: RequestId(1_000_000 + 35),
+            load: 900_000.0,
+        },
+    );
     let slight: usize = (0..10)
         .map(|i| {
             moves(&node.give(
                 2.0 + f64::from(i),
-                Event::LatencyReport(server(1).id, 0.021),
+                Event::LatencyReport {
+                    server: server(1).id,
+                    message_latency: 0.021,
+                },
             ))
         })
         .sum();
@@ -333,7 +383,13 @@
         slight <= 10,
         "{slight} moved off a server that is just busy"
     );
-    let actions = node.give(20.0, Event::LatencyReport(server(0).id, 0.2));
+    let actions = node.give(
+        20.0,
+        Event::LatencyReport {
+            server: server(0).id,
+            message_latency: 0.2,
+        },
+    );
     assert!(
         (8..=14).contains(&moves(&actions)),
         "about 12 of 100 a second: {}",
@@ -344,15 +400,39 @@
         "the heaviest goes first"
     );
     let mut node = loaded(aimed(), 1, 2, 100);
-    node.give(2.0, Event::LatencyReport(server(1).id, 0.5));
+    node.give(
+        2.0,
+        Event::LatencyReport {
+            server: server(1).id,
+            message_latency: 0.5,
+        },
+    );
     assert!(
-        moves(&node.give(2.0, Event::LatencyReport(server(0).id, 0.5))) > 0,
+        moves(&node.give(
+            2.0,
+            Event::LatencyReport {
+                server: server(0).id,
+                message_latency: 0.5
+            }
+        )) > 0,
         "shed though nobody has room"
     );
     let mut node = loaded(aimed(), 1, 2, 100);
-    node.give(2.0, Event::LatencyReport(server(1).id, 0.05));
+    node.give(
+        2.0,
+        Event::LatencyReport {
+            server: server(1).id,
+            message_latency: 0.05,
+        },
+    );
     assert_eq!(
-        moves(&node.give(2.0, Event::LatencyReport(server(0).id, 0.05))),
+        moves(&node.give(
+            2.0,
+            Event::LatencyReport {
+                server: server(0).id,
+                message_latency: 0.05
+            }
+        )),
         0,
         "busy, but nobody has room"
     );
@@ -365,8 +445,20 @@
     for i in 0..50 {
         node.place(f64::from(i) * 0.1, key);
     }
-    node.give(6.0, Event::LatencyReport(server(0).id, 0.5));
-    node.give(7.0, Event::LatencyReport(server(0).id, 0.001));
+    node.give(
+        6.0,
+        Event::LatencyReport {
+            server: server(0).id,
+            message_latency: 0.5,
+        },
+    );
+    node.give(
+        7.0,
+        Event::LatencyReport {
+            server: server(0).id,
+            message_latency: 0.001,
+        },
+    );
     let burst = (0..100)
         .filter(|_| node.place(7.1, key) == Some(server(0).id))
         .count();
@@ -391,9 +483,27 @@
             each,
         );
         let key = Some(key_of_first(2));
-        node.give(6.0, Event::LatencyReport(server(1).id, 0.5));
-        node.give(6.0, Event::LatencyReport(server(0).id, 0.5));
-        node.give(7.0, Event::LatencyReport(server(0).id, 0.001));
+        node.give(
+            6.0,
+            Event::LatencyReport {
+                server: server(1).id,
+                message_latency: 0.5,
+            },
+        );
+        node.give(
+            6.0,
+            Event::LatencyReport {
+                server: server(0).id,
+                message_latency: 0.5,
+            },
+        );
+        node.give(
+            7.0,
+            Event::LatencyReport {
+                server: server(0).id,
+                message_latency: 0.001,
+            },
+        );
         let sent = (0..100).filter(|i| {
             let now = 7.0 + f64::from(*i) * 0.05;
             let id = node.next_id();
@@ -436,11 +546,14 @@
     let to = node
         .ask(30.0, Request::new(id, 0, 32.0))
         .expect("after the gap one goes out");
-    (0..3).for_each(|_| drop(node.give(30.0, Event::Established(id, to))));
+    (0..3).for_each(|_| drop(node.give(30.0, Event::Established { id, server: to })));
     for i in 0..4 {
         let id = node.next_id();
         if let Some(to) = node.ask(40.0 + 5.0 * f64::from(i), Request::new(id, 0, 60.0)) {
-            node.give(40.0 + 5.0 * f64::from(i), Event::Established(id, to));
+            node.give(
+                40.0 + 5.0 * f64::from(i),
+                Event::Established { id, server: to },
+            );
         }
     }
     let all = (0..20)
@@ -481,7 +594,7 @@
                     attempt: 0,
                     server,
                     outcome: Outcome::Reset,
-                    settled: true,
+                    is_final: true,
                 };
                 node.give(now, Event::AttemptEnded(ended));
             }
@@ -492,7 +605,7 @@
         for action in actions {
             if let Action::StartAttempt { id, server, .. } = action {
                 placed += usize::from((400..480).contains(&i));
-                node.give(now, Event::Established(id, server));
+                node.give(now, Event::Established { id, server });
             }
         }
     }
@@ -513,13 +626,31 @@
     // One heavy connection and nine light ones: together more than the server's size of 1 can do.
     let heavy = RequestId(1_000_000);
     for i in 1..50 {
-        node.give(1.0, Event::LoadReport(RequestId(1_000_000 + i), 50_000.0));
+        node.give(
+            1.0,
+            Event::LoadReport {
+                id: RequestId(1_000_000 + i),
+                load: 50_000.0,
+            },
+        );
     }
     assert_eq!(node.place(1.5, home), Some(server(0).id));
-    let moved = node.give(2.0, Event::LoadReport(heavy, 1_500_000.0));
+    let moved = node.give(
+        2.0,
+        Event::LoadReport {
+            id: heavy,
+            load: 1_500_000.0,
+        },
+    );
     assert_eq!(moves(&moved), 0, "{moved:?}");
     assert_ne!(node.place(3.0, home), Some(server(0).id));
-    node.give(14.0, Event::LoadReport(heavy, 1_000.0));
+    node.give(
+        14.0,
+        Event::LoadReport {
+            id: heavy,
+            load: 1_000.0,
+        },
+    );
     assert_eq!(node.place(15.0, home), Some(server(0).id));
 }
 
@@ -539,7 +670,7 @@
             ..Request::new(id, 0, at + 2.0)
         };
         let to = node.ask(at, request).expect("a server");
-        node.give(at + took, Event::Established(id, to));
+        node.give(at + took, Event::Established { id, server: to });
         to
     };
     // Set-ups differ, above all in a wave, and one that a message could take as long as says nothing.
@@ -559,7 +690,7 @@
             attempt: 0,
             server: server(0).id,
             outcome: Outcome::Reset,
-            settled: true,
+            is_final: true,
         };
         node.give(1.0, Event::AttemptEnded(ended));
     }
@@ -578,7 +709,10 @@
         for i in 0..20 {
             node.give(
                 f64::from(second),
-                Event::LoadReport(RequestId(1_000_000 + i), 1e6),
+                Event::LoadReport {
+                    id: RequestId(1_000_000 + i),
+                    load: 1e6,
+                },
             );
         }
     }
@@ -621,8 +755,8 @@
         };
         let to = node.ask(at, request).expect("a server");
         there += u32::from(to == server(0).id);
-        node.give(at, Event::Established(id, to));
-        node.give(at, Event::LoadReport(id, 50_000.0));
+        node.give(at, Event::Established { id, server: to });
+        node.give(at, Event::LoadReport { id, load: 50_000.0 });
     }
     assert!((5..25).contains(&there), "{there} of 40 at one server");
 }
@@ -635,7 +769,7 @@
         attempt: 0,
         server: server(0).id,
         outcome: Outcome::Reset,
-        settled: true,
+        is_final: true,
     };
     node.give(1.0, Event::AttemptEnded(ended));
     assert_eq!(node.place(1.01, key_of_first(5)), Some(server(0).id));
