--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Hands in one event and returns what is to be done.
+    /// Handles an event and returns the actions.
     pub fn give(&mut self, now: Time, event: Event) -> Vec<Action> {
         self.balancer.handle(now, &event, &mut self.actions);
         std::mem::take(&mut self.actions)
@@ -80,12 +80,12 @@
         RequestId(self.ids)
     }
 
-    /// Asks with this request and returns the server that it is sent to.
+    /// Makes this request and returns the server of its attempt.
     pub fn ask(&mut self, now: Time, request: Request) -> Option<ServerId> {
         sent(&self.give(now, Event::Request(request)))
     }
 
-    /// Asks with a key, takes the server and lets the client go again.
+    /// Makes a request with a key, returns the server of its attempt and disconnects the client.
     pub fn place(&mut self, now: Time, key: Key) -> Option<ServerId> {
         let id = self.next_id();
         let to = self.ask(
@@ -121,13 +121,13 @@
     }
 }
 
-/// The server of the only send among these actions.
+/// The server of the only attempt among these actions.
 pub fn sent(actions: &[Action]) -> Option<ServerId> {
     let mut sends = actions.iter().filter_map(|a| match a {
         Action::StartAttempt { server, .. } => Some(*server),
         _ => None,
     });
     let first = sends.next();
-    assert_eq!(sends.next(), None, "two sends at once");
+    assert_eq!(sends.next(), None, "two attempts at once");
     first
 }
--- a/tests/hostile.rs
+++ b/tests/hostile.rs
@@ -1,5 +1,5 @@
-//! Seeded hostile events in virtual time: outcomes in any order, lists that change, servers and nodes that restart.
-//! An outside record of every request checks all that one node can keep of the four rules.
+//! Seeded hostile events in virtual time: outcomes in any order, endpoint lists that change, servers and balancers
+//! that restart. A record of each request outside the balancer checks attempts, final answers and slow start.
 
 mod common;
 use common::*;
@@ -7,19 +7,19 @@
 use std::collections::BTreeMap;
 
 const SERVERS: u64 = 12;
-const WARM_UP: Time = 10.0;
-const FALL: Time = 2.0;
-const MULTIPLE: f64 = 2.5;
+const SLOW_START_WINDOW: Time = 10.0;
+const OVERLOAD_WINDOW: Time = 2.0;
+const OVERLOAD_MULTIPLE: f64 = 2.5;
 const MAX_ATTEMPTS: u32 = 4;
-const WINDOW: Time = 0.6;
+const DEDUPLICATION_WINDOW: Time = 0.6;
 
-/// What the outside knows of a request.
-struct Seen {
+/// What clients and servers know of a request.
+struct ObservedRequest {
     request: Request,
     attempts: u32,
-    out: Option<(ServerId, Time)>,
-    stands: bool,
-    may_have_run: Option<(Time, ServerId)>,
+    in_flight: Option<(ServerId, Time)>,
+    is_established: bool,
+    may_have_executed: Option<(Time, ServerId)>,
     answered: bool,
 }
 
@@ -27,10 +27,10 @@
     node: Node,
     random: Random,
     now: Time,
-    seen: BTreeMap<RequestId, Seen>,
+    seen: BTreeMap<RequestId, ObservedRequest>,
     listed: BTreeMap<ServerId, Endpoint>,
     timers: Vec<(Time, u64)>,
-    cold_sends: BTreeMap<ServerId, Vec<Time>>,
+    cold_attempts: BTreeMap<ServerId, Vec<Time>>,
     asked: Vec<Time>,
     ids: u64,
     sends: usize,
@@ -40,7 +40,7 @@
 fn request_classes() -> Vec<RequestClass> {
     let keyed = |scope| Idempotency::Keyed {
         scope,
-        window: WINDOW,
+        window: DEDUPLICATION_WINDOW,
     };
     let idempotencies = [
         Idempotency::Idempotent,
@@ -67,7 +67,7 @@
             seen: BTreeMap::new(),
             listed: BTreeMap::new(),
             timers: Vec::new(),
-            cold_sends: BTreeMap::new(),
+            cold_attempts: BTreeMap::new(),
             asked: Vec::new(),
             ids: 0,
             sends: 0,
@@ -116,7 +116,7 @@
         for entry in &entries {
             let old = self.listed.insert(entry.id, *entry);
             if old.is_none_or(|m| m.started_at != entry.started_at) {
-                self.cold_sends.remove(&entry.id);
+                self.cold_attempts.remove(&entry.id);
             }
         }
         self.give(Event::EndpointsUpdated {
@@ -141,11 +141,14 @@
             } => {
                 self.sends += 1;
                 let seen = self.seen.get_mut(&id).expect("a known request");
-                assert!(!seen.answered && !seen.stands, "sent after its end");
-                assert_eq!(seen.out, None, "two attempts at once");
+                assert!(
+                    !seen.answered && !seen.is_established,
+                    "an attempt after the end"
+                );
+                assert_eq!(seen.in_flight, None, "two attempts in flight");
                 assert!(
                     now < seen.request.deadline && timeout_at <= seen.request.deadline,
-                    "out of its time"
+                    "after its deadline"
                 );
                 seen.attempts += 1;
                 assert!(seen.attempts <= MAX_ATTEMPTS, "too many attempts");
@@ -154,35 +157,37 @@
                     to.state == EndpointState::Ready
                         || seen.request.mid_flow && to.state == EndpointState::Draining
                 );
-                if let Some((first, place)) = seen.may_have_run {
+                if let Some((first, place)) = seen.may_have_executed {
                     let at = self.listed[&place];
                     match request_classes()[seen.request.class].idempotency {
                         Idempotency::Idempotent => {}
-                        Idempotency::NonIdempotent => panic!("an unsafe request went out again"),
+                        Idempotency::NonIdempotent => {
+                            panic!("a non-idempotent request was sent again")
+                        }
                         Idempotency::Keyed { scope, window } => {
-                            assert!(now < first + window, "past the window");
+                            assert!(now < first + window, "after the deduplication window");
                             assert!(
                                 scope != DeduplicationScope::Zone || at.zone == to.zone,
-                                "out of its zone"
+                                "outside its zone"
                             );
                             assert!(
                                 scope != DeduplicationScope::Cell || at.cell == to.cell,
-                                "out of its cell"
+                                "outside its cell"
                             );
                         }
                     }
                 }
-                seen.out = Some((server, now));
-                if to.started_at > 0.0 && now < to.started_at + WARM_UP {
-                    self.cold_send(to);
+                seen.in_flight = Some((server, now));
+                if to.started_at > 0.0 && now < to.started_at + SLOW_START_WINDOW {
+                    self.record_cold_attempt(to);
                 }
             }
             Action::Reject { id, .. } | Action::Fail(id) => {
                 self.finals += 1;
                 let seen = self.seen.get_mut(&id).expect("a known request");
                 assert!(
-                    !seen.answered && seen.out.is_none(),
-                    "answered twice or while an attempt is out"
+                    !seen.answered && seen.in_flight.is_none(),
+                    "answered twice or while an attempt is in flight"
                 );
                 seen.answered = true;
                 assert!(now <= seen.request.deadline + 0.02, "answered late");
@@ -195,39 +200,46 @@
                             ..
                         }
                 );
-                let harmless = all || seen.may_have_run.is_none();
+                let harmless = all || seen.may_have_executed.is_none();
                 assert!(
                     harmless || matches!(action, Action::Fail(_)),
-                    "a harmful refusal"
+                    "a rejection where a retry does harm"
                 );
             }
-            Action::Migrate(id) => assert!(self.seen[&id].stands, "moved what does not stand"),
+            Action::Migrate(id) => assert!(
+                self.seen[&id].is_established,
+                "migrated what is not established"
+            ),
             Action::SetTimer { after, token } => self.timers.push((now + after, token)),
             Action::CancelAttempt { .. } | Action::PollDiscovery => {}
         }
     }
 
-    /// One node alone has the whole fall budget. What a server can do is at least what this node's own
-    /// connections and arrivals say: here the most of either that the run ever had.
-    fn cold_send(&mut self, to: Endpoint) {
+    /// A single balancer has the whole slow-start budget. The capacity of a server is at least what this balancer's own
+    /// connections and arrivals amount to: here the most of either that the run ever had.
+    fn record_cold_attempt(&mut self, to: Endpoint) {
         let now = self.now;
         self.asked.retain(|at| *at > now - 30.0);
-        let stands = self.seen.values().filter(|s| s.stands).count() as f64;
+        let established = self.seen.values().filter(|s| s.is_established).count() as f64;
         let rate = self.asked.len() as f64 / 10.0;
         let listed = self
             .listed
             .values()
             .filter(|m| m.state != EndpointState::Removed)
             .count() as f64;
-        // Until a load is known, ten connections are held to fill a server of size 1.
-        let can = ((stands / WARM_UP).max(rate) / listed).max(10.0 / WARM_UP);
-        let sends = self.cold_sends.entry(to.id).or_default();
+        // Until a load is reported, ten connections are assumed to fill a server of weight 1.
+        let can =
+            ((established / SLOW_START_WINDOW).max(rate) / listed).max(10.0 / SLOW_START_WINDOW);
+        let sends = self.cold_attempts.entry(to.id).or_default();
         sends.push(now);
-        let window = sends.iter().filter(|at| **at > now - FALL).count() as f64;
-        // Slack: one for the token that is always kept, one for a node that has just restarted, one for chance.
+        let window = sends
+            .iter()
+            .filter(|at| **at > now - OVERLOAD_WINDOW)
+            .count() as f64;
+        // Slack: one for the token that is always available, one for a balancer that has just restarted, one for chance.
         assert!(
-            window <= MULTIPLE * can * FALL + 3.0,
-            "{window} to a cold server, which can do {can} a second"
+            window <= OVERLOAD_MULTIPLE * can * OVERLOAD_WINDOW + 3.0,
+            "{window} attempts at a cold server with capacity for {can} a second"
         );
     }
 
@@ -243,12 +255,12 @@
             mid_flow,
             ..Request::new(id, class, self.now + life)
         };
-        let seen = Seen {
+        let seen = ObservedRequest {
             request,
             attempts: 0,
-            out: None,
-            stands: false,
-            may_have_run: None,
+            in_flight: None,
+            is_established: false,
+            may_have_executed: None,
             answered: false,
         };
         self.seen.insert(id, seen);
@@ -256,12 +268,12 @@
         self.give(Event::Request(request));
     }
 
-    /// Ends or stands an attempt that is out, at random.
+    /// Ends or establishes an attempt in flight, at random.
     fn outcome(&mut self) {
         let out: Vec<RequestId> = self
             .seen
             .iter()
-            .filter(|(_, s)| s.out.is_some())
+            .filter(|(_, s)| s.in_flight.is_some())
             .map(|(id, _)| *id)
             .collect();
         if out.is_empty() {
@@ -271,11 +283,11 @@
         let pick = self.random.below(10);
         let how = self.random.below(5) as usize;
         let seen = self.seen.get_mut(&id).expect("listed above");
-        let (server, sent) = seen.out.expect("filtered above");
+        let (server, sent) = seen.in_flight.expect("filtered above");
         let attempt = seen.attempts - 1;
-        if seen.stands || pick < 8 {
-            if seen.stands {
-                seen.out = None;
+        if seen.is_established || pick < 8 {
+            if seen.is_established {
+                seen.in_flight = None;
                 self.seen.remove(&id);
                 let outcome = [
                     Outcome::Reset,
@@ -293,7 +305,7 @@
                 };
                 return self.give(Event::AttemptEnded(ended));
             }
-            seen.stands = true;
+            seen.is_established = true;
             return self.give(Event::Established { id, server });
         }
         let outcomes = [
@@ -304,11 +316,11 @@
             Outcome::Error,
         ];
         let outcome = outcomes[how];
-        seen.out = None;
+        seen.in_flight = None;
         if !matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed)
-            && seen.may_have_run.is_none()
+            && seen.may_have_executed.is_none()
         {
-            seen.may_have_run = Some((sent, server));
+            seen.may_have_executed = Some((sent, server));
         }
         let ended = AttemptEnded {
             id,
@@ -318,8 +330,8 @@
             is_final: false,
         };
         self.give(Event::AttemptEnded(ended));
-        // The same news once more, late: it must be ignored unless that attempt is out again.
-        if self.seen[&id].out.is_none_or(|(to, _)| to != server) {
+        // The same event again, late: it must be ignored unless an attempt at that server is in flight.
+        if self.seen[&id].in_flight.is_none_or(|(to, _)| to != server) {
             self.give(Event::AttemptEnded(ended));
         }
     }
@@ -331,17 +343,17 @@
         self.timers.retain(|t| t.0 > now);
         due.into_iter()
             .for_each(|(_, token)| self.give(Event::Timer(token)));
-        // At the client's end an attempt that is out times out; whatever is not out must have had its answer.
+        // At its deadline an attempt in flight times out; a request without one must have had its answer.
         let over: Vec<RequestId> = self
             .seen
             .iter()
-            .filter(|(_, s)| s.request.deadline <= now && !s.stands)
+            .filter(|(_, s)| s.request.deadline <= now && !s.is_established)
             .map(|(id, _)| *id)
             .collect();
         for id in over {
             let seen = self.seen.get_mut(&id).expect("listed above");
-            if let Some((server, sent)) = seen.out.take() {
-                seen.may_have_run.get_or_insert((sent, server));
+            if let Some((server, sent)) = seen.in_flight.take() {
+                seen.may_have_executed.get_or_insert((sent, server));
                 let attempt = seen.attempts - 1;
                 let due = seen.request.deadline;
                 self.now = due;
@@ -354,7 +366,7 @@
                 }));
                 self.now = now;
             }
-            assert!(self.seen[&id].answered, "request {id:?} was lost");
+            assert!(self.seen[&id].answered, "request {id:?} was never answered");
             self.seen.remove(&id);
         }
         match self.random.below(100) {
@@ -379,17 +391,17 @@
             }
             93 => self.give(Event::Timer(self.ids)),
             94 if self.random.below(20) == 0 => {
-                // The node is killed and comes back with an old list.
+                // The balancer is killed and restarts with a cached list.
                 let (ids, sends, finals) = (self.ids, self.sends, self.finals);
                 let listed = std::mem::take(&mut self.listed);
-                let cold_sends = std::mem::take(&mut self.cold_sends);
+                let cold_attempts = std::mem::take(&mut self.cold_attempts);
                 let old = World::new(self.random.below(1 << 30));
                 *self = World {
                     now,
                     ids,
                     sends,
                     finals,
-                    cold_sends,
+                    cold_attempts,
                     ..old
                 };
                 self.listed = listed;
@@ -414,9 +426,9 @@
     BalancerConfig {
         classes: request_classes(),
         max_attempts: MAX_ATTEMPTS,
-        slow_start_window: WARM_UP,
-        overload_window: FALL,
-        overload_multiple: MULTIPLE,
+        slow_start_window: SLOW_START_WINDOW,
+        overload_window: OVERLOAD_WINDOW,
+        overload_multiple: OVERLOAD_MULTIPLE,
         can_cancel_attempts: true,
 
         discovery_mode: DiscoveryMode::Polled,
@@ -425,7 +437,7 @@
 }
 
 #[test]
-fn all_rules_hold_under_hostile_events() {
+fn attempts_answers_and_slow_start_keep_their_limits_under_hostile_events() {
     let (mut sends, mut finals) = (0, 0);
     for seed in 1..=24 {
         let mut world = World::new(seed);
@@ -437,6 +449,6 @@
     }
     assert!(
         sends > 10_000 && finals > 2_000,
-        "{sends} sends, {finals} answers: too few to say anything"
+        "{sends} attempts, {finals} answers: too few to say anything"
     );
 }
--- a/tests/life.rs
+++ b/tests/life.rs
@@ -1,4 +1,4 @@
-//! The whole life of a request, and the list of servers.
+//! The life cycle of a request, and updates of the endpoint list.
 
 mod common;
 use common::*;
@@ -38,7 +38,7 @@
     (id, to)
 }
 
-fn refused(actions: &[Action]) -> bool {
+fn rejected(actions: &[Action]) -> bool {
     matches!(actions, [Action::Reject { .. }])
 }
 
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn full_and_failed_connects_go_down_the_ranking_whatever_the_effect() {
+fn rejections_and_failed_connects_are_retried_on_other_servers_for_any_idempotency() {
     for effect in [
         Idempotency::Idempotent,
         Idempotency::NonIdempotent,
@@ -59,7 +59,7 @@
         let mut node = started(with(effect), 10);
         let (id, first) = request(&mut node, 1.0);
         let second = sent(&node.end(1.1, id, 0, first, Outcome::Rejected)).expect("a next one");
-        // A fleet that refuses slows the sends down: the third attempt waits for its turn.
+        // Rejections raise the backoff: the third attempt is queued.
         let mut actions = node.end(1.2, id, 1, second, Outcome::ConnectFailed);
         if sent(&actions).is_none() {
             actions = node.give(1.5, Event::Timer(2));
@@ -70,14 +70,14 @@
 }
 
 #[test]
-fn safe_requests_follow_any_outcome_and_stop_at_the_attempt_limit() {
+fn idempotent_requests_are_retried_after_any_outcome_up_to_the_attempt_limit() {
     let mut node = started(with(Idempotency::Idempotent), 10);
     let (id, mut to) = request(&mut node, 1.0);
     for (attempt, outcome) in [Outcome::Timeout, Outcome::Reset, Outcome::Error]
         .into_iter()
         .enumerate()
     {
-        // Errors and time-outs slow the next sends down: the request waits for its turn.
+        // Errors and timeouts raise the backoff: the request is queued.
         let now = 1.0 + 0.2 * (attempt + 1) as f64;
         let mut actions = node.end(now, id, attempt as u32, to, outcome);
         if sent(&actions).is_none() {
@@ -93,13 +93,13 @@
         }
     }
     assert!(
-        refused(&node.end(1.8, id, 3, to, Outcome::Rejected)),
+        rejected(&node.end(1.8, id, 3, to, Outcome::Rejected)),
         "the fourth attempt was the last"
     );
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_fails() {
+fn a_non_idempotent_request_that_may_have_executed_fails() {
     for outcome in [
         Outcome::Timeout,
         Outcome::Reset,
@@ -115,10 +115,10 @@
 }
 
 #[test]
-fn a_keyed_request_stays_in_its_scope_and_window() {
+fn a_keyed_request_is_retried_within_its_deduplication_scope_and_window() {
     let zone_of = |id| fleet(12).into_iter().find(|m| m.id == id).map(|m| m.zone);
     let cell_of = |id| fleet(12).into_iter().find(|m| m.id == id).map(|m| m.cell);
-    for (scope, final_is_refusal) in [
+    for (scope, is_rejected) in [
         (DeduplicationScope::All, true),
         (DeduplicationScope::Zone, false),
         (DeduplicationScope::Cell, false),
@@ -126,41 +126,41 @@
         let mut node = started(with(Idempotency::Keyed { scope, window: 0.5 }), 12);
         let (id, first) = request(&mut node, 1.0);
         let second =
-            sent(&node.end(1.1, id, 0, first, Outcome::Reset)).expect("a repeat in the window");
+            sent(&node.end(1.1, id, 0, first, Outcome::Reset)).expect("a retry within the window");
         match scope {
             DeduplicationScope::All => {}
             DeduplicationScope::Zone => assert_eq!(zone_of(first), zone_of(second)),
             DeduplicationScope::Cell => assert_eq!(cell_of(first), cell_of(second)),
         }
-        // Past the window, counted from the first attempt, nothing may go out again.
+        // After the window, counted from the first attempt, no attempt may follow.
         let actions = node.end(1.6, id, 1, second, Outcome::Rejected);
         assert_eq!(sent(&actions), None);
         let actions = node.give(1.99, Event::Timer(2)).into_iter().chain(actions);
         let last: Vec<Action> = actions
             .filter(|a| !matches!(a, Action::SetTimer { .. }))
             .collect();
-        assert_eq!(refused(&last), final_is_refusal, "{scope:?}: {last:?}");
-        assert_eq!(failed(&last), !final_is_refusal, "{scope:?}: {last:?}");
+        assert_eq!(rejected(&last), is_rejected, "{scope:?}: {last:?}");
+        assert_eq!(failed(&last), !is_rejected, "{scope:?}: {last:?}");
     }
 }
 
 #[test]
-fn a_repeat_may_connect_for_as_long_as_it_takes_and_still_arrives_within_its_window() {
+fn a_keyed_retry_is_started_only_if_it_arrives_within_the_window_at_the_longest_connect_time() {
     let keyed = Idempotency::Keyed {
         scope: DeduplicationScope::All,
         window: 0.5,
     };
-    // The connect time-out is 0.25 s: begun at 1.24 it arrives by 1.49, begun at 1.26 maybe after 1.5.
-    for (ended, repeated) in [(1.24, true), (1.26, false)] {
+    // The connect timeout is 0.25 s: started at 1.24 it arrives by 1.49, started at 1.26 maybe after 1.5.
+    for (ended, is_retried) in [(1.24, true), (1.26, false)] {
         let mut node = started(with(keyed), 12);
         let (id, first) = request(&mut node, 1.0);
         let second = sent(&node.end(ended, id, 0, first, Outcome::Reset));
-        assert_eq!(second.is_some(), repeated, "{ended}");
+        assert_eq!(second.is_some(), is_retried, "{ended}");
     }
 }
 
 #[test]
-fn a_node_that_leaves_answers_each_request_once_by_what_may_have_run() {
+fn at_the_shutdown_deadline_each_request_is_answered_once_by_whether_it_may_have_executed() {
     let keyed = |scope| Idempotency::Keyed { scope, window: 5.0 };
     for (effect, harmless) in [
         (Idempotency::Idempotent, true),
@@ -169,21 +169,28 @@
         (keyed(DeduplicationScope::Zone), false),
     ] {
         let mut node = started(with(effect), 3);
-        // Out: it may run yet.
-        let (out, server) = request(&mut node, 1.0);
-        let actions = node.give(1.1, Event::ShutdownDeadline(out));
-        assert_eq!((refused(&actions), failed(&actions)), (harmless, !harmless));
-        assert!(node.end(1.2, out, 0, server, Outcome::Cancelled).is_empty());
+        // In flight: it may still execute.
+        let (in_flight, server) = request(&mut node, 1.0);
+        let actions = node.give(1.1, Event::ShutdownDeadline(in_flight));
+        assert_eq!(
+            (rejected(&actions), failed(&actions)),
+            (harmless, !harmless)
+        );
         assert!(
-            node.give(1.2, Event::ShutdownDeadline(out)).is_empty(),
+            node.end(1.2, in_flight, 0, server, Outcome::Cancelled)
+                .is_empty()
+        );
+        assert!(
+            node.give(1.2, Event::ShutdownDeadline(in_flight))
+                .is_empty(),
             "only once"
         );
-        // Never ran: it may be refused whatever its effect.
+        // Never executed: it may be rejected whatever its idempotency.
         node.list(1.3, UpdateKind::Full, &[]);
-        let held = node.next_id();
-        assert_eq!(node.ask(1.3, Request::new(held, 0, 3.3)), None);
+        let queued = node.next_id();
+        assert_eq!(node.ask(1.3, Request::new(queued, 0, 3.3)), None);
         assert!(
-            refused(&node.give(1.4, Event::ShutdownDeadline(held))),
+            rejected(&node.give(1.4, Event::ShutdownDeadline(queued))),
             "{effect:?}"
         );
         assert!(node.give(1.5, Event::Timer(2)).is_empty());
@@ -191,7 +198,7 @@
 }
 
 #[test]
-fn attempts_leave_room_for_another_and_never_outlast_the_client() {
+fn attempt_timeouts_leave_time_for_another_attempt_and_end_by_the_deadline() {
     let mut node = started(config(), 10);
     let id = node.next_id();
     let actions = node.give(1.0, Event::Request(Request::new(id, 0, 3.0)));
@@ -206,19 +213,19 @@
         "{actions:?}"
     );
     let over = node.next_id();
-    assert!(refused(
+    assert!(rejected(
         &node.give(1.0, Event::Request(Request::new(over, 0, 1.0)))
     ));
 }
 
 #[test]
-fn an_empty_list_leads_to_a_harmless_refusal_in_time() {
+fn with_no_endpoints_a_request_is_queued_and_rejected_before_its_deadline() {
     let mut node = Node::new(config());
     let id = node.next_id();
     let actions = node.give(1.0, Event::Request(Request::new(id, 0, 3.0)));
     assert!(
         matches!(actions[..], [Action::SetTimer { .. }]),
-        "it waits for a list: {actions:?}"
+        "queued: {actions:?}"
     );
     let mut now = 1.0;
     loop {
@@ -229,7 +236,7 @@
         }
         assert!(now < 3.0, "no answer in time");
     }
-    // And what waits is sent once a list is there.
+    // A queued request is started once there are endpoints.
     let id = node.next_id();
     node.give(4.0, Event::Request(Request::new(id, 0, 6.0)));
     node.list(4.05, UpdateKind::Full, &fleet(3));
@@ -237,7 +244,7 @@
 }
 
 #[test]
-fn nothing_follows_the_end_of_a_request() {
+fn events_after_the_end_of_a_request_are_ignored() {
     let mut node = started(config(), 10);
     let (id, to) = request(&mut node, 1.0);
     let ended = AttemptEnded {
@@ -268,7 +275,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_has_its_attempt_called_off_where_allowed() {
+fn the_attempt_in_flight_of_a_disconnected_client_is_cancelled_where_allowed() {
     for can_cancel_attempts in [true, false] {
         let mut node = started(
             BalancerConfig {
@@ -288,13 +295,13 @@
         node.give(1.1, Event::Established { id, server: to });
         assert!(
             node.give(1.2, Event::ClientDisconnected(id)).is_empty(),
-            "a standing stream is not called off"
+            "an established connection is not cancelled"
         );
     }
 }
 
 #[test]
-fn open_connections_are_known_and_end_quietly() {
+fn adopted_connections_end_without_an_action() {
     let mut node = started(config(), 3);
     let (id, to) = (node.next_id(), fleet(3)[1].id);
     assert!(
@@ -329,7 +336,7 @@
 }
 
 #[test]
-fn draining_and_gone_servers_get_nothing_new() {
+fn draining_and_removed_servers_get_no_attempts() {
     let mut list = fleet(4);
     let mut node = started(config(), 4);
     list[0].state = EndpointState::Draining;
@@ -341,19 +348,19 @@
             .expect("a server");
         assert!(to == list[2].id || to == list[3].id);
     }
-    // Missing from a full list means gone; so does a cached one.
+    // Absent from a full or cached list means removed.
     for kind in [UpdateKind::Full, UpdateKind::Cached] {
         node.list(2.0, kind, &list[2..3]);
         assert_eq!(node.place(2.0, Key::of("any")), Some(list[2].id));
         node.list(2.0, kind, &fleet(4));
     }
-    // A failed call leaves the list as it is.
+    // A failed poll leaves the list as it is.
     node.give(3.0, Event::DiscoveryFailed);
     assert!(node.place(3.0, Key::of("any")).is_some());
 }
 
 #[test]
-fn mid_flow_requests_rank_draining_servers_too() {
+fn mid_flow_requests_may_go_to_draining_servers() {
     let list = fleet(6);
     let mut node = started(config(), 6);
     for i in 0..200 {
@@ -402,57 +409,64 @@
 }
 
 #[test]
-fn asked_discovery_is_subscribed_at_once_and_again_after_failures_within_the_limit() {
-    let ask = BalancerConfig {
+fn polled_discovery_is_polled_at_the_start_and_with_bounded_backoff_after_failures() {
+    let polled = BalancerConfig {
         discovery_mode: DiscoveryMode::Polled,
         poll_interval: 10.0,
         ..config()
     };
-    let mut pauses = Vec::new();
+    let mut backoffs = Vec::new();
     for seed in 0..20 {
-        let mut node = Node::seeded(ask.clone(), seed);
+        let mut node = Node::seeded(polled.clone(), seed);
         assert_eq!(
             node.list(0.0, UpdateKind::Cached, &fleet(3)),
             [Action::PollDiscovery]
         );
         assert!(
             node.list(0.1, UpdateKind::Full, &fleet(3)).is_empty(),
-            "asked only once"
+            "polled only once"
         );
         for failures in 0..12 {
             let actions = node.give(1.0, Event::DiscoveryFailed);
             let [Action::SetTimer { after, token }] = actions[..] else {
                 panic!("{actions:?}")
             };
-            // With a call that may take 3 s to be answered, a change is known 6 s after discovery is back.
+            // With a poll that may take 3 s, a change is known 6 s after discovery recovers.
             assert!(
                 after > 0.0 && after <= 3.0,
-                "pause {after} after {failures} failures"
+                "backoff {after} after {failures} failures"
             );
-            pauses.push((failures, after));
+            backoffs.push((failures, after));
             assert_eq!(
                 node.give(1.0 + after, Event::Timer(token)),
                 [Action::PollDiscovery]
             );
         }
     }
-    let mean = |n| pauses.iter().filter(|p| p.0 == n).map(|p| p.1).sum::<f64>() / 20.0;
-    assert!(mean(3) > 2.0 * mean(0), "the pause grows");
-    let first: Vec<f64> = pauses.iter().filter(|p| p.0 == 0).map(|p| p.1).collect();
+    let mean = |n| {
+        backoffs
+            .iter()
+            .filter(|p| p.0 == n)
+            .map(|p| p.1)
+            .sum::<f64>()
+            / 20.0
+    };
+    assert!(mean(3) > 2.0 * mean(0), "the backoff grows");
+    let first: Vec<f64> = backoffs.iter().filter(|p| p.0 == 0).map(|p| p.1).collect();
     assert!(
         first.windows(2).any(|w| (w[0] - w[1]).abs() > 0.05),
-        "nodes do not call together: {first:?}"
+        "balancers do not poll together: {first:?}"
     );
     assert!(
         Node::new(config())
             .list(0.0, UpdateKind::Cached, &fleet(3))
             .is_empty(),
-        "pushed lists need no call"
+        "pushed lists need no poll"
     );
 }
 
 #[test]
-fn requests_of_no_class_and_repeated_ids_are_harmless() {
+fn requests_of_an_unknown_class_are_rejected_and_repeated_ids_are_ignored() {
     let mut node = started(config(), 3);
     let id = node.next_id();
     let mut actions = node.give(1.0, Event::Request(Request::new(id, 9, 1.1)));
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -1,4 +1,4 @@
-//! What is kept: bytes for each open connection, and none for finished requests.
+//! Memory of the balancer: bytes for each established connection, and none for finished requests.
 
 mod common;
 use common::*;
@@ -26,7 +26,7 @@
 static ALLOCATOR: Counting = Counting;
 
 #[test]
-fn finished_requests_leave_nothing_and_open_ones_little() {
+fn memory_is_bounded_for_each_established_connection_and_freed_with_each_request() {
     let mut node = Node::new(config());
     let list: Vec<Endpoint> = (0..20).map(server).collect();
     node.list(0.0, UpdateKind::Full, &list);
@@ -41,8 +41,8 @@
         open.push((id, to));
     }
     let each = (LIVE.load(Ordering::Relaxed) - before - own) / count;
-    assert!(each < 600, "{each} bytes for each open connection");
-    // Half end by an outcome, half by their client; then a thousand that never stood, waiting ones among them.
+    assert!(each < 600, "{each} bytes for each established connection");
+    // Half end by an outcome, half by their client; then a thousand that were never established, queued ones among them.
     for (i, (id, server)) in open.iter().copied().enumerate() {
         let ended = AttemptEnded {
             id,
@@ -72,7 +72,7 @@
     }
     node.give(20.0, Event::Timer(2));
     let left = LIVE.load(Ordering::Relaxed).saturating_sub(before);
-    // The waiting queue and the trees keep a little room; nothing grows with the requests served.
+    // The queue and the trees keep some spare capacity; nothing grows with the requests served.
     assert!(
         left < 20_000,
         "{left} bytes are left after {count} requests"
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -1,4 +1,4 @@
-//! The rendezvous ranking seen through the public interface.
+//! Weighted rendezvous hashing, seen through the public interface.
 
 mod common;
 use common::*;
@@ -6,7 +6,7 @@
 use spanspur::score;
 
 /// Key, server, weight, score.
-const GOLDEN: [(u64, u64, f64, f64); 5] = [
+const REFERENCE_SCORES: [(u64, u64, f64, f64); 5] = [
     (0x1, 0x2, 1.0, 0.9223249287758876),
     (
         0x123456789abcdef0,
@@ -20,9 +20,9 @@
 ];
 
 #[test]
-fn golden_scores() {
+fn scores_agree_with_reference_values() {
     // Worked out with Python's exact integers and math.log, not with the code under test.
-    for (key, server, weight, want) in GOLDEN {
+    for (key, server, weight, want) in REFERENCE_SCORES {
         let got = score(Key(key), ServerId(server), weight);
         assert!(
             (got / want - 1.0).abs() < 1e-12,
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn hashes_are_the_published_xxh3() {
+fn keys_and_server_ids_are_xxh3_hashes() {
     // Reference values of XXH3 with 64 bits and seed 0.
     assert_eq!(Key::of("").0, 0x2d06_8005_38d3_94c2);
     assert_eq!(
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn shares_follow_weights() {
+fn servers_get_keys_in_proportion_to_their_weights() {
     let weights = [1.0, 2.0, 3.0, 0.5];
     let list: Vec<Endpoint> = (0..4)
         .map(|i| Endpoint {
@@ -82,11 +82,11 @@
 }
 
 #[test]
-fn odd_weights_count_as_one() {
-    let odd = [0.0, -3.0, f64::NAN, f64::INFINITY];
+fn unusable_weights_count_as_one() {
+    let unusable = [0.0, -3.0, f64::NAN, f64::INFINITY];
     let list: Vec<Endpoint> = (0..4)
         .map(|i| Endpoint {
-            weight: odd[i],
+            weight: unusable[i],
             ..server(i as u64)
         })
         .collect();
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_leave_or_join_moves_only_that_servers_keys() {
+fn adding_or_removing_a_server_moves_only_its_own_keys() {
     let list: Vec<Endpoint> = (0..10).map(server).collect();
     let (mut all, mut fewer) = (Node::new(config()), Node::new(config()));
     all.list(0.0, UpdateKind::Full, &list);
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn nodes_with_one_list_in_any_order_agree() {
+fn balancers_with_the_same_endpoints_in_any_order_agree() {
     let list: Vec<Endpoint> = (0..20).map(server).collect();
     let back: Vec<Endpoint> = list.iter().rev().copied().collect();
     let mut a = Node::new(config());
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn the_group_is_the_key_then_the_client_then_the_request() {
+fn the_placement_key_is_the_group_else_the_client_else_the_request() {
     let list: Vec<Endpoint> = (0..20).map(server).collect();
     let best = |key: Key| {
         let high = |a: &&Endpoint, b: &&Endpoint| {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Departures and the four rules, in virtual time.
+//! Slow start, overload, outlier ejection, backoff and load estimates, in virtual time.
 
 mod common;
 use common::*;
@@ -9,7 +9,7 @@
     (0..count).map(server).collect()
 }
 
-fn aimed() -> BalancerConfig {
+fn with_message_objective() -> BalancerConfig {
     let class = RequestClass {
         message_latency_objective: Some(0.06),
         ..RequestClass::default()
@@ -22,8 +22,8 @@
     }
 }
 
-/// A node with `each` connections open at each server.
-fn loaded(config: BalancerConfig, seed: u64, servers: u64, each: u64) -> Node {
+/// A node with `each` connections established to each server.
+fn with_connections(config: BalancerConfig, seed: u64, servers: u64, each: u64) -> Node {
     let mut node = Node::seeded(config, seed);
     node.list(0.0, UpdateKind::Cached, &fleet(servers));
     for i in 0..servers * each {
@@ -39,33 +39,33 @@
     node
 }
 
-fn moves(actions: &[Action]) -> usize {
+fn migrations(actions: &[Action]) -> usize {
     actions
         .iter()
         .filter(|a| matches!(a, Action::Migrate(_)))
         .count()
 }
 
-/// Sends that `nodes` nodes, all pressing on one server that started at 100.0, put there up to `until`.
-fn sent_to_cold(nodes: u64, each: u64, warm: f64, until: Time) -> usize {
+/// Attempts that `nodes` nodes, all with keys of one server that started at 100.0, start there up to `until`.
+fn attempts_at_cold_server(nodes: u64, each: u64, cold_capacity_share: f64, until: Time) -> usize {
     let cold = Endpoint {
         started_at: 100.0,
         ..server(0)
     };
     let mut count = 0;
     for seed in 0..nodes {
-        let mut node = loaded(
+        let mut node = with_connections(
             BalancerConfig {
                 balancer_count: nodes as u32,
                 balancer_index: seed as u32,
-                cold_capacity_share: warm,
-                ..aimed()
+                cold_capacity_share,
+                ..with_message_objective()
             },
             seed,
             10,
             each,
         );
-        // Ten connections of the usual load fill a unit of size: 80 a server.
+        // Ten connections of the mean load fill a unit of weight: 80 a server.
         let large = |m: Endpoint| Endpoint { weight: 8.0, ..m };
         let list: Vec<Endpoint> = fleet(10).into_iter().map(large).collect();
         node.list(99.0, UpdateKind::Full, &list);
@@ -86,7 +86,7 @@
     Key::of(&format!("{seed} {now} {i}")).0
 }
 
-/// Whether this is the key's best server of a fleet.
+/// Whether this is the key's first server of a fleet.
 fn prefers(key: Key, servers: u64, id: ServerId) -> bool {
     let score = |id: ServerId| spanspur::score(key, id, 1.0);
     fleet(servers)
@@ -94,7 +94,7 @@
         .all(|m| m.id == id || score(m.id) < score(id))
 }
 
-/// A key whose best server of a fleet is the first.
+/// A key that ranks the first server of a fleet first.
 fn key_of_first(servers: u64) -> Key {
     let mut keys = (0..).map(Key);
     keys.find(|key| prefers(*key, servers, server(0).id))
@@ -102,34 +102,34 @@
 }
 
 #[test]
-fn a_cold_server_gets_its_budget_from_all_nodes_together_however_many() {
-    // Every node holds connections at every server: 40 nodes with 2, or 8 with 10, are one fleet of 80 a server.
-    // What a server can do is the rate that fills it over the warm-up: 80 in 10 s, a share of it while cold.
+fn the_slow_start_budget_of_a_cold_server_holds_for_the_sum_of_any_number_of_balancers() {
+    // Each node has connections to each server: 40 nodes with 2, or 8 with 10, are one fleet with 80 a server.
+    // The capacity is the rate that fills a server in the slow-start window: 80 in 10 s, a share of it while cold.
     for (nodes, each) in [(40, 2), (8, 10)] {
-        let sent = sent_to_cold(nodes, each, 0.3, 102.0) as f64;
+        let sent = attempts_at_cold_server(nodes, each, 0.3, 102.0) as f64;
         let can = 80.0 / 10.0 * 0.3 * 2.0;
         assert!(
             sent < 2.5 * can,
-            "{sent} sent by {nodes} nodes, {can} can be done"
+            "{sent} attempts by {nodes} nodes, capacity for {can}"
         );
         assert!(
             sent > 0.3 * can,
-            "{sent} sent by {nodes} nodes: the server must get its share"
+            "{sent} attempts by {nodes} nodes: the server must get its share"
         );
     }
 }
 
 #[test]
-fn a_started_server_gets_more_as_it_warms_and_its_full_share_when_warm() {
+fn a_server_that_warms_up_gets_a_growing_share_and_its_full_share_after_the_slow_start_window() {
     let share = |age: f64| {
         let mut hits = 0;
         for i in 0..3000 {
             let number = i as u32;
             let config = BalancerConfig {
                 balancer_index: number,
-                ..aimed()
+                ..with_message_objective()
             };
-            let mut fresh = loaded(config, i, 10, 5);
+            let mut fresh = with_connections(config, i, 10, 5);
             fresh.list(
                 100.0,
                 UpdateKind::Delta,
@@ -144,16 +144,16 @@
         hits as f64 / 3000.0
     };
     let (cold, half, warm) = (share(0.01), share(5.0), share(10.0));
-    // Of ten servers one has weight 0.3, 0.65, 1. A fresh node's tokens start at a random part of one; a part that
-    // has come due, at 0.16 of the nodes half way, goes before the ranking.
+    // Of ten servers one has weight 0.3, 0.65, 1. A new node's token bucket starts with a random part of a token; a
+    // token that is available, at 0.16 of the nodes half way, goes before the ranking.
     assert!(cold < 0.045, "{cold}");
     assert!(half > 0.05 && half < 0.18, "{half}");
     assert!(warm > 0.085 && warm < 0.115, "{warm}");
 }
 
 #[test]
-fn a_restart_under_the_same_id_is_cold_again() {
-    let mut node = loaded(aimed(), 1, 2, 1);
+fn a_server_that_restarts_under_the_same_id_warms_up_again() {
+    let mut node = with_connections(with_message_objective(), 1, 2, 1);
     node.list(
         50.0,
         UpdateKind::Delta,
@@ -183,14 +183,14 @@
 }
 
 #[test]
-fn every_server_cold_at_once_lets_some_in_and_answers_the_rest_in_time() {
+fn a_fleet_that_warms_up_as_a_whole_admits_some_requests_and_rejects_the_rest_in_time() {
     let list: Vec<Endpoint> = (0..5)
         .map(|i| Endpoint {
             started_at: 10.0,
             ..server(i)
         })
         .collect();
-    let mut node = Node::new(aimed());
+    let mut node = Node::new(with_message_objective());
     node.list(10.0, UpdateKind::Full, &list);
     let (mut placed, mut answered) = (0, 0);
     let mut end = BTreeMap::new();
@@ -217,13 +217,13 @@
     }
     assert!(
         placed > 100 && answered > 0,
-        "{placed} placed, {answered} refused"
+        "{placed} placed, {answered} rejected"
     );
 }
 
 #[test]
-fn a_busy_server_is_skipped_until_a_note_clears_it_and_no_other_key_moves() {
-    let mut node = loaded(aimed(), 1, 10, 2);
+fn a_busy_server_is_skipped_until_a_latency_report_clears_it_and_other_keys_keep_their_servers() {
+    let mut node = with_connections(with_message_objective(), 1, 10, 2);
     let before: Vec<_> = (0..300)
         .map(|i| node.place(1.0, Key(mix(9, 0.0, i))))
         .collect();
@@ -255,8 +255,8 @@
 }
 
 #[test]
-fn a_busy_server_is_tried_again_by_a_node_that_left_it() {
-    let mut node = loaded(aimed(), 1, 2, 0);
+fn a_busy_report_expires() {
+    let mut node = with_connections(with_message_objective(), 1, 2, 0);
     let key = key_of_first(2);
     node.give(
         2.0,
@@ -270,8 +270,8 @@
 }
 
 #[test]
-fn all_busy_takes_the_least_busy_and_all_drowning_waits() {
-    let mut node = loaded(aimed(), 1, 3, 2);
+fn of_busy_servers_the_least_busy_is_used_and_of_overloaded_ones_none() {
+    let mut node = with_connections(with_message_objective(), 1, 3, 2);
     for (i, delay) in [0.027, 0.022, 0.029].into_iter().enumerate() {
         node.give(
             2.0,
@@ -296,17 +296,17 @@
     assert_eq!(
         node.place(3.1, Key(1)),
         None,
-        "ejecting none or hunting on would drown all"
+        "an attempt at any of them would overload it further"
     );
 }
 
 #[test]
-fn a_failing_server_is_left_alone_for_longer_each_time_and_forgiven_when_one_stands() {
-    let mut node = loaded(aimed(), 1, 2, 0);
-    let home = key_of_first(2);
-    let key = Some(home);
+fn ejection_lengthens_with_each_failure_in_a_row_and_resets_when_a_connection_is_established() {
+    let mut node = with_connections(with_message_objective(), 1, 2, 0);
+    let first_server_key = key_of_first(2);
+    let key = Some(first_server_key);
     let mut now = 1.0;
-    let mut pauses = Vec::new();
+    let mut ejections = Vec::new();
     for _ in 0..4 {
         let id = node.next_id();
         assert_eq!(
@@ -322,14 +322,14 @@
         node.end(now, id, 0, server(0).id, Outcome::ConnectFailed);
         node.give(now, Event::ClientDisconnected(id));
         let from = now;
-        while node.place(now, home) != Some(server(0).id) {
+        while node.place(now, first_server_key) != Some(server(0).id) {
             now += 0.1;
-            assert!(now - from < 60.0, "never tried again");
+            assert!(now - from < 60.0, "never used again");
         }
-        pauses.push(now - from);
+        ejections.push(now - from);
         now += 30.0;
     }
-    assert!(pauses.windows(2).all(|w| w[1] > w[0]), "{pauses:?}");
+    assert!(ejections.windows(2).all(|w| w[1] > w[0]), "{ejections:?}");
     let id = node.next_id();
     node.ask(
         now,
@@ -354,13 +354,13 @@
         },
     );
     node.end(now, id, 0, server(0).id, Outcome::ConnectFailed);
-    assert_eq!(node.place(now + 0.1, home), Some(server(1).id));
-    assert_eq!(node.place(now + 30.0, home), Some(server(0).id));
+    assert_eq!(node.place(now + 0.1, first_server_key), Some(server(1).id));
+    assert_eq!(node.place(now + 30.0, first_server_key), Some(server(0).id));
 }
 
 #[test]
-fn connections_leave_a_busy_server_slowly_heaviest_first_and_a_drowned_one_even_without_room() {
-    let mut node = loaded(aimed(), 1, 5, 100);
+fn busy_servers_lose_the_heaviest_connections_gradually_and_saturated_ones_in_any_case() {
+    let mut node = with_connections(with_message_objective(), 1, 5, 100);
     node.give(
         1.0,
         Event::LoadReport {
@@ -370,7 +370,7 @@
     );
     let slight: usize = (0..10)
         .map(|i| {
-            moves(&node.give(
+            migrations(&node.give(
                 2.0 + f64::from(i),
                 Event::LatencyReport {
                     server: server(1).id,
@@ -381,7 +381,7 @@
         .sum();
     assert!(
         slight <= 10,
-        "{slight} moved off a server that is just busy"
+        "{slight} migrations off a server that is just busy"
     );
     let actions = node.give(
         20.0,
@@ -391,15 +391,15 @@
         },
     );
     assert!(
-        (8..=14).contains(&moves(&actions)),
+        (8..=14).contains(&migrations(&actions)),
         "about 12 of 100 a second: {}",
-        moves(&actions)
+        migrations(&actions)
     );
     assert!(
         actions.contains(&Action::Migrate(RequestId(1_000_000 + 35))),
         "the heaviest goes first"
     );
-    let mut node = loaded(aimed(), 1, 2, 100);
+    let mut node = with_connections(with_message_objective(), 1, 2, 100);
     node.give(
         2.0,
         Event::LatencyReport {
@@ -408,16 +408,16 @@
         },
     );
     assert!(
-        moves(&node.give(
+        migrations(&node.give(
             2.0,
             Event::LatencyReport {
                 server: server(0).id,
                 message_latency: 0.5
             }
         )) > 0,
-        "shed though nobody has room"
+        "migrate though no server has capacity"
     );
-    let mut node = loaded(aimed(), 1, 2, 100);
+    let mut node = with_connections(with_message_objective(), 1, 2, 100);
     node.give(
         2.0,
         Event::LatencyReport {
@@ -426,7 +426,7 @@
         },
     );
     assert_eq!(
-        moves(&node.give(
+        migrations(&node.give(
             2.0,
             Event::LatencyReport {
                 server: server(0).id,
@@ -434,13 +434,13 @@
             }
         )),
         0,
-        "busy, but nobody has room"
+        "busy, but no server has capacity"
     );
 }
 
 #[test]
-fn a_drowned_server_is_let_back_slowly() {
-    let mut node = loaded(aimed(), 1, 2, 20);
+fn a_server_recovers_from_overload_by_its_token_bucket() {
+    let mut node = with_connections(with_message_objective(), 1, 2, 20);
     let key = key_of_first(2);
     for i in 0..50 {
         node.place(f64::from(i) * 0.1, key);
@@ -464,19 +464,19 @@
         .count();
     assert!(
         burst < 40,
-        "{burst} of 100 at once on a server that has just cleared"
+        "{burst} of 100 at once at a server that has just recovered"
     );
     assert_eq!(node.place(20.0, key), Some(server(0).id));
 }
 
 #[test]
-fn a_drowned_server_that_is_quick_again_fills_by_its_room_however_few_come_for_the_first_time() {
-    // How many of a returning crowd's requests it is sent in 5 s, where the other server is taken.
-    let crowd = |each| {
-        let mut node = loaded(
+fn with_spare_capacity_in_the_fleet_a_server_recovers_at_its_full_rate_for_reconnects_too() {
+    // How many of the reconnecting clients' requests it gets in 5 s while the other server is overloaded.
+    let reconnects = |each| {
+        let mut node = with_connections(
             BalancerConfig {
                 balancer_count: 1,
-                ..aimed()
+                ..with_message_objective()
             },
             1,
             2,
@@ -507,10 +507,9 @@
         let sent = (0..100).filter(|i| {
             let now = 7.0 + f64::from(*i) * 0.05;
             let id = node.next_id();
-            let returned = true;
             let request = Request {
                 key,
-                is_reconnect: returned,
+                is_reconnect: true,
                 ..Request::new(id, 0, now + 0.04)
             };
             let to = node.ask(now, request);
@@ -520,15 +519,15 @@
         sent.count()
     };
     // A server that ten connections fill, in ten seconds: one a second.
-    let light = crowd(1);
-    assert!((4..=7).contains(&light), "{light} sent to one with room");
-    let full = crowd(6);
-    assert!(full <= 2, "{full} sent in a fleet without room");
+    let light = reconnects(1);
+    assert!((4..=7).contains(&light), "{light} with spare capacity");
+    let full = reconnects(6);
+    assert!(full <= 2, "{full} without spare capacity");
 }
 
 #[test]
-fn errors_slow_the_sends_down_and_success_frees_them() {
-    let mut node = loaded(aimed(), 1, 5, 2);
+fn backoff_grows_with_failures_and_ends_with_established_connections() {
+    let mut node = with_connections(with_message_objective(), 1, 5, 2);
     let mut sends = 0;
     for i in 0..200 {
         let now = 1.0 + f64::from(i) * 0.01;
@@ -541,11 +540,11 @@
             actions = node.end(now, *id, 0, *server, Outcome::Error);
         }
     }
-    assert!(sends < 40, "{sends} sends in 2 s while all fail");
+    assert!(sends < 40, "{sends} attempts in 2 s while all fail");
     let id = node.next_id();
     let to = node
         .ask(30.0, Request::new(id, 0, 32.0))
-        .expect("after the gap one goes out");
+        .expect("an attempt after the gap");
     (0..3).for_each(|_| drop(node.give(30.0, Event::Established { id, server: to })));
     for i in 0..4 {
         let id = node.next_id();
@@ -563,7 +562,7 @@
 }
 
 #[test]
-fn one_server_and_no_hints_groups_or_peers_is_served() {
+fn requests_without_hints_or_groups_are_placed_on_a_single_server() {
     let mut node = Node::new(config());
     node.list(0.0, UpdateKind::Full, &fleet(1));
     for i in 0..100 {
@@ -572,12 +571,12 @@
 }
 
 #[test]
-fn one_node_alone_does_not_starve_its_fleet_after_failures() {
-    // One node with 40 first tries a second; a server that drops 20 connections at once strains it to the utmost.
-    let mut node = loaded(
+fn the_backoff_of_a_single_busy_balancer_does_not_starve_its_fleet() {
+    // One node with 40 first attempts a second; a server resets 20 connections at once.
+    let mut node = with_connections(
         BalancerConfig {
             balancer_count: 1,
-            ..aimed()
+            ..with_message_objective()
         },
         1,
         5,
@@ -616,14 +615,14 @@
 }
 
 #[test]
-fn loads_tell_a_node_that_its_part_of_a_server_is_full_and_move_nobody() {
+fn a_server_whose_part_is_full_by_load_reports_gets_nothing_new_and_keeps_its_connections() {
     let one = BalancerConfig {
         balancer_count: 1,
-        ..aimed()
+        ..with_message_objective()
     };
-    let mut node = loaded(one, 1, 5, 10);
-    let home = key_of_first(5);
-    // One heavy connection and nine light ones: together more than the server's size of 1 can do.
+    let mut node = with_connections(one, 1, 5, 10);
+    let first_server_key = key_of_first(5);
+    // One heavy connection and nine light ones: together more than the server's weight of 1 can do.
     let heavy = RequestId(1_000_000);
     for i in 1..50 {
         node.give(
@@ -634,16 +633,16 @@
             },
         );
     }
-    assert_eq!(node.place(1.5, home), Some(server(0).id));
-    let moved = node.give(
+    assert_eq!(node.place(1.5, first_server_key), Some(server(0).id));
+    let actions = node.give(
         2.0,
         Event::LoadReport {
             id: heavy,
             load: 1_500_000.0,
         },
     );
-    assert_eq!(moves(&moved), 0, "{moved:?}");
-    assert_ne!(node.place(3.0, home), Some(server(0).id));
+    assert_eq!(migrations(&actions), 0, "{actions:?}");
+    assert_ne!(node.place(3.0, first_server_key), Some(server(0).id));
     node.give(
         14.0,
         Event::LoadReport {
@@ -651,29 +650,29 @@
             load: 1_000.0,
         },
     );
-    assert_eq!(node.place(15.0, home), Some(server(0).id));
+    assert_eq!(node.place(15.0, first_server_key), Some(server(0).id));
 }
 
 #[test]
-fn where_no_note_comes_a_slow_set_up_shows_a_server_that_drowns() {
+fn without_latency_reports_a_slow_set_up_marks_a_server_as_busy() {
     let mut one = BalancerConfig {
         balancer_count: 1,
-        ..aimed()
+        ..with_message_objective()
     };
     one.classes[0].message_latency_objective = Some(0.25);
-    let mut node = loaded(one, 1, 5, 0);
-    let home = key_of_first(5);
+    let mut node = with_connections(one, 1, 5, 0);
+    let first_server_key = key_of_first(5);
     let set_up = |node: &mut Node, at: Time, took: Time| {
         let id = node.next_id();
         let request = Request {
-            key: Some(home),
+            key: Some(first_server_key),
             ..Request::new(id, 0, at + 2.0)
         };
         let to = node.ask(at, request).expect("a server");
         node.give(at + took, Event::Established { id, server: to });
         to
     };
-    // Set-ups differ, above all in a wave, and one that a message could take as long as says nothing.
+    // Set-up times vary, above all in a burst; an excess below the busy threshold says nothing.
     for (i, took) in [0.015, 0.01, 0.02, 0.08].repeat(3).into_iter().enumerate() {
         assert_eq!(set_up(&mut node, i as f64, took), server(0).id);
     }
@@ -682,8 +681,8 @@
 }
 
 #[test]
-fn a_server_that_breaks_all_its_connections_at_once_has_failed_once() {
-    let mut node = loaded(aimed(), 1, 5, 12);
+fn many_resets_at_once_are_one_failure_of_the_server() {
+    let mut node = with_connections(with_message_objective(), 1, 5, 12);
     for i in 0..12 {
         let ended = AttemptEnded {
             id: RequestId(1_000_000 + 5 * i),
@@ -694,17 +693,17 @@
         };
         node.give(1.0, Event::AttemptEnded(ended));
     }
-    // The others take what comes back, and that server is tried again soon.
+    // The others take the reconnecting clients, and that server is used again soon.
     for i in 0..5 {
         let at = 1.5 + i as f64 / 2.0;
-        assert!(node.place(at, Key(i)).is_some(), "held at {at}");
+        assert!(node.place(at, Key(i)).is_some(), "queued at {at}");
     }
     assert_eq!(node.place(12.0, key_of_first(5)), Some(server(0).id));
 }
 
 #[test]
-fn a_guess_of_the_loads_turns_nobody_away() {
-    let mut node = loaded(aimed(), 1, 2, 10);
+fn estimated_load_alone_rejects_no_request() {
+    let mut node = with_connections(with_message_objective(), 1, 2, 10);
     for second in 2..6 {
         for i in 0..20 {
             node.give(
@@ -720,13 +719,13 @@
 }
 
 #[test]
-fn errors_that_come_often_speak_against_their_server_and_hold_nobody_up() {
-    let mut node = loaded(aimed(), 1, 5, 1);
-    let home = key_of_first(5);
+fn frequent_errors_eject_their_server_and_delay_no_other_request() {
+    let mut node = with_connections(with_message_objective(), 1, 5, 1);
+    let first_server_key = key_of_first(5);
     for at in [1.0, 1.1] {
         let id = node.next_id();
         let request = Request {
-            key: Some(home),
+            key: Some(first_server_key),
             ..Request::new(id, 0, at + 2.0)
         };
         // One error may be the request's own fault.
@@ -734,23 +733,25 @@
         node.end(at, id, 0, server(0).id, Outcome::Error);
         node.give(at, Event::ClientDisconnected(id));
     }
-    let next = node.place(1.5, home).expect("sent at once");
+    let next = node
+        .place(1.5, first_server_key)
+        .expect("an attempt at once");
     assert_ne!(next, server(0).id);
 }
 
 #[test]
-fn a_wave_does_not_fill_a_server_between_two_looks_at_its_load() {
+fn a_burst_does_not_overfill_a_server_between_two_load_reports() {
     let one = BalancerConfig {
         balancer_count: 1,
-        ..aimed()
+        ..with_message_objective()
     };
-    let mut node = loaded(one, 1, 5, 0);
-    let home = key_of_first(5);
+    let mut node = with_connections(one, 1, 5, 0);
+    let first_server_key = key_of_first(5);
     let mut there = 0;
     for i in 0..40 {
         let (at, id) = (2.0 + f64::from(i) / 100.0, node.next_id());
         let request = Request {
-            key: Some(home),
+            key: Some(first_server_key),
             ..Request::new(id, 0, at + 2.0)
         };
         let to = node.ask(at, request).expect("a server");
@@ -762,8 +763,8 @@
 }
 
 #[test]
-fn one_reset_alone_speaks_against_nobody() {
-    let mut node = loaded(aimed(), 1, 5, 12);
+fn a_single_reset_ejects_no_server() {
+    let mut node = with_connections(with_message_objective(), 1, 5, 12);
     let ended = AttemptEnded {
         id: RequestId(1_000_000),
         attempt: 0,
