--- a/src/balancer/attempt.rs
+++ b/src/balancer/attempt.rs
@@ -21,10 +21,10 @@
 impl Balancer {
     /// Starts an attempt of a pending request, queues it, or gives its final answer.
     pub(super) fn attempt(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(request) = self.requests.get(&id) else {
+        let Some(state) = self.requests.get(&id) else {
             return;
         };
-        match self.next_step(now, request) {
+        match self.next_step(now, state) {
             NextStep::Start { server, timeout_at } => {
                 self.start_attempt(now, id, server, timeout_at, actions);
             }
@@ -33,18 +33,18 @@
         }
     }
 
-    fn next_step(&self, now: Time, request: &RequestState) -> NextStep {
-        if self.decide_retry(now, request) != RetryDecision::Allowed {
+    fn next_step(&self, now: Time, state: &RequestState) -> NextStep {
+        if self.decide_retry(now, state) != RetryDecision::Allowed {
             return NextStep::GiveFinalAnswer;
         }
         if self.backoff.allows_attempt(now)
-            && let Some(server) = self.choose(now, request)
+            && let Some(server) = self.choose(now, state)
         {
-            let timeout_at = self.attempt_timeout_at(now, request);
+            let timeout_at = self.attempt_timeout_at(now, state);
             return NextStep::Start { server, timeout_at };
         }
         // A rejected client retries at once: to keep it waiting here costs the servers nothing.
-        if now + self.latency_objective(request) < request.request.deadline {
+        if now + self.latency_objective(state) < state.request.deadline {
             NextStep::Queue
         } else {
             NextStep::GiveFinalAnswer
@@ -59,32 +59,32 @@
         timeout_at: Time,
         actions: &mut Vec<Action>,
     ) {
-        self.delay_next_attempt(now);
+        self.start_backoff_gap(now);
         actions.push(Action::StartAttempt {
             id,
             server,
             timeout_at,
         });
         self.spend_token(now, server);
-        let Some(request) = self.requests.get_mut(&id) else {
+        let Some(state) = self.requests.get_mut(&id) else {
             return;
         };
-        request.phase = Phase::InFlight(server);
-        request.sent_at = now;
-        request.attempts += 1;
-        request.attempted.push(server);
-        let load = request.load;
+        state.phase = Phase::InFlight(server);
+        state.sent_at = now;
+        state.attempts += 1;
+        state.attempted.push(server);
+        let load = state.load;
         self.attach(id, server, load);
     }
 
     /// Leaves a gap after an attempt while servers fail.
-    fn delay_next_attempt(&mut self, now: Time) {
+    fn start_backoff_gap(&mut self, now: Time) {
         if self.backoff.is_active() {
             let gap = self
                 .backoff
                 .gap(self.queue_interval, self.arrival_rate.first_attempts);
-            let next_attempt_at = now + gap * self.random.next_jitter();
-            self.backoff.delay_next_attempt(next_attempt_at);
+            let jittered_gap = gap * self.random.next_jitter();
+            self.backoff.block_until(now + jittered_gap);
         }
     }
 
@@ -96,14 +96,14 @@
         server: ServerId,
         actions: &mut Vec<Action>,
     ) {
-        let Some(request) = self.requests.get_mut(&id) else {
+        let Some(state) = self.requests.get_mut(&id) else {
             return;
         };
-        if request.phase != Phase::InFlight(server) {
+        if state.phase != Phase::InFlight(server) {
             return;
         }
-        request.phase = Phase::Established(server);
-        let setup_time = now - request.sent_at;
+        state.phase = Phase::Established(server);
+        let setup_time = now - state.sent_at;
         self.established += 1;
         self.backoff.decrease();
         if let Some(server) = self.server_mut(server) {
@@ -131,11 +131,11 @@
 
     /// Forgets a request whose client disconnected, and cancels its attempt in flight to spare the server.
     pub(super) fn client_disconnected(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        if let Some(request) = self.release(id)
-            && matches!(request.phase, Phase::InFlight(_))
+        if let Some(state) = self.release(id)
+            && matches!(state.phase, Phase::InFlight(_))
             && self.config.can_cancel_attempts
         {
-            let attempt = request.attempts - 1;
+            let attempt = state.attempts - 1;
             actions.push(Action::CancelAttempt { id, attempt });
         }
     }
--- a/src/balancer/backoff.rs
+++ b/src/balancer/backoff.rs
@@ -45,7 +45,7 @@
         unit * f64::from(1 << self.backoff_exponent)
     }
 
-    pub(super) fn delay_next_attempt(&mut self, until: Time) {
-        self.next_attempt_at = until;
+    pub(super) fn block_until(&mut self, next_attempt_at: Time) {
+        self.next_attempt_at = next_attempt_at;
     }
 }
--- a/src/balancer/discovery_poll.rs
+++ b/src/balancer/discovery_poll.rs
@@ -43,7 +43,7 @@
 
 impl Balancer {
     /// Requests the first poll, if that has not been done.
-    pub(super) fn poll_discovery_first(&mut self, actions: &mut Vec<Action>) {
+    pub(super) fn poll_discovery_at_start(&mut self, actions: &mut Vec<Action>) {
         let was_started = std::mem::replace(&mut self.discovery_poll.is_started, true);
         if !was_started && self.config.discovery_mode == DiscoveryMode::Polled {
             actions.push(Action::PollDiscovery);
--- a/src/balancer/load_estimate.rs
+++ b/src/balancer/load_estimate.rs
@@ -66,11 +66,11 @@
 impl Balancer {
     /// Takes the present load of a connection, in microseconds of work a second.
     pub(super) fn record_load(&mut self, id: RequestId, load: f64) {
-        let Some(request) = self.requests.get_mut(&id) else {
+        let Some(state) = self.requests.get_mut(&id) else {
             return;
         };
-        let load_before = std::mem::replace(&mut request.load, load);
-        if let Some(server) = request.phase.server()
+        let load_before = std::mem::replace(&mut state.load, load);
+        if let Some(server) = state.phase.server()
             && let Some(server) = self.server_mut(server)
         {
             server.load += load - load_before;
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -9,9 +9,9 @@
 //! | How many attempts a server gets after its start or a fault | `slow_start` |
 //! | When a server is ejected for failures, and for how long | `outlier_ejection` |
 //! | When a server counts as busy, and which connections migrate | `overload`, `setup_time` |
-//! | Whether an attempt may follow, and which final answer is given | `retry`, `backoff` |
-//! | When a request is queued or rejected | `admission` |
-//! | What load a server has | `load_estimate` |
+//! | What a request does next: an attempt, the queue or its final answer | `attempt`, `admission` |
+//! | Whether an attempt may follow, when, and which final answer is given | `retry`, `backoff` |
+//! //! | What load a server has | `load_estimate` |
 //! | When discovery is polled again | `discovery_poll` |
 //!
 //! State: `servers` (per server), `request_state` (per request), and [`Balancer`] itself.
@@ -97,7 +97,7 @@
         if let Event::ConfigChanged(config) = event {
             self.apply_config(config);
         }
-        self.poll_discovery_first(actions);
+        self.poll_discovery_at_start(actions);
         match event {
             Event::EndpointsUpdated { kind, endpoints } => {
                 self.update_endpoints(now, *kind, endpoints);
@@ -146,8 +146,8 @@
             .ok()
     }
 
-    fn class(&self, request: &RequestState) -> Option<&RequestClass> {
-        self.config.classes.get(request.request.class)
+    fn class(&self, state: &RequestState) -> Option<&RequestClass> {
+        self.config.classes.get(state.request.class)
     }
 
     /// How many balancers share the servers, at least 1.
--- a/src/balancer/overload.rs
+++ b/src/balancer/overload.rs
@@ -1,5 +1,4 @@
-//! Overload: a server with slow messages gets nothing new, and some of its connections migrate, the
-//! heaviest first.
+//! Overload: a server with slow messages is avoided, and some of its connections migrate, the heaviest first.
 //!
 //! The latency ratio of a server is its message latency over the busy threshold: from 1 on it is busy, from
 //! [`OVERLOADED_RATIO`] on overloaded, from [`SATURATED_RATIO`] on saturated.
@@ -64,6 +63,7 @@
         if let Some(server) = self.server_mut(id) {
             let is_busy = latency_ratio >= 1.0;
             server.latency_ratio = latency_ratio;
+            // Ends an ejection for failures too: the server responds.
             server.ejected_until = if is_busy { now + BUSY_REPORT_TTL } else { now };
             if latency_ratio >= OVERLOADED_RATIO {
                 server.unhealthy_since = now;
@@ -94,19 +94,18 @@
         let mut heaviest: Vec<&RequestState> = in_flight
             .iter()
             .filter_map(|id| self.requests.get(id))
-            .filter(|request| request.phase == Phase::Established(from))
+            .filter(|state| state.phase == Phase::Established(from))
             .collect();
         heaviest.sort_by(|a, b| b.load.total_cmp(&a.load));
         heaviest.truncate((count + rounding) as usize);
         // A saturated server serves nobody in time: connections leave it even if they have to queue for
         // another.
-        heaviest.retain(|request| {
-            latency_ratio >= SATURATED_RATIO || self.can_migrate(now, request, from)
-        });
+        heaviest
+            .retain(|state| latency_ratio >= SATURATED_RATIO || self.can_migrate(now, state, from));
         actions.extend(
             heaviest
                 .iter()
-                .map(|request| Action::Migrate(request.request.id)),
+                .map(|state| Action::Migrate(state.request.id)),
         );
     }
 }
--- a/src/balancer/request_state.rs
+++ b/src/balancer/request_state.rs
@@ -74,9 +74,9 @@
 impl Balancer {
     /// Forgets a request that has ended.
     pub(super) fn release(&mut self, id: RequestId) -> Option<RequestState> {
-        let request = self.requests.remove(&id)?;
-        self.detach(id, request.phase, request.load);
-        Some(request)
+        let state = self.requests.remove(&id)?;
+        self.detach(id, state.phase, state.load);
+        Some(state)
     }
 
     /// Takes a request and its load off its server.
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -35,17 +35,17 @@
 
 impl Balancer {
     /// Whether a request may have an attempt now.
-    pub(super) fn decide_retry(&self, now: Time, request: &RequestState) -> RetryDecision {
-        if request.attempts >= self.config.max_attempts {
+    pub(super) fn decide_retry(&self, now: Time, state: &RequestState) -> RetryDecision {
+        if state.attempts >= self.config.max_attempts {
             return RetryDecision::AttemptsExhausted;
         }
-        let is_before_deadline = now < request.request.deadline;
+        let is_before_deadline = now < state.request.deadline;
         if !is_before_deadline {
             return RetryDecision::DeadlineExceeded;
         }
-        let idempotency = self.class(request).map(|class| class.idempotency);
+        let idempotency = self.class(state).map(|class| class.idempotency);
         let latest_arrival = now + self.config.connect_timeout;
-        match (idempotency, request.first_possible_execution) {
+        match (idempotency, state.first_possible_execution) {
             (Some(Idempotency::NonIdempotent), Some(_)) => RetryDecision::MayHaveExecuted,
             (Some(Idempotency::Keyed { window, .. }), Some(execution))
                 if latest_arrival >= execution.sent_at + window =>
@@ -57,23 +57,23 @@
     }
 
     /// When an attempt that starts now times out. Leaves time for another one, unless it is the last.
-    pub(super) fn attempt_timeout_at(&self, now: Time, request: &RequestState) -> Time {
-        let is_last = request.attempts + 1 >= self.config.max_attempts;
+    pub(super) fn attempt_timeout_at(&self, now: Time, state: &RequestState) -> Time {
+        let is_last = state.attempts + 1 >= self.config.max_attempts;
         let timeout = if is_last {
             f64::INFINITY
         } else {
-            self.latency_objective(request) * ATTEMPT_TIMEOUT_OBJECTIVES
+            self.latency_objective(state) * ATTEMPT_TIMEOUT_OBJECTIVES
         };
-        request.request.deadline.min(now + timeout)
+        state.request.deadline.min(now + timeout)
     }
 
     /// In seconds; for a request of a class that does not exist, its deadline.
-    pub(super) fn latency_objective(&self, request: &RequestState) -> Time {
-        self.class(request)
-            .map_or(request.request.deadline, |class| class.latency_objective)
+    pub(super) fn latency_objective(&self, state: &RequestState) -> Time {
+        self.class(state)
+            .map_or(state.request.deadline, |class| class.latency_objective)
     }
 
-    /// Takes the end of an attempt: its outcome speaks for or against the server, then the request is
+    /// Takes the end of an attempt: its outcome counts for the ejection of the server, then the request is
     /// released, fails or is attempted again.
     pub(super) fn attempt_ended(
         &mut self,
@@ -81,10 +81,10 @@
         ended: &AttemptEnded,
         actions: &mut Vec<Action>,
     ) {
-        let Some(request) = self.requests.get(&ended.id) else {
+        let Some(state) = self.requests.get(&ended.id) else {
             return;
         };
-        let is_superseded = !request.is_at(ended.server);
+        let is_superseded = !state.is_at(ended.server);
         if is_superseded && !ended.is_final {
             return;
         }
@@ -104,21 +104,21 @@
     /// Takes a request off the server whose attempt ended; how many servers have answered with an error.
     fn return_to_pending(&mut self, ended: &AttemptEnded) -> u32 {
         let (zone, cell) = self.location(ended.server);
-        let Some(request) = self.requests.get_mut(&ended.id) else {
+        let Some(state) = self.requests.get_mut(&ended.id) else {
             return 0;
         };
-        let phase = std::mem::replace(&mut request.phase, Phase::Pending);
-        let load = request.load;
+        let phase = std::mem::replace(&mut state.phase, Phase::Pending);
+        let load = state.load;
         if ended.outcome.may_have_executed() {
             let execution = PossibleExecution {
-                sent_at: request.sent_at,
+                sent_at: state.sent_at,
                 zone,
                 cell,
             };
-            request.first_possible_execution.get_or_insert(execution);
+            state.first_possible_execution.get_or_insert(execution);
         }
-        request.error_responses += u32::from(ended.outcome == Outcome::Error);
-        let error_responses = request.error_responses;
+        state.error_responses += u32::from(ended.outcome == Outcome::Error);
+        let error_responses = state.error_responses;
         self.detach(ended.id, phase, load);
         error_responses
     }
@@ -132,27 +132,28 @@
     }
 
     /// Ends a request without a connection: rejected where a retry by the client does no harm, else failed.
+    /// Retry-After is random up to `max_retry_after`, so that rejected clients do not return all at once.
     pub(super) fn give_final_answer(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(request) = self.release(id) else {
+        let Some(state) = self.release(id) else {
             return;
         };
         let retry_after = self.config.max_retry_after.unwrap_or(0.0) * self.random.next_fraction();
-        actions.push(if self.is_client_retry_harmless(&request) {
+        actions.push(if self.is_client_retry_harmless(&state) {
             Action::Reject { id, retry_after }
         } else {
             Action::Fail(id)
         });
     }
 
-    /// The client's retry may reach any server, at any time.
-    fn is_client_retry_harmless(&self, request: &RequestState) -> bool {
-        let is_repeatable = match self.class(request).map(|class| class.idempotency) {
+    /// The client's retry may reach any server: duplicates have to be discarded by all of them.
+    fn is_client_retry_harmless(&self, state: &RequestState) -> bool {
+        let is_repeatable = match self.class(state).map(|class| class.idempotency) {
             Some(Idempotency::NonIdempotent) => false,
             Some(Idempotency::Keyed { scope, .. }) => scope == DeduplicationScope::All,
             Some(Idempotency::Idempotent) | None => true,
         };
         let cannot_have_executed =
-            request.first_possible_execution.is_none() && request.phase == Phase::Pending;
+            state.first_possible_execution.is_none() && state.phase == Phase::Pending;
         is_repeatable || cannot_have_executed
     }
 }
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -2,7 +2,9 @@
 //! key ranks first by weighted rendezvous hashing.
 
 use super::Balancer;
-use super::api::{DeduplicationScope, EndpointState, Idempotency, Key, ServerId, Time};
+use super::api::{
+    DeduplicationScope, EndpointState, Idempotency, Key, RequestClass, ServerId, Time,
+};
 use super::overload::OVERLOADED_RATIO;
 use super::rendezvous;
 use super::request_state::{PossibleExecution, RequestState};
@@ -43,12 +45,12 @@
     load_level: f64,
 }
 
-/// One choice of a server.
+/// The inputs of one selection.
 struct Selection<'a> {
     now: Time,
-    request: &'a RequestState,
+    state: &'a RequestState,
     key: Key,
-    /// The attempt that may have executed, if a duplicate is discarded in a part of the fleet only.
+    /// Where the duplicates of an attempt that may have executed are discarded.
     deduplicated_by: Option<(DeduplicationScope, PossibleExecution)>,
     /// The server that the connection is to leave.
     migrating_from: Option<ServerId>,
@@ -103,34 +105,29 @@
 
 impl Balancer {
     /// The server for the next attempt, `None` if there is no eligible one.
-    pub(super) fn choose(&self, now: Time, request: &RequestState) -> Option<ServerId> {
-        let best = self.best_candidate(now, request, None)?;
+    pub(super) fn choose(&self, now: Time, state: &RequestState) -> Option<ServerId> {
+        let best = self.best_candidate(now, state, None)?;
         Some(best.server)
     }
 
     /// Whether another server would take a connection without being loaded above its part.
-    pub(super) fn can_migrate(&self, now: Time, request: &RequestState, from: ServerId) -> bool {
-        self.best_candidate(now, request, Some(from))
+    pub(super) fn can_migrate(&self, now: Time, state: &RequestState, from: ServerId) -> bool {
+        self.best_candidate(now, state, Some(from))
             .is_some_and(|best| best.load_level <= CLEAR_LEVEL)
     }
 
     fn best_candidate(
         &self,
         now: Time,
-        request: &RequestState,
+        state: &RequestState,
         migrating_from: Option<ServerId>,
     ) -> Option<Candidate> {
+        let class = self.class(state)?;
         let selection = Selection {
             now,
-            request,
-            key: request.placement_key(),
-            deduplicated_by: match (
-                self.class(request)?.idempotency,
-                request.first_possible_execution,
-            ) {
-                (Idempotency::Keyed { scope, .. }, Some(execution)) => Some((scope, execution)),
-                _ => None,
-            },
+            state,
+            key: state.placement_key(),
+            deduplicated_by: deduplicated_by(class, state),
             migrating_from,
         };
         let mut ranking = Ranking {
@@ -179,13 +176,13 @@
         server: &Server,
         capacity_share: f64,
     ) -> Result<f64, Ineligible> {
-        if selection.request.request.mid_flow {
+        if selection.state.request.mid_flow {
             return Ok(CLEAR_LEVEL);
         }
-        if server.is_ejected_for_failures(selection.now) {
+        if server.is_ejected(selection.now) {
             return Err(Ineligible::Ejected);
         }
-        if server.is_ejected(selection.now) {
+        if server.is_busy(selection.now) {
             return Ok(server.latency_ratio);
         }
         if capacity_share < 1.0 && self.is_preferred_by(selection.key, server) {
@@ -206,12 +203,22 @@
     }
 }
 
+fn deduplicated_by(
+    class: &RequestClass,
+    state: &RequestState,
+) -> Option<(DeduplicationScope, PossibleExecution)> {
+    match (class.idempotency, state.first_possible_execution) {
+        (Idempotency::Keyed { scope, .. }, Some(execution)) => Some((scope, execution)),
+        _ => None,
+    }
+}
+
 impl Selection<'_> {
     /// A draining server still takes the packets of a connection that it may have.
     fn accepts_state(&self, state: EndpointState) -> bool {
         match state {
             EndpointState::Ready => true,
-            EndpointState::Draining => self.request.request.mid_flow && self.request.attempts == 0,
+            EndpointState::Draining => self.state.request.mid_flow && self.state.attempts == 0,
             EndpointState::Removed => false,
         }
     }
@@ -225,6 +232,6 @@
     }
 
     fn excludes(&self, server: ServerId) -> bool {
-        self.request.attempted.contains(&server) || self.migrating_from == Some(server)
+        self.state.attempted.contains(&server) || self.migrating_from == Some(server)
     }
 }
--- a/src/balancer/servers.rs
+++ b/src/balancer/servers.rs
@@ -20,9 +20,9 @@
     pub(super) in_flight: BTreeSet<RequestId>,
     /// Message latency in busy thresholds: from 1 on the server is busy.
     pub(super) latency_ratio: f64,
-    /// It gets nothing before this time: it failed, or was reported busy.
+    /// Until then it is ejected because of failures, or counts as busy if there are none.
     pub(super) ejected_until: Time,
-    /// Ejections for failures in a row; 0 if it is ejected only as busy.
+    /// Ejections for failures in a row.
     pub(super) consecutive_failures: u32,
     /// Moving average of the share of its answers that are errors or resets.
     pub(super) error_rate: f64,
@@ -40,21 +40,19 @@
         Self {
             endpoint,
             unhealthy_since: f64::NEG_INFINITY,
-            slow_start_tokens: TokenBucket {
-                tokens: initial_tokens(&endpoint, balancer_index),
-                updated_at: now,
-            },
+            slow_start_tokens: TokenBucket::new(now, initial_tokens(&endpoint, balancer_index)),
             ..Self::default()
         }
     }
 
-    /// Ejected because of failures, not only because it is busy.
-    pub(super) fn is_ejected_for_failures(&self, now: Time) -> bool {
-        self.is_ejected(now) && self.consecutive_failures > 0
+    /// Ejected because of failures: it gets no attempt.
+    pub(super) fn is_ejected(&self, now: Time) -> bool {
+        self.ejected_until > now && self.consecutive_failures > 0
     }
 
-    pub(super) fn is_ejected(&self, now: Time) -> bool {
-        self.ejected_until > now
+    /// Reported busy: it gets an attempt only where no other server is less busy.
+    pub(super) fn is_busy(&self, now: Time) -> bool {
+        self.ejected_until > now && self.consecutive_failures == 0
     }
 }
 
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -9,7 +9,7 @@
 
 /// Share of what a server that warms up withstands that is used; the rest is for errors of other balancers.
 const WARM_UP_BUDGET_SHARE: f64 = 0.85;
-/// Refill rate at the begin of a recovery, in the server's share of first attempts.
+/// Refill rate at the start of a recovery, in the server's share of first attempts.
 const RECOVERY_INITIAL_RATE: f64 = 2.0;
 /// How often the refill rate doubles over a slow-start window of recovery.
 const RECOVERY_DOUBLINGS: f64 = 2.0;
@@ -22,12 +22,19 @@
 #[derive(Default, Deserialize, Serialize)]
 pub(super) struct TokenBucket {
     /// Attempts.
-    pub(super) tokens: f64,
+    tokens: f64,
     /// When `tokens` was counted.
-    pub(super) updated_at: Time,
+    updated_at: Time,
 }
 
 impl TokenBucket {
+    pub(super) fn new(now: Time, tokens: f64) -> Self {
+        Self {
+            tokens,
+            updated_at: now,
+        }
+    }
+
     /// The tokens at a time, without a limit; `refill_rate` in attempts a second.
     fn accrued(&self, now: Time, refill_rate: f64) -> f64 {
         self.tokens + refill_rate * (now - self.updated_at)
@@ -66,10 +73,7 @@
         };
         let capacity_share = self.capacity_share(now, &self.servers[index]);
         let tokens = self.available_tokens(now, &self.servers[index], capacity_share) - 1.0;
-        self.servers[index].slow_start_tokens = TokenBucket {
-            tokens: tokens.max(0.0),
-            updated_at: now,
-        };
+        self.servers[index].slow_start_tokens = TokenBucket::new(now, tokens.max(0.0));
     }
 
     /// Attempts that this balancer may start at a server that warms up or recovers.
@@ -82,8 +86,7 @@
         };
         let tokens = server.slow_start_tokens.accrued(now, refill_rate);
         let burst = refill_rate * self.config.overload_window;
-        // Whole tokens that were not used in time expire: used later, those of all balancers would come
-        // in one wave.
+        // Whole tokens expire if unused: saved up at all balancers, they would come in one burst.
         if warms_up && tokens >= 1.0 && tokens.fract() > burst {
             return tokens.fract();
         }
