--- a/src/cluster/rows/tests.rs
+++ b/src/cluster/rows/tests.rs
@@ -25,7 +25,7 @@
         zone: 2,
         state,
         weight: 1.5,
-        started: 1234.25,
+        started_at: 1234.25,
         cell: 3,
     };
     Row::of(&member, "127.0.0.1:9".parse().expect("an address"))
@@ -37,7 +37,7 @@
         zone: u32::MAX,
         state,
         weight: f64::MAX,
-        started: -0.0,
+        started_at: -0.0,
         cell: u32::MAX - 1,
     };
     let address = "[fd00::1:2]:65535".parse().expect("an address");
--- a/src/discovery/endpoint_list.rs
+++ b/src/discovery/endpoint_list.rs
@@ -93,7 +93,7 @@
             zone: zone_id(self.locality.as_deref()),
             state: self.state(),
             weight: self.size.unwrap_or(DEFAULT_WEIGHT),
-            started: self.started(),
+            started_at: self.started(),
             cell: self.cell.unwrap_or(0),
         }
     }
--- a/src/protocol/simulator/event.rs
+++ b/src/protocol/simulator/event.rs
@@ -52,7 +52,10 @@
         "takenOver" => {
             let id = request_id(raw.id.take())?;
             let request = request(&raw, id, instance)?;
-            Event::AlreadyEstablished(request, server_id(&raw, endpoints)?)
+            Event::AlreadyEstablished {
+                request,
+                server: server_id(&raw, endpoints)?,
+            }
         }
         "underWay" => established(raw, endpoints)?,
         "done" => Event::AttemptEnded(attempt_ended(raw, endpoints)?),
@@ -80,7 +83,7 @@
         zone: zone_id(entry.hall.as_deref()),
         state: endpoint_state(entry)?,
         weight: entry.size.unwrap_or(1.0),
-        started: non_negative(entry.came_up.unwrap_or(0.0), "cameUp")?,
+        started_at: non_negative(entry.came_up.unwrap_or(0.0), "cameUp")?,
         cell: entry.pod.unwrap_or(0),
     })
 }
@@ -111,7 +114,10 @@
         .lists
         .get(&slot)
         .ok_or(EventError::UndefinedList { slot })?;
-    Ok(Event::EndpointsUpdated(kind, list.clone()))
+    Ok(Event::EndpointsUpdated {
+        kind,
+        endpoints: list.clone(),
+    })
 }
 
 fn request(raw: &Raw, id: RequestId, instance: &Instance) -> Result<Request, EventError> {
@@ -141,7 +147,10 @@
     let server = server_id(&raw, endpoints)?;
     required_field(raw.shot, "shot")?;
     required_time(raw.time_taken, "timeTaken")?;
-    Ok(Event::Established(request_id(raw.id)?, server))
+    Ok(Event::Established {
+        id: request_id(raw.id)?,
+        server,
+    })
 }
 
 fn attempt_ended(raw: Raw, endpoints: &mut Endpoints) -> Result<AttemptEnded, EventError> {
@@ -151,7 +160,7 @@
         id: request_id(raw.id)?,
         attempt: required_field(raw.shot, "shot")?,
         outcome: outcome(raw.status)?,
-        settled: required_field(raw.settled, "settled")?,
+        is_final: required_field(raw.settled, "settled")?,
     })
 }
 
@@ -161,11 +170,11 @@
     required_field(raw.shot, "shot")?;
     let level = required_time(raw.level, "level")?;
     match required_field(raw.topic, "topic")? {
-        topics::LOAD => Ok(Event::LoadReport(id, level)),
-        topics::LATENCY => Ok(Event::LatencyReport(
+        topics::LOAD => Ok(Event::LoadReport { id, load: level }),
+        topics::LATENCY => Ok(Event::LatencyReport {
             server,
-            level / MILLISECONDS_PER_SECOND,
-        )),
+            message_latency: level / MILLISECONDS_PER_SECOND,
+        }),
         topic => Err(EventError::UnknownTopic { topic }),
     }
 }
--- a/src/protocol/simulator/step.rs
+++ b/src/protocol/simulator/step.rs
@@ -13,14 +13,18 @@
     names: &HashMap<ServerId, Arc<str>>,
 ) -> Result<Step, EventError> {
     Ok(match action {
-        Action::StartAttempt { id, server, until } => Step::Relay {
+        Action::StartAttempt {
+            id,
+            server,
+            timeout_at,
+        } => Step::Relay {
             who,
             id: id.to_string(),
             host: names
                 .get(&server)
                 .cloned()
                 .ok_or(EventError::UnnamedServer)?,
-            until,
+            until: timeout_at,
         },
         Action::Reject { id, retry_after } => Step::Shed {
             who,
--- a/src/proxy/client.rs
+++ b/src/proxy/client.rs
@@ -130,7 +130,7 @@
         invariants::count("transferred connection is here already");
         return;
     };
-    runtime.handle_event(Event::AlreadyEstablished(request, server));
+    runtime.handle_event(Event::AlreadyEstablished { request, server });
     runtime.mark_established(request.id);
     resume(runtime, connection, client, backend, commands).await;
     drop((registration, permit));
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -99,7 +99,7 @@
     let backend = backend.ok_or(RequestEnd::Response(LocalResponse::Failed))?;
     let request = open_request.request;
     tracing::debug!(request = %request.id, %server, group = ?request.group, "connection reopened");
-    runtime.handle_event(Event::AlreadyEstablished(request, server));
+    runtime.handle_event(Event::AlreadyEstablished { request, server });
     Ok(backend)
 }
 
@@ -134,7 +134,7 @@
             Ok(backend) => {
                 let attempt = pending.attempt;
                 tracing::debug!(request = %id, %server, attempt, "connection established");
-                runtime.handle_event(Event::Established(id, server));
+                runtime.handle_event(Event::Established { id, server });
                 return Ok((server, attempt, backend));
             }
             Err(error) => pending.end_attempt(server, &error),
@@ -226,7 +226,7 @@
             attempt,
             server,
             outcome,
-            settled: false,
+            is_final: false,
         }));
         self.attempt += 1;
     }
--- a/src/proxy/session.rs
+++ b/src/proxy/session.rs
@@ -106,7 +106,7 @@
             attempt: self.attempt,
             server,
             outcome,
-            settled: true,
+            is_final: true,
         }));
     }
 
--- a/src/runtime/endpoint_directory.rs
+++ b/src/runtime/endpoint_directory.rs
@@ -35,9 +35,12 @@
 impl EndpointMask {
     /// The endpoint as the balancer is to see it: a server under maintenance is draining, whatever its list says.
     fn apply(&self, announced: Endpoint, window: SlowStartWindow) -> Endpoint {
-        let mask =
-            self.maintenance
-                .mask(announced.id.0, announced.started, window.now, window.length);
+        let mask = self.maintenance.mask(
+            announced.id.0,
+            announced.started_at,
+            window.now,
+            window.length,
+        );
         let warming_up = mask.started > window.now - window.length;
         let state = match announced.state {
             EndpointState::Ready if mask.out => EndpointState::Draining,
@@ -49,7 +52,7 @@
         };
         Endpoint {
             state,
-            started: mask.started,
+            started_at: mask.started,
             ..announced
         }
     }
@@ -111,7 +114,7 @@
         for listed in self.listed.values_mut() {
             let effective = self.mask.apply(listed.announced, window);
             let before = &listed.effective;
-            if (effective.state, effective.started) != (before.state, before.started) {
+            if (effective.state, effective.started_at) != (before.state, before.started_at) {
                 listed.effective = effective;
                 changed.push(effective);
             }
--- a/src/runtime/endpoints.rs
+++ b/src/runtime/endpoints.rs
@@ -17,7 +17,10 @@
         }
         let window = self.slow_start_window();
         let endpoints = self.endpoints.borrow_mut().apply(kind, list, window);
-        self.handle_event(Event::EndpointsUpdated(kind, endpoints.into()));
+        self.handle_event(Event::EndpointsUpdated {
+            kind,
+            endpoints: endpoints.into(),
+        });
         self.endpoints_changed.notify_one();
     }
 
@@ -64,7 +67,10 @@
         let window = self.slow_start_window();
         let changed = self.endpoints.borrow_mut().refresh(window);
         if !changed.is_empty() {
-            self.handle_event(Event::EndpointsUpdated(UpdateKind::Delta, changed.into()));
+            self.handle_event(Event::EndpointsUpdated {
+                kind: UpdateKind::Delta,
+                endpoints: changed.into(),
+            });
             self.endpoints_changed.notify_one();
         }
     }
--- a/src/runtime/latency_tracker.rs
+++ b/src/runtime/latency_tracker.rs
@@ -40,13 +40,19 @@
     pub fn measure(&mut self, now: Time, server: ServerId, seconds: Time) -> Option<Event> {
         if seconds <= self.threshold {
             let was_slow = self.last_reports.remove(&server).is_some();
-            return was_slow.then_some(Event::LatencyReport(server, seconds));
+            return was_slow.then_some(Event::LatencyReport {
+                server,
+                message_latency: seconds,
+            });
         }
         let last = self.last_reports.get(&server);
         if last.is_some_and(|last| now < last + REPEAT_INTERVAL) {
             return None;
         }
         self.last_reports.insert(server, now);
-        Some(Event::LatencyReport(server, seconds))
+        Some(Event::LatencyReport {
+            server,
+            message_latency: seconds,
+        })
     }
 }
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -137,8 +137,12 @@
 
     fn dispatch(self: &Rc<Self>, action: Action) {
         match action {
-            Action::StartAttempt { id, server, until } => {
-                self.send_command(id, Command::StartAttempt(server, until));
+            Action::StartAttempt {
+                id,
+                server,
+                timeout_at,
+            } => {
+                self.send_command(id, Command::StartAttempt(server, timeout_at));
             }
             Action::Reject { id, retry_after } => {
                 self.send_command(id, Command::Reject((retry_after * 1000.0) as u64));
@@ -225,10 +229,13 @@
             .reports
             .classify(now, server, figure, first);
         match report {
-            Report::Load(load) => self.handle_event(Event::LoadReport(id, load)),
+            Report::Load(load) => self.handle_event(Event::LoadReport { id, load }),
             Report::MessageTime(seconds) => {
                 tracing::debug!(%server, seconds, "message time reported by backend");
-                self.handle_event(Event::LatencyReport(server, seconds));
+                self.handle_event(Event::LatencyReport {
+                    server,
+                    message_latency: seconds,
+                });
             }
             Report::Ambiguous => {}
         }
--- a/tests/snapshot.rs
+++ b/tests/snapshot.rs
@@ -79,9 +79,11 @@
 /// An action as text that does not depend on the names in the code.
 fn line(action: &Action) -> (&'static str, String) {
     match action {
-        Action::StartAttempt { id, server, until } => {
-            ("send", format!("{id} {server} {:016x}", until.to_bits()))
-        }
+        Action::StartAttempt {
+            id,
+            server,
+            timeout_at: until,
+        } => ("send", format!("{id} {server} {:016x}", until.to_bits())),
         Action::Reject { id, retry_after } => {
             ("refuse", format!("{id} {:016x}", retry_after.to_bits()))
         }
@@ -121,7 +123,11 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::StartAttempt { id, server, until } => {
+            Action::StartAttempt {
+                id,
+                server,
+                timeout_at: until,
+            } => {
                 let asked = self.asked.get_mut(&id).expect("a live request");
                 asked.attempts += 1;
                 asked.phase = Phase::Out(server, until);
@@ -163,12 +169,15 @@
                 zone: number as u32 % 3,
                 state,
                 weight: [2.0, 0.5, 1.0][number as usize % 3],
-                started: self.started.get(&number).copied().unwrap_or(0.0),
+                started_at: self.started.get(&number).copied().unwrap_or(0.0),
                 cell: number as u32 % 4,
                 ..server(number)
             });
         }
-        self.give(Event::EndpointsUpdated(kind, entries.into()));
+        self.give(Event::EndpointsUpdated {
+            kind,
+            endpoints: entries.into(),
+        });
     }
 
     fn ask(&mut self, returned: bool) {
@@ -209,7 +218,7 @@
             attempt,
             server,
             outcome,
-            settled,
+            is_final: settled,
         }));
     }
 
@@ -236,7 +245,7 @@
             }
             Phase::Out(server, _) if !self.failing(server) && roll < 90 => {
                 self.asked.get_mut(&id).expect("a live request").phase = Phase::Standing(server);
-                self.give(Event::Established(id, server));
+                self.give(Event::Established { id, server });
             }
             Phase::Standing(server) => self.stands(id, server, roll),
             Phase::Out(..) if roll > 195 => self.gone(id),
@@ -251,12 +260,15 @@
             3 => self.gone(id),
             4..=11 => {
                 let load = 10_000.0 + self.random.below(300_000) as f64;
-                self.give(Event::LoadReport(id, load));
+                self.give(Event::LoadReport { id, load });
             }
             12..=13 => {
                 let most = if self.failing(server) { 90 } else { 24 };
                 let delay = self.random.below(most) as f64 / 1000.0;
-                self.give(Event::LatencyReport(server, delay));
+                self.give(Event::LatencyReport {
+                    server,
+                    message_latency: delay,
+                });
             }
             _ => {}
         }
@@ -290,7 +302,10 @@
             5..=6 => {
                 let id = server(self.random.below(SERVERS)).id;
                 let until = (self.random.below(2) == 0).then_some(now + 1.5);
-                self.give(Event::HealthChecked(id, until));
+                self.give(Event::HealthChecked {
+                    server: id,
+                    ejected_until: until,
+                });
             }
             7 => {
                 if let Some(id) = live.first() {
@@ -328,7 +343,10 @@
         for (id, asked) in self.asked.clone() {
             if let Phase::Standing(server) = asked.phase {
                 self.asked.get_mut(&id).expect("listed above").attempts = 1;
-                self.give(Event::AlreadyEstablished(asked.request, server));
+                self.give(Event::AlreadyEstablished {
+                    request: asked.request,
+                    server,
+                });
             }
         }
     }
--- a/tests/transfer.rs
+++ b/tests/transfer.rs
@@ -148,7 +148,7 @@
         zone: 0xdead_beef,
         state,
         weight: 1.5,
-        started,
+        started_at: started,
         cell: 3,
     };
     let address = |text: &str| text.parse().expect("an address");
@@ -175,7 +175,7 @@
             zone,
             state,
             weight,
-            started,
+            started_at: started,
             cell,
         } = *member;
         (id, zone, state, weight, started, cell, *address)
