--- a/crates/operator-config/tests/file.rs
+++ b/crates/operator-config/tests/operator_file.rs
@@ -1,12 +1,20 @@
-//! The operator's file: its schema and its example stand in the repository, and every fault is named at once.
+//! The operator's file: the schema and the example in the repository, and every fault named with its place.
 
-use spanspur_operator_config::{Operator, parse, schema, sentence};
+use spanspur_operator_config::{OperatorConfig, parse, schema};
 
 const EXAMPLE: &str = include_str!("../../../deploy/operator.json");
 const SCHEMA: &str = include_str!("../../../deploy/operator.schema.json");
 
+/// The faults of taking `new` over while `running` is in force, in one line; empty where it can be taken over.
+fn reload_faults(running: &OperatorConfig, new: &OperatorConfig) -> String {
+    match running.check_reload(new) {
+        Ok(()) => String::new(),
+        Err(faults) => faults.to_string(),
+    }
+}
+
 #[test]
-fn the_schema_in_the_repository_is_the_one_of_the_types() {
+fn the_schema_in_the_repository_is_made_from_the_types() {
     let kept: serde_json::Value = serde_json::from_str(SCHEMA).unwrap_or_default();
     assert!(
         kept == schema(),
@@ -15,38 +23,38 @@
 }
 
 #[test]
-fn the_example_holds_and_all_is_off_without_a_file() {
-    let example = parse(EXAMPLE).unwrap_or_else(|faults| panic!("{}", sentence(&faults)));
+fn the_example_is_valid_and_every_section_is_off_by_default() {
+    let example = parse(EXAMPLE).unwrap_or_else(|faults| panic!("{faults}"));
     assert!(example.cluster.is_some() && example.duties.probe.is_some());
-    let off = parse("{}").unwrap_or_else(|faults| panic!("{}", sentence(&faults)));
-    assert_eq!(off, Operator::default());
+    let off = parse("{}").unwrap_or_else(|faults| panic!("{faults}"));
+    assert_eq!(off, OperatorConfig::default());
     assert!(off.cluster.is_none() && off.control.is_none() && off.duties.list.is_none());
 }
 
 #[test]
-fn every_fault_is_named_with_its_place() {
-    let faults = |text: &str| parse(text).err().map(|f| sentence(&f)).unwrap_or_default();
+fn parse_names_every_fault_with_its_place() {
+    let faults = |text: &str| parse(text).err().map(|f| f.to_string()).unwrap_or_default();
     let unknown = EXAMPLE
         .replace("\"seeds\"", "\"seed\"")
         .replace("\"every_ms\": 5000", "\"every_ms\": \"soon\"");
-    let told = faults(&unknown);
+    let message = faults(&unknown);
     assert!(
-        told.contains("cluster: ") && told.contains("'seed'"),
-        "{told}"
+        message.contains("cluster: ") && message.contains("'seed'"),
+        "{message}"
     );
-    assert!(told.contains("duties.probe.every_ms: "), "{told}");
+    assert!(message.contains("duties.probe.every_ms: "), "{message}");
 
     let wrong = EXAMPLE
         .replace("\"n2\"", "\"n1\"")
         .replace("\"every_ms\": 5000", "\"every_ms\": 1500")
         .replace("a secret that all five share", "short");
-    let told = faults(&wrong);
+    let message = faults(&wrong);
     for part in [
         "cluster.voters[1]: 'n1' is named twice",
         "cluster.keys[0]: shorter than 16 characters",
         "duties.probe.every_ms: 1500 ms is less than the 2000 ms that a take-over takes",
     ] {
-        assert!(told.contains(part), "{part}: {told}");
+        assert!(message.contains(part), "{part}: {message}");
     }
     assert!(faults("{\"log\":").contains("not JSON: EOF"));
     assert!(
@@ -56,7 +64,7 @@
 }
 
 #[test]
-fn what_cannot_change_while_running_is_named() {
+fn a_reload_names_each_setting_that_requires_a_restart() {
     let read = |text: &str| parse(text).unwrap_or_default();
     let running = read(EXAMPLE);
     let changed = EXAMPLE
@@ -66,9 +74,9 @@
             "a secret that all five share",
             "another secret that all share",
         );
-    let told = sentence(&running.fixed(&read(&changed)));
-    assert_eq!(told, "cluster.listen: changes with a restart only");
-    assert!(running.fixed(&running.clone()).is_empty());
+    let message = reload_faults(&running, &read(&changed));
+    assert_eq!(message, "cluster.listen: changes with a restart only");
+    assert!(running.check_reload(&running.clone()).is_ok());
 }
 
 const FOLLOWER: &str = r#"{"follow": {"listen": "127.0.0.4:0", "zone": "a1", "region": "a",
@@ -82,22 +90,22 @@
 }
 
 #[test]
-fn the_sections_of_the_distribution_hold_and_are_off_without_them() {
+fn the_distribution_sections_are_valid_and_off_by_default() {
     let off = parse(EXAMPLE).unwrap_or_default();
     assert!(off.distribute.is_none() && off.follow.is_none());
     let follow = parse(FOLLOWER).map(|operator| operator.follow);
-    let follow = follow.unwrap_or_else(|faults| panic!("{}", sentence(&faults)));
+    let follow = follow.unwrap_or_else(|faults| panic!("{faults}"));
     assert_eq!(follow.map_or(0, |follow| follow.sources.len()), 2);
     let control = r#"{"listen": "127.0.0.1:7100", "zone": "a1", "region": "a"}"#;
     let control = parse(&distributing(control)).map(|operator| operator.distribute);
-    let control = control.unwrap_or_else(|faults| panic!("{}", sentence(&faults)));
+    let control = control.unwrap_or_else(|faults| panic!("{faults}"));
     assert!(control.is_some_and(|control| control.rate > 0 && control.keys.is_empty()));
 }
 
 #[test]
-fn faults_of_the_distribution_are_named_with_their_places() {
-    let faults = |text: &str| parse(text).err().map(|f| sentence(&f)).unwrap_or_default();
-    let told = faults(
+fn parse_names_faults_of_the_distribution_with_their_places() {
+    let faults = |text: &str| parse(text).err().map(|f| f.to_string()).unwrap_or_default();
+    let message = faults(
         &FOLLOWER
             .replace("a secret of the followers", "short")
             .replace("127.0.0.2:7100", "127.0.0.1:7100")
@@ -112,27 +120,27 @@
         "follow.sources[1].zone: '' is no name",
         "follow.max_age_ms: sources are asked once a second: 2500 or more",
     ] {
-        assert!(told.contains(part), "{part}: {told}");
+        assert!(message.contains(part), "{part}: {message}");
     }
     // A secret at the wrong place is not shown.
-    let told = faults(&FOLLOWER.replace("[\"a secret of the followers\"]", "\"my secret\""));
+    let message = faults(&FOLLOWER.replace("[\"a secret of the followers\"]", "\"my secret\""));
     assert!(
-        told.contains("follow.keys: ") && !told.contains("my secret"),
-        "{told}"
+        message.contains("follow.keys: ") && !message.contains("my secret"),
+        "{message}"
     );
     let one = FOLLOWER
         .split_once("},")
         .map(|(first, _)| first.to_owned() + "}]}}");
-    let told = faults(&one.unwrap_or_default());
-    assert!(told.contains("follow.sources: 1 sources"), "{told}");
+    let message = faults(&one.unwrap_or_default());
+    assert!(message.contains("follow.sources: 1 sources"), "{message}");
     let both = EXAMPLE.replacen('{', &(FOLLOWER[..FOLLOWER.len() - 1].to_owned() + ","), 1);
-    let told = faults(&both);
+    let message = faults(&both);
     assert!(
-        told.contains("follow: excludes the section 'cluster'"),
-        "{told}"
+        message.contains("follow: excludes the section 'cluster'"),
+        "{message}"
     );
 
-    let told = faults(&distributing(
+    let message = faults(&distributing(
         r#"{"listen": "127.0.0.1:7000", "zone": "a 1", "region": "a", "rate": 0, "keys": ["short"]}"#,
     ));
     for part in [
@@ -141,36 +149,36 @@
         "distribute.rate: 0 pieces a second",
         "distribute.keys[0]: shorter",
     ] {
-        assert!(told.contains(part), "{part}: {told}");
+        assert!(message.contains(part), "{part}: {message}");
     }
     let alone = r#"{"distribute": {"listen": "127.0.0.1:0", "zone": "a", "region": "a"}}"#;
-    let told = faults(alone);
+    let message = faults(alone);
     for part in [
         "distribute: needs the section 'cluster'",
         "distribute: needs 'duties.list'",
         "distribute.listen: port 0",
     ] {
-        assert!(told.contains(part), "{part}: {told}");
+        assert!(message.contains(part), "{part}: {message}");
     }
 }
 
 #[test]
-fn a_follower_takes_keys_and_age_over_while_it_runs_and_nothing_else() {
+fn a_reload_of_a_follower_takes_over_keys_and_age_only() {
     let read = |text: &str| parse(text).unwrap_or_default();
     let running = read(FOLLOWER);
     let may = FOLLOWER
         .replace("a secret of the followers", "another secret of theirs")
         .replace("5000", "6000");
-    assert!(running.fixed(&read(&may)).is_empty());
+    assert!(running.check_reload(&read(&may)).is_ok());
     let not = FOLLOWER
         .replace("127.0.0.2:7100", "127.0.0.3:7100")
         .replace("127.0.0.4:0", "127.0.0.5:0");
     assert_eq!(
-        sentence(&running.fixed(&read(&not))),
+        reload_faults(&running, &read(&not)),
         "follow.listen: changes with a restart only; follow.sources: changes with a restart only"
     );
     assert_eq!(
-        sentence(&running.fixed(&Operator::default())),
+        reload_faults(&running, &OperatorConfig::default()),
         "follow: changes with a restart only"
     );
 }
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -1,7 +1,7 @@
 //! Errors of the sub-commands, as they are printed on standard error.
 
 use crate::config::ConfigError;
-use spanspur_operator_config::Fault;
+use spanspur_operator_config::Faults;
 use std::io;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
@@ -31,11 +31,11 @@
         /// The file.
         path: PathBuf,
         /// All its faults.
-        faults: Vec<Fault>,
+        faults: Faults,
     },
     /// The operator's file that should name the control socket is not valid.
-    #[error("{}", spanspur_operator_config::sentence(.0))]
-    UnusableOperatorFile(Vec<Fault>),
+    #[error(transparent)]
+    UnusableOperatorFile(Faults),
     /// The operator's file names no control socket.
     #[error("the operator's file has no key 'control.socket'")]
     NoControlSocket,
@@ -68,7 +68,7 @@
     UnprintableSchema(serde_json::Error),
 }
 
-fn fault_lines(path: &Path, faults: &[Fault]) -> String {
+fn fault_lines(path: &Path, faults: &Faults) -> String {
     let lines: Vec<String> = faults
         .iter()
         .map(|fault| format!("{}: {fault}", path.display()))
--- a/src/cluster/distribution.rs
+++ b/src/cluster/distribution.rs
@@ -11,7 +11,7 @@
 use spanspur_distribution::{AskPace, FollowerSetup, Limits, Place, SourceAt, SourceSetup};
 use spanspur_leases::board::Entry;
 use spanspur_membership::Identity;
-use spanspur_operator_config::{Distribute, Follow, Operator};
+use spanspur_operator_config::{Distribute, Follow, OperatorConfig};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -94,7 +94,7 @@
     /// Follows the sources that the operator's file names; `None` if it names none.
     pub async fn start(
         runtime: &Rc<Runtime>,
-        operator: &Operator,
+        operator: &OperatorConfig,
     ) -> Result<Option<Rc<Self>>, String> {
         let Some(follow) = &operator.follow else {
             return Ok(None);
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -21,7 +21,7 @@
 use spanspur_leases::board::Entry;
 use spanspur_leases::division::Ranking;
 use spanspur_membership::{Identity, Key, Keys, Pace};
-use spanspur_operator_config::Operator;
+use spanspur_operator_config::OperatorConfig;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -37,7 +37,7 @@
     runtime: Rc<Runtime>,
     handle: Handle,
     name: Rc<str>,
-    operator: RefCell<Operator>,
+    operator: RefCell<OperatorConfig>,
     news: Rc<ListNews>,
     distribution: Option<Rc<Distribution>>,
     /// News that found no room so far: after more of them the whole board is looked through.
@@ -50,7 +50,7 @@
     /// Joins the cluster that the operator's file names; `None` if it names none.
     pub async fn start(
         runtime: &Rc<Runtime>,
-        operator: &Operator,
+        operator: &OperatorConfig,
     ) -> Result<Option<Rc<Self>>, String> {
         let Some(cluster) = &operator.cluster else {
             return Ok(None);
@@ -131,7 +131,7 @@
     }
 
     /// Takes the operator's settings over, which were checked before.
-    pub fn configure(&self, operator: Operator) {
+    pub fn configure(&self, operator: OperatorConfig) {
         if let Some(cluster) = &operator.cluster {
             self.handle
                 .rekey(keys(&cluster.keys), cluster.seeds.clone());
--- a/src/lifecycle/signals.rs
+++ b/src/lifecycle/signals.rs
@@ -5,7 +5,7 @@
 use crate::config::{LoadReason, ProcessConfig};
 use crate::lifecycle::startup::read_operator;
 use crate::runtime::Runtime;
-use spanspur_operator_config::Operator;
+use spanspur_operator_config::OperatorConfig;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -43,7 +43,7 @@
     runtime: Rc<Runtime>,
     discovery: watch::Sender<SocketAddr>,
     serve: Serve,
-    operator: Operator,
+    operator: OperatorConfig,
     shared: Option<Rc<Shared>>,
     followed: Option<Rc<Followed>>,
 }
@@ -54,7 +54,7 @@
         runtime: Rc<Runtime>,
         discovery: watch::Sender<SocketAddr>,
         serve: Serve,
-        operator: Operator,
+        operator: OperatorConfig,
         shared: Option<Rc<Shared>>,
         followed: Option<Rc<Followed>>,
     ) -> Self {
@@ -89,15 +89,14 @@
         self.operator = operator;
     }
 
-    fn read(&self) -> Result<(ProcessConfig, Operator), String> {
+    fn read(&self) -> Result<(ProcessConfig, OperatorConfig), String> {
         let node = ProcessConfig::from_env(LoadReason::Reload)
             .and_then(|node| node.replace(&self.runtime.process_config()))
             .map_err(|e| e.to_string())?;
         let operator = read_operator(&self.serve)?;
-        let faults = self.operator.fixed(&operator);
-        match faults.is_empty() {
-            true => Ok((node, operator)),
-            false => Err(spanspur_operator_config::sentence(&faults)),
-        }
+        self.operator
+            .check_reload(&operator)
+            .map_err(|faults| faults.to_string())?;
+        Ok((node, operator))
     }
 }
--- a/src/lifecycle/startup.rs
+++ b/src/lifecycle/startup.rs
@@ -11,7 +11,7 @@
 use crate::lifecycle::signals::{Reload, Signals};
 use crate::proxy::{listener, request};
 use crate::runtime::Runtime;
-use spanspur_operator_config::{Format, Operator};
+use spanspur_operator_config::{LogFormat, OperatorConfig};
 use std::io::IsTerminal;
 use std::process::ExitCode;
 use std::rc::Rc;
@@ -31,7 +31,7 @@
         Invocation::Serve(serve) => serve,
     };
     let operator = read_operator(&serve);
-    log_as(operator.as_ref().map_or(Format::Text, |o| o.log.format));
+    log_as(operator.as_ref().map_or(LogFormat::Text, |o| o.log.format));
     let both = operator.and_then(|operator| {
         Ok((
             ProcessConfig::from_env(LoadReason::Start).map_err(|e| e.to_string())?,
@@ -65,22 +65,16 @@
 }
 
 /// The operator's file, if one is given.
-pub fn read_operator(serve: &Serve) -> Result<Operator, String> {
+pub fn read_operator(serve: &Serve) -> Result<OperatorConfig, String> {
     let Some(path) = &serve.operator else {
-        return Ok(Operator::default());
+        return Ok(OperatorConfig::default());
     };
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    spanspur_operator_config::parse(&text).map_err(|faults| {
-        format!(
-            "{}: {}",
-            path.display(),
-            spanspur_operator_config::sentence(&faults)
-        )
-    })
+    spanspur_operator_config::parse(&text).map_err(|faults| format!("{}: {faults}", path.display()))
 }
 
 /// Starts the log, on standard error; what it holds is chosen by `RUST_LOG`, `info` where that is not set.
-fn log_as(format: Format) {
+fn log_as(format: LogFormat) {
     let chosen = std::env::var("RUST_LOG")
         .ok()
         .filter(|text| !text.is_empty());
@@ -90,14 +84,14 @@
         .with_writer(std::io::stderr)
         .with_ansi(std::io::stderr().is_terminal());
     match format {
-        Format::Text => log.init(),
-        Format::Json => log.json().flatten_event(true).init(),
+        LogFormat::Text => log.init(),
+        LogFormat::Json => log.json().flatten_event(true).init(),
     }
 }
 
 async fn serve_until_shutdown(
     mut node: ProcessConfig,
-    operator: Operator,
+    operator: OperatorConfig,
     serve: Serve,
     inherited: Option<socket2::Socket>,
 ) -> Result<(), String> {
