--- a/crates/fleet-rig/src/data_path.rs
+++ b/crates/fleet-rig/src/data_path.rs
@@ -334,7 +334,11 @@
         let start = Instant::now();
         let list = EndpointList::parse(text.as_bytes()).map_err(|e| e.to_string())?;
         let kind = [UpdateKind::Delta, UpdateKind::Full][usize::from(list.complete)];
-        let members = list.endpoints.iter().map(|(member, _)| *member).collect();
+        let members = list
+            .endpoints
+            .iter()
+            .map(|listed| listed.endpoint)
+            .collect();
         let now = NOW + round as f64;
         balancer.handle(
             now,
--- a/src/cluster/endpoint_list.rs
+++ b/src/cluster/endpoint_list.rs
@@ -4,7 +4,7 @@
 //! discovery themselves, from the revision that was last confirmed.
 
 use super::rows::{Head, NAME, Row, Told, View, hash};
-use crate::discovery::endpoint_list::EndpointList;
+use crate::discovery::endpoint_list::{EndpointList, ListedEndpoint};
 use spanspur_cluster::hook::{Duty, Outcome, Work};
 use spanspur_leases::board::Entry;
 use spanspur_leases::{Millis, Permit};
@@ -138,7 +138,10 @@
             // For balancers outside the cluster.
             Told::Head(_) => None,
             Told::Row(row) => {
-                let member = (row.member(), row.address);
+                let member = ListedEndpoint {
+                    endpoint: row.member(),
+                    address: row.address,
+                };
                 self.rows.borrow_mut().insert(row.id, row);
                 self.confirm();
                 Some(EndpointList {
@@ -172,7 +175,11 @@
         let trusted = self.fresh_until().is_some();
         let revision = self.confirmed.get().map_or(0, |(revision, _)| revision);
         let members = |rows: &mut dyn Iterator<Item = &Row>| {
-            rows.map(|row| (row.member(), row.address)).collect()
+            rows.map(|row| ListedEndpoint {
+                endpoint: row.member(),
+                address: row.address,
+            })
+            .collect()
         };
         let mut rows = self.rows.borrow_mut();
         if trusted && !before {
@@ -236,7 +243,12 @@
             let named: BTreeMap<u64, Row> = list
                 .endpoints
                 .iter()
-                .map(|(m, at)| (m.id.0, Row::of(m, *at)))
+                .map(|listed| {
+                    (
+                        listed.endpoint.id.0,
+                        Row::of(&listed.endpoint, listed.address),
+                    )
+                })
                 .collect();
             if list.complete {
                 for row in rows.values_mut().filter(|row| !named.contains_key(&row.id)) {
--- a/src/cluster/endpoint_list/tests.rs
+++ b/src/cluster/endpoint_list/tests.rs
@@ -38,7 +38,7 @@
 fn named(list: Option<EndpointList>) -> (bool, Vec<(u64, bool)>) {
     let list = list.expect("a list");
     let ready = |m: &Endpoint| (m.id.0, m.state == EndpointState::Ready);
-    let members = list.endpoints.iter().map(|(member, _)| ready(member));
+    let members = list.endpoints.iter().map(|listed| ready(&listed.endpoint));
     (list.complete, members.collect())
 }
 
@@ -94,8 +94,14 @@
         revision: 8,
         complete: true,
         endpoints: vec![
-            (row(1, EndpointState::Ready).member(), drained.address),
-            (drained.member(), drained.address),
+            ListedEndpoint {
+                endpoint: row(1, EndpointState::Ready).member(),
+                address: drained.address,
+            },
+            ListedEndpoint {
+                endpoint: drained.member(),
+                address: drained.address,
+            },
         ],
         unusable: None,
     };
--- a/src/discovery/endpoint_list.rs
+++ b/src/discovery/endpoint_list.rs
@@ -19,12 +19,21 @@
     pub revision: u64,
     /// It holds every endpoint; otherwise only those that changed.
     pub complete: bool,
-    /// The endpoints, each with the address at which this process reaches it.
-    pub endpoints: Vec<(Endpoint, SocketAddr)>,
+    /// The endpoints of the list or the delta.
+    pub endpoints: Vec<ListedEndpoint>,
     /// An entry that was skipped because its address cannot be used, the last one if there are several; for the log.
     pub unusable: Option<String>,
 }
 
+/// An endpoint as discovery lists it.
+#[derive(Clone, Copy, Debug, Serialize, Deserialize)]
+pub struct ListedEndpoint {
+    /// The endpoint, alike at every balancer.
+    pub endpoint: Endpoint,
+    /// The address at which this process reaches it.
+    pub address: SocketAddr,
+}
+
 /// An endpoint list that cannot be read.
 #[derive(Debug, Error)]
 pub enum EndpointListError {
@@ -69,7 +78,7 @@
         };
         for entry in raw.members {
             match entry.host_port.parse() {
-                Ok(address) => list.endpoints.push((entry.endpoint(), address)),
+                Ok(address) => list.endpoints.push(entry.listed_at(address)),
                 Err(_) => list.unusable = Some(format!("'{}' of {}", entry.host_port, entry.id)),
             }
         }
@@ -86,6 +95,13 @@
 }
 
 impl RawMember {
+    fn listed_at(&self, address: SocketAddr) -> ListedEndpoint {
+        ListedEndpoint {
+            endpoint: self.endpoint(),
+            address,
+        }
+    }
+
     fn endpoint(&self) -> Endpoint {
         Endpoint {
             // All balancers rank by the id, which is the same everywhere; the address may differ between them.
--- a/src/lifecycle/hot_restart.rs
+++ b/src/lifecycle/hot_restart.rs
@@ -2,7 +2,7 @@
 //! takes over what is known, takes the clients, and then, when the older one is told to leave, its connections.
 
 use crate::api::{Endpoint, UpdateKind};
-use crate::discovery::endpoint_list::EndpointList;
+use crate::discovery::endpoint_list::{EndpointList, ListedEndpoint};
 use crate::invariants;
 use crate::proxy::relay::EstablishedConnection;
 use crate::proxy::request;
@@ -61,7 +61,11 @@
         EndpointList {
             revision: self.revision,
             complete: true,
-            endpoints: self.members,
+            endpoints: self
+                .members
+                .into_iter()
+                .map(|(endpoint, address)| ListedEndpoint { endpoint, address })
+                .collect(),
             unusable: None,
         }
     }
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -4,7 +4,7 @@
 use crate::Balancer;
 use crate::api::*;
 use crate::config::ProcessConfig;
-use crate::discovery::endpoint_list::EndpointList;
+use crate::discovery::endpoint_list::{EndpointList, ListedEndpoint};
 use crate::lifecycle::hot_restart::{self, ConnectionSender, Snapshot};
 use crate::proxy::connection_limit::ConnectionLimit;
 use crate::proxy::latency_tracker::{LatencyTracker, Report, ReportClassifier};
@@ -228,7 +228,11 @@
             listed.clear();
         }
         let mut members = Vec::with_capacity(list.endpoints.len());
-        for (raw, address) in list.endpoints {
+        for ListedEndpoint {
+            endpoint: raw,
+            address,
+        } in list.endpoints
+        {
             outs.listed(raw.id.0);
             let seen = masked(
                 outs,
