--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -12,13 +12,13 @@
 const DEFAULT_MAX_CLIENT_WAIT: Time = 2.0;
 /// How long a connection to an endpoint may take to open, in seconds.
 const DEFAULT_CONNECT_TIMEOUT: Time = 0.25;
-/// How often discovery is polled, in seconds.
+/// The longest time between polls of discovery while nothing is pushed, in seconds.
 const DEFAULT_POLL_INTERVAL: Time = 10.0;
-/// The share of its capacity that a cold endpoint starts with.
+/// The share of its capacity that a cold endpoint has at least.
 const DEFAULT_COLD_CAPACITY_SHARE: f64 = 1.0;
-/// The multiple of the usual latency from which an endpoint counts as overloaded.
+/// The multiple of its present capacity above which a cold endpoint is overloaded.
 const DEFAULT_OVERLOAD_MULTIPLE: f64 = 1.0;
-/// How long the latency has to stay high, in seconds.
+/// How long an endpoint withstands that, in seconds.
 const DEFAULT_OVERLOAD_WINDOW: Time = 1.0;
 
 /// Validated settings of the balancer.
