--- a/src/protocol/simulator/mod.rs
+++ b/src/protocol/simulator/mod.rs
@@ -1,6 +1,6 @@
 //! The simulator's protocol: one JSON batch of events a line, one line of steps in reply.
 //!
-//! [`raw`] holds the names of the wire, [`event`] and [`step`] map them to and from the terms of [`crate::api`], and
+//! `raw` holds the names of the wire, `event` and `step` map them to and from the terms of [`crate::api`], and
 //! [`SimulatorAdapter`] keeps the balancers. A message that cannot be read ends the run with a [`SimulatorError`].
 
 mod adapter;
