--- a/crates/operator-config/tests/fault_texts.rs
+++ b/crates/operator-config/tests/fault_texts.rs
@@ -4,10 +4,18 @@
 //! anew); rewriting it hides a change of a text.
 
 use serde_json::{Value, json};
-use spanspur_operator_config::{parse, sentence};
+use spanspur_operator_config::{OperatorConfig, parse};
 use std::fmt::Write as _;
 use std::path::Path;
 
+/// The faults of taking `new` over while `running` is in force, in one line; empty where it can be taken over.
+fn reload_faults(running: &OperatorConfig, new: &OperatorConfig) -> String {
+    match running.check_reload(new) {
+        Ok(()) => String::new(),
+        Err(faults) => faults.to_string(),
+    }
+}
+
 const EXAMPLE: &str = include_str!("../../../deploy/operator.json");
 
 /// The kept text; under `WRITE_FIXTURES=1` it is `written` from now on.
@@ -134,7 +142,7 @@
     }
     let mut text = String::new();
     let mut line = |what: &str, file: &str| {
-        let told = parse(file).err().map(|faults| sentence(&faults));
+        let told = parse(file).err().map(|faults| faults.to_string());
         let told = told.unwrap_or_else(|| "accepted".into());
         let _ = writeln!(text, "{what} => {told}");
     };
@@ -179,7 +187,7 @@
     let new = with(new, "/control/socket", json!("/tmp/another.sock"));
     let new = parse(&new.to_string()).expect("in order");
     assert_eq!(
-        sentence(&running.fixed(&new)),
+        reload_faults(&running, &new),
         "control: changes with a restart only; cluster.listen: changes with a restart only"
     );
 }
--- a/src/runtime/endpoint_directory.rs
+++ b/src/runtime/endpoint_directory.rs
@@ -1,13 +1,13 @@
 //! The listed endpoints: as discovery names them, as the balancer sees them, and their addresses.
 
 use crate::api::{Endpoint, EndpointState, ServerId, Time, UpdateKind};
-use crate::discovery::endpoint_list::EndpointList;
+use crate::discovery::endpoint_list::{EndpointList, ListedEndpoint};
 use spanspur_admin::outs::Outs;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
 /// A listed endpoint.
-struct ListedEndpoint {
+struct DirectoryEntry {
     /// As discovery names it.
     announced: Endpoint,
     /// As the balancer sees it, after the mask of maintenance and hand-over.
@@ -61,7 +61,7 @@
 /// All listed endpoints, and the servers under maintenance.
 #[derive(Default)]
 pub struct EndpointDirectory {
-    listed: HashMap<ServerId, ListedEndpoint>,
+    listed: HashMap<ServerId, DirectoryEntry>,
     mask: EndpointMask,
     revision: u64,
 }
@@ -79,18 +79,17 @@
             self.listed.clear();
         }
         let mut effective = Vec::with_capacity(list.endpoints.len());
-        for (announced, address) in list.endpoints {
-            effective.push(self.apply_one(announced, address, window));
+        for listed in list.endpoints {
+            effective.push(self.apply_one(listed, window));
         }
         effective
     }
 
-    fn apply_one(
-        &mut self,
-        announced: Endpoint,
-        address: SocketAddr,
-        window: SlowStartWindow,
-    ) -> Endpoint {
+    fn apply_one(&mut self, listed: ListedEndpoint, window: SlowStartWindow) -> Endpoint {
+        let ListedEndpoint {
+            endpoint: announced,
+            address,
+        } = listed;
         self.mask.maintenance.listed(announced.id.0);
         let effective = self.mask.apply(announced, window);
         let masked = effective.state != announced.state;
@@ -98,7 +97,7 @@
         if announced.state == EndpointState::Removed {
             self.listed.remove(&announced.id);
         } else {
-            let endpoint = ListedEndpoint {
+            let endpoint = DirectoryEntry {
                 announced,
                 effective,
                 address,
@@ -154,9 +153,13 @@
     }
 
     /// All listed endpoints as discovery names them, with their addresses.
-    pub fn announced(&self) -> Vec<(Endpoint, SocketAddr)> {
-        let listed = self.listed.values();
-        listed.map(|at| (at.announced, at.address)).collect()
+    pub fn announced(&self) -> Vec<ListedEndpoint> {
+        let entries = self.listed.values();
+        let listed = entries.map(|entry| ListedEndpoint {
+            endpoint: entry.announced,
+            address: entry.address,
+        });
+        listed.collect()
     }
 
     /// Whether the server is listed and takes new requests.
--- a/src/transfer/snapshot.rs
+++ b/src/transfer/snapshot.rs
@@ -1,7 +1,6 @@
 //! The state from which a newer process continues.
 
-use crate::api::Endpoint;
-use crate::discovery::endpoint_list::EndpointList;
+use crate::discovery::endpoint_list::{EndpointList, ListedEndpoint};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -13,7 +12,7 @@
     /// Revision of the endpoint list.
     pub revision: u64,
     /// The listed endpoints as discovery names them, each with the address at which this process reaches it.
-    pub endpoints: Vec<(Endpoint, SocketAddr)>,
+    pub endpoints: Vec<ListedEndpoint>,
     /// The balancer, encoded with postcard; empty if it could not be encoded.
     pub balancer: Vec<u8>,
     /// Servers under maintenance, in the format of the maintenance file.
--- a/tests/transfer.rs
+++ b/tests/transfer.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use spanspur::Balancer;
 use spanspur::api::{Endpoint, EndpointState, Key, Request, RequestId, ServerId};
-use spanspur::discovery::endpoint_list::EndpointList;
+use spanspur::discovery::endpoint_list::{EndpointList, ListedEndpoint};
 use spanspur::transfer::{
     EstablishedConnection, Snapshot, TransferredConnection, list_update_frame,
 };
@@ -142,46 +142,46 @@
     read
 }
 
-fn members() -> Vec<(Endpoint, SocketAddr)> {
-    let member = |name: &str, state, started| Endpoint {
+fn listed_endpoints() -> Vec<ListedEndpoint> {
+    let endpoint = |name: &str, state, started_at| Endpoint {
         id: ServerId::of(name),
         zone: 0xdead_beef,
         state,
         weight: 1.5,
-        started_at: started,
+        started_at,
         cell: 3,
     };
     let address = |text: &str| text.parse().expect("an address");
     vec![
-        (
-            member("s-1", EndpointState::Ready, 0.0),
-            address("10.1.2.3:8080"),
-        ),
-        (
-            member("s-2", EndpointState::Draining, 17.25),
-            address("[2001:db8::7]:443"),
-        ),
-        (
-            member("s-3", EndpointState::Removed, 99.5),
-            address("127.0.0.1:1"),
-        ),
+        ListedEndpoint {
+            endpoint: endpoint("s-1", EndpointState::Ready, 0.0),
+            address: address("10.1.2.3:8080"),
+        },
+        ListedEndpoint {
+            endpoint: endpoint("s-2", EndpointState::Draining, 17.25),
+            address: address("[2001:db8::7]:443"),
+        },
+        ListedEndpoint {
+            endpoint: endpoint("s-3", EndpointState::Removed, 99.5),
+            address: address("127.0.0.1:1"),
+        },
     ]
 }
 
-fn assert_members(read: &[(Endpoint, SocketAddr)]) {
-    let form = |(member, address): &(Endpoint, SocketAddr)| {
+fn assert_listed_endpoints(read: &[ListedEndpoint]) {
+    let form = |listed: &ListedEndpoint| {
         let Endpoint {
             id,
             zone,
             state,
             weight,
-            started_at: started,
+            started_at,
             cell,
-        } = *member;
-        (id, zone, state, weight, started, cell, *address)
+        } = listed.endpoint;
+        (id, zone, state, weight, started_at, cell, listed.address)
     };
     let read: Vec<_> = read.iter().map(form).collect();
-    let want: Vec<_> = members().iter().map(form).collect();
+    let want: Vec<_> = listed_endpoints().iter().map(form).collect();
     assert_eq!(read, want);
 }
 
@@ -243,7 +243,7 @@
     let known = Snapshot {
         discovery: "10.9.8.7:8500".parse().expect("an address"),
         revision: 1 << 40,
-        endpoints: members(),
+        endpoints: listed_endpoints(),
         balancer: snapshot.clone(),
         maintenance: outs.write(),
         lameduck: true,
@@ -259,7 +259,7 @@
         (read.discovery, read.revision, read.lameduck),
         (known.discovery, 1 << 40, true)
     );
-    assert_members(&read.endpoints);
+    assert_listed_endpoints(&read.endpoints);
     assert_eq!(read.balancer, snapshot);
     let (_, balancer) = through::<Balancer>(&read.balancer);
     assert_eq!(balancer, snapshot, "the snapshot written again");
@@ -278,7 +278,7 @@
         let list = EndpointList {
             revision: 4711,
             complete,
-            endpoints: members(),
+            endpoints: listed_endpoints(),
             unusable: unusable.clone(),
         };
         let Frame::List(payload) = kept(name, &list_update_frame(&list), 0) else {
@@ -290,7 +290,7 @@
             (read.revision, read.complete, read.unusable),
             (4711, complete, unusable)
         );
-        assert_members(&read.endpoints);
+        assert_listed_endpoints(&read.endpoints);
     }
 }
 
