--- /dev/null
+++ b/tests/connection_limit.rs
@@ -0,0 +1,78 @@
+//! Who gets descriptors when they run out, and who gives them up.
+
+use spanspur::runtime::connection_limit::{ConnectionLimit, ConnectionPermit};
+use std::pin::pin;
+use std::rc::Rc;
+use std::task::{Context, Waker};
+
+/// Descriptors of a process in which clients may hold four: 40 are reserved.
+const PROCESS_LIMIT: usize = 44;
+
+fn is_evicted(permit: &mut ConnectionPermit) -> bool {
+    let evicted = pin!(permit.evicted());
+    evicted
+        .poll(&mut Context::from_waker(Waker::noop()))
+        .is_ready()
+}
+
+fn fill(limit: &Rc<ConnectionLimit>) -> Vec<ConnectionPermit> {
+    let permits = std::iter::repeat_with(|| limit.acquire_for_client(PROCESS_LIMIT));
+    permits
+        .take(4)
+        .map(|permit| permit.expect("free"))
+        .collect()
+}
+
+#[test]
+fn the_client_that_has_been_idle_longest_is_evicted_for_the_next() {
+    let limit = Rc::new(ConnectionLimit::default());
+    let mut idle = fill(&limit);
+    idle[0].become_idle();
+    let next = limit.acquire_for_client(PROCESS_LIMIT);
+    assert!(next.is_some());
+    let evicted: Vec<bool> = idle.iter_mut().map(is_evicted).collect();
+    assert_eq!(evicted, [false, true, false, false]);
+}
+
+#[test]
+fn a_client_in_service_is_not_evicted() {
+    let limit = Rc::new(ConnectionLimit::default());
+    let mut first = limit.acquire_for_client(PROCESS_LIMIT).expect("free");
+    let mut second = limit.acquire_for_client(PROCESS_LIMIT).expect("free");
+    assert!(first.acquire_for_service(PROCESS_LIMIT));
+    assert!(second.acquire_for_service(PROCESS_LIMIT));
+    assert_eq!(limit.held(), 4);
+    assert!(limit.acquire_for_client(PROCESS_LIMIT).is_none());
+    assert!(!is_evicted(&mut first) && !is_evicted(&mut second));
+}
+
+#[test]
+fn descriptors_come_back_with_the_end_of_service_and_of_the_client() {
+    let limit = Rc::new(ConnectionLimit::default());
+    let mut client = limit.admit_in_service();
+    assert_eq!(limit.held(), 2);
+    client.become_idle();
+    assert_eq!(limit.held(), 1);
+    drop(client);
+    assert_eq!(limit.held(), 0);
+}
+
+#[test]
+fn transferred_clients_are_admitted_past_the_limit() {
+    let limit = Rc::new(ConnectionLimit::default());
+    let idle = fill(&limit);
+    let transferred = [limit.admit_idle(), limit.admit_in_service()];
+    assert_eq!(limit.held(), 4 + 1 + 2);
+    drop((idle, transferred));
+    assert_eq!(limit.held(), 0);
+}
+
+#[test]
+fn eight_rejected_clients_linger_at_a_time() {
+    let limit = ConnectionLimit::default();
+    let mut lingering: Vec<_> = (0..8).map(|_| limit.acquire_for_lingering()).collect();
+    assert!(lingering.iter().all(Option::is_some));
+    assert!(limit.acquire_for_lingering().is_none());
+    lingering.pop();
+    assert!(limit.acquire_for_lingering().is_some());
+}
