--- a/tests/endpoint_list.rs
+++ b/tests/endpoint_list.rs
@@ -40,9 +40,9 @@
         ]
     );
     let first = list.endpoints[0].endpoint;
-    assert_eq!((first.weight, first.started, first.cell), (2.5, 1.5, 3));
+    assert_eq!((first.weight, first.started_at, first.cell), (2.5, 1.5, 3));
     let last = list.endpoints[2].endpoint;
-    assert_eq!((last.weight, last.started, last.cell), (1.0, 0.0, 0));
+    assert_eq!((last.weight, last.started_at, last.cell), (1.0, 0.0, 0));
 }
 
 #[test]
--- a/tests/transfer.rs
+++ b/tests/transfer.rs
@@ -13,7 +13,6 @@
 };
 use spanspur_admin::outs::Outs;
 use spanspur_hot_restart::frame::{Frame, VERSION, decode, encode};
-use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
 fn fixture(name: &str) -> PathBuf {
