--- a/crates/fleet-rig/src/capacity/data.rs
+++ b/crates/fleet-rig/src/capacity/data.rs
@@ -46,7 +46,7 @@
 pub fn rows(book: &Book) -> Vec<Row> {
     let core = || Limit::Own(Figure::of(1.0), "one process runs on one core");
     let relay = Mechanism::Is("src/proxy/relay.rs", "pub fn relay(");
-    let place = Mechanism::Is("src/balancer/selection.rs", "fn choose");
+    let place = Mechanism::Is("src/balancer/selection.rs", "fn choose_server");
     let list = Mechanism::Is("src/discovery/watcher.rs", "async fn follow");
     let stand = connections(book);
     let memory = || Limit::Own(book.given("balancer-memory") * 1e9, "assumed");
--- a/crates/fleet-rig/src/capacity/edges.rs
+++ b/crates/fleet-rig/src/capacity/edges.rs
@@ -89,7 +89,7 @@
     let held = book.given("connections") / servers();
     let room = held.clone() / book.given("server-fill");
     let topic = book.given("largest-topic");
-    let place = Mechanism::Is("src/balancer/selection.rs", "fn choose");
+    let place = Mechanism::Is("src/balancer/selection.rs", "fn choose_server");
     let budget = Mechanism::Is("src/balancer/slow_start.rs", "fn available_tokens");
     let cold = book.code("src/balancer/slow_start.rs", "WARM_UP_BUDGET_SHARE") * room.clone()
         / book.given("warm-up");
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -26,18 +26,23 @@
 
 impl Balancer {
     /// Takes a client's request. One with a known id is a duplicate of the event.
-    pub(super) fn admit(&mut self, now: Time, request: &Request, actions: &mut Vec<Action>) {
+    pub(super) fn admit_request(
+        &mut self,
+        now: Time,
+        request: &Request,
+        actions: &mut Vec<Action>,
+    ) {
         if self.requests.contains_key(&request.id) {
             return;
         }
         self.arrival_rate.record(now, request.is_reconnect);
         let state = RequestState::new(now, request, Phase::Pending, self.mean_load());
         self.requests.insert(request.id, state);
-        self.attempt(now, request.id, actions);
+        self.dispatch_request(now, request.id, actions);
     }
 
     /// Keeps a request until the next pass over the queue.
-    pub(super) fn enqueue(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    pub(super) fn enqueue_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if self.queue.is_empty() {
             actions.push(Action::SetTimer {
                 after: self.queue_interval * self.random.next_jitter(),
@@ -50,7 +55,7 @@
     /// Attempts all queued requests again, in order of arrival. Those that ended meanwhile are dropped.
     pub(super) fn retry_queued(&mut self, now: Time, actions: &mut Vec<Action>) {
         for id in std::mem::take(&mut self.queue) {
-            self.attempt(now, id, actions);
+            self.dispatch_request(now, id, actions);
         }
     }
 }
--- a/src/balancer/attempt.rs
+++ b/src/balancer/attempt.rs
@@ -20,7 +20,7 @@
 
 impl Balancer {
     /// Starts an attempt of a pending request, queues it, or gives its final answer.
-    pub(super) fn attempt(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
+    pub(super) fn dispatch_request(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
         let Some(state) = self.requests.get(&id) else {
             return;
         };
@@ -28,7 +28,7 @@
             NextStep::Start { server, timeout_at } => {
                 self.start_attempt(now, id, server, timeout_at, actions);
             }
-            NextStep::Queue => self.enqueue(id, actions),
+            NextStep::Queue => self.enqueue_request(id, actions),
             NextStep::GiveFinalAnswer => self.give_final_answer(id, actions),
         }
     }
@@ -38,7 +38,7 @@
             return NextStep::GiveFinalAnswer;
         }
         if self.backoff.allows_attempt(now)
-            && let Some(server) = self.choose(now, state)
+            && let Some(server) = self.choose_server(now, state)
         {
             let timeout_at = self.attempt_timeout_at(now, state);
             return NextStep::Start { server, timeout_at };
@@ -74,7 +74,7 @@
         state.attempts += 1;
         state.attempted.push(server);
         let load = state.load;
-        self.attach(id, server, load);
+        self.attach_request(id, server, load);
     }
 
     /// Leaves a gap after an attempt while servers fail.
@@ -124,14 +124,14 @@
         }
         let phase = Phase::Established(server);
         let state = RequestState::new(now, request, phase, self.mean_load());
-        self.attach(request.id, server, state.load);
+        self.attach_request(request.id, server, state.load);
         self.established += 1;
         self.requests.insert(request.id, state);
     }
 
     /// Forgets a request whose client disconnected, and cancels its attempt in flight to spare the server.
     pub(super) fn client_disconnected(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        if let Some(state) = self.release(id)
+        if let Some(state) = self.release_request(id)
             && matches!(state.phase, Phase::InFlight(_))
             && self.config.can_cancel_attempts
         {
--- a/src/balancer/load_estimate.rs
+++ b/src/balancer/load_estimate.rs
@@ -79,7 +79,7 @@
     }
 
     /// Puts a request with its load on a server.
-    pub(super) fn attach(&mut self, id: RequestId, server: ServerId, load: f64) {
+    pub(super) fn attach_request(&mut self, id: RequestId, server: ServerId, load: f64) {
         if let Some(server) = self.server_mut(server) {
             server.in_flight.insert(id);
             server.load += load;
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -103,7 +103,7 @@
                 self.update_endpoints(now, *kind, endpoints);
             }
             Event::DiscoveryFailed => self.schedule_discovery_poll(actions),
-            Event::Request(request) => self.admit(now, request, actions),
+            Event::Request(request) => self.admit_request(now, request, actions),
             Event::AlreadyEstablished { request, server } => {
                 self.adopt_established(now, request, *server);
             }
--- a/src/balancer/request_state.rs
+++ b/src/balancer/request_state.rs
@@ -73,14 +73,14 @@
 
 impl Balancer {
     /// Forgets a request that has ended.
-    pub(super) fn release(&mut self, id: RequestId) -> Option<RequestState> {
+    pub(super) fn release_request(&mut self, id: RequestId) -> Option<RequestState> {
         let state = self.requests.remove(&id)?;
-        self.detach(id, state.phase, state.load);
+        self.detach_request(id, state.phase, state.load);
         Some(state)
     }
 
     /// Takes a request and its load off its server.
-    pub(super) fn detach(&mut self, id: RequestId, phase: Phase, load: f64) {
+    pub(super) fn detach_request(&mut self, id: RequestId, phase: Phase, load: f64) {
         if matches!(phase, Phase::Established(_)) {
             self.established -= 1;
         }
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -90,26 +90,36 @@
         }
         self.record_outcome(now, ended.server, ended.outcome);
         if ended.is_final {
-            self.release(ended.id);
+            self.release_request(ended.id);
             return;
         }
-        if self.return_to_pending(ended) >= MAX_ERROR_RESPONSES {
-            self.release(ended.id);
+        self.return_to_pending(ended.id);
+        if ended.outcome.may_have_executed() {
+            self.record_possible_execution(ended.id, ended.server);
+        }
+        if ended.outcome == Outcome::Error
+            && self.count_error_response(ended.id) >= MAX_ERROR_RESPONSES
+        {
+            self.release_request(ended.id);
             actions.push(Action::Fail(ended.id));
             return;
         }
-        self.attempt(now, ended.id, actions);
+        self.dispatch_request(now, ended.id, actions);
     }
 
-    /// Takes a request off the server whose attempt ended; how many servers have answered with an error.
-    fn return_to_pending(&mut self, ended: &AttemptEnded) -> u32 {
-        let (zone, cell) = self.location(ended.server);
-        let Some(state) = self.requests.get_mut(&ended.id) else {
-            return 0;
-        };
-        let phase = std::mem::replace(&mut state.phase, Phase::Pending);
-        let load = state.load;
-        if ended.outcome.may_have_executed() {
+    /// Takes a request off the server that has it.
+    fn return_to_pending(&mut self, id: RequestId) {
+        if let Some(state) = self.requests.get_mut(&id) {
+            let phase = std::mem::replace(&mut state.phase, Phase::Pending);
+            let load = state.load;
+            self.detach_request(id, phase, load);
+        }
+    }
+
+    /// Keeps when and where a request may have executed first.
+    fn record_possible_execution(&mut self, id: RequestId, server: ServerId) {
+        let (zone, cell) = self.location(server);
+        if let Some(state) = self.requests.get_mut(&id) {
             let execution = PossibleExecution {
                 sent_at: state.sent_at,
                 zone,
@@ -117,10 +127,14 @@
             };
             state.first_possible_execution.get_or_insert(execution);
         }
-        state.error_responses += u32::from(ended.outcome == Outcome::Error);
-        let error_responses = state.error_responses;
-        self.detach(ended.id, phase, load);
-        error_responses
+    }
+
+    /// How many servers have answered a request with an error, with this answer.
+    fn count_error_response(&mut self, id: RequestId) -> u32 {
+        self.requests.get_mut(&id).map_or(0, |state| {
+            state.error_responses += 1;
+            state.error_responses
+        })
     }
 
     /// Zone and cell of a server; 0 and 0 if it is unknown.
@@ -134,7 +148,7 @@
     /// Ends a request without a connection: rejected where a retry by the client does no harm, else failed.
     /// Retry-After is random up to `max_retry_after`, so that rejected clients do not return all at once.
     pub(super) fn give_final_answer(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(state) = self.release(id) else {
+        let Some(state) = self.release_request(id) else {
             return;
         };
         let retry_after = self.config.max_retry_after.unwrap_or(0.0) * self.random.next_fraction();
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -105,7 +105,7 @@
 
 impl Balancer {
     /// The server for the next attempt, `None` if there is no eligible one.
-    pub(super) fn choose(&self, now: Time, state: &RequestState) -> Option<ServerId> {
+    pub(super) fn choose_server(&self, now: Time, state: &RequestState) -> Option<ServerId> {
         let best = self.best_candidate(now, state, None)?;
         Some(best.server)
     }
