--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,14 +1,16 @@
-//! What the staff does to a running balancer day by day, without I/O: [`call`] reads the calls on the second
-//! address, [`outs`] keeps which stream servers are taken out, [`pace`] says which connections move when.
+//! Administration of a running balancer, without I/O: [`request`] and [`response`] are the protocol of the admin address,
+//! [`maintenance`] knows which stream servers are under maintenance, [`maintenance_file`] is their file, and
+//! [`drain_schedule`] says which connections migrate when.
 //!
-//! Bytes, times and what discovery lists come in; answers, masks and moves go out. The drivers are in the
-//! balancer's `net/`; the options weighed are in `docs/design/service.md`.
+//! The drivers are in the balancer's `src/admin`; the options weighed are in `docs/design/service.md`.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod call;
-pub mod outs;
-pub mod pace;
+pub mod drain_schedule;
+pub mod maintenance;
+pub mod maintenance_file;
+pub mod request;
+pub mod response;
 
 /// Seconds, on the caller's clock; what is kept in a file is Unix time.
 pub type Time = f64;
--- a/crates/fleet-rig/src/capacity/data.rs
+++ b/crates/fleet-rig/src/capacity/data.rs
@@ -213,7 +213,10 @@
                 / (book.code("src/admin/mod.rs", "EMPTY_BY")
                     - book.code("src/admin/mod.rs", "ARRIVALS")),
         )
-        .by(Mechanism::Is("crates/admin/src/pace.rs", "pub struct Pace")),
+        .by(Mechanism::Is(
+            "crates/admin/src/drain_schedule.rs",
+            "pub struct DrainSchedule",
+        )),
     );
     rows
 }
--- a/crates/fleet-rig/src/capacity/edges.rs
+++ b/crates/fleet-rig/src/capacity/edges.rs
@@ -9,7 +9,10 @@
 
 const WATCH: Mechanism = Mechanism::Is("src/discovery/watcher.rs", "async fn follow");
 const ONE_WATCH: Mechanism = Mechanism::Is("src/cluster/endpoint_list.rs", "pub struct ListNews");
-const OUTS: Mechanism = Mechanism::Is("crates/admin/src/outs.rs", "pub struct Outs");
+const OUTS: Mechanism = Mechanism::Is(
+    "crates/admin/src/maintenance.rs",
+    "pub struct MaintenanceSet",
+);
 const OUTS_SHARED: &str = "what is out as entries of the distribution: missing";
 
 /// Calls a second at discovery: what waits is renewed so often, and each change ends the wait of all.
@@ -309,7 +312,7 @@
     let out = |share: Figure| servers() / share;
     let bound = || {
         Limit::Code(
-            book.code("crates/admin/src/outs.rs", "MAX_ENTRIES"),
+            book.code("crates/admin/src/maintenance.rs", "MAX_ENTRIES"),
             "outs::MAX_ENTRIES",
         )
     };
--- a/crates/hot-restart/src/frame.rs
+++ b/crates/hot-restart/src/frame.rs
@@ -1,85 +1,120 @@
-//! What goes over between the two, and its form: a length, the number of descriptors beside it, postcard.
+//! Messages between the two processes, and their encoding: length of the body, number of descriptors, body in postcard.
+//!
+//! postcard knows fields by their place and variants by their number: order and types are the format between builds.
 
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
-/// The version of all of this. Two that differ do not talk: the older one serves to its end.
+/// Version of the protocol. Two processes that differ do not talk: the older one serves until it exits.
 pub const VERSION: u32 = 2;
-/// The longest frame, in bytes: a list of some ten thousand servers.
+/// The longest body of a frame, in bytes: an endpoint list of some ten thousand servers.
 pub const MAX_FRAME: usize = 1024 * 1024;
 /// The most descriptors beside a frame: a client's and its backend's.
 pub const MAX_DESCRIPTORS: usize = 2;
-/// Length and number of descriptors.
-pub(crate) const HEAD: usize = 5;
+/// Bytes of the header: the length of the body and the number of descriptors.
+pub(crate) const HEADER: usize = 5;
 
 /// A message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// The new one's first word: its version.
-    Hello(u32),
-    /// The old one's answer: its version, and what it knows, for the new one to go on from.
-    State(u32, Vec<u8>),
-    /// The new one takes the clients from now on.
+    /// The successor's first message.
+    Hello {
+        /// The successor's [`VERSION`].
+        version: u32,
+    },
+    /// The predecessor's answer.
+    State {
+        /// The predecessor's [`VERSION`].
+        version: u32,
+        /// The state to continue from; empty if the versions differ.
+        snapshot: Vec<u8>,
+    },
+    /// The successor accepts the clients from now on.
     Ready,
     /// How many descriptors the sender's clients hold.
-    Held(u32),
-    /// News of the list.
-    List(Vec<u8>),
-    /// News of which servers are out.
-    Outs(String),
-    /// The staff empties the balancer, or does no more.
-    Lameduck(bool),
-    /// An open connection, by a number of the sender's; its descriptors come beside.
-    Connection(u64, Vec<u8>),
-    /// Whether the connection with this number was taken.
-    Taken(u64, bool),
+    HeldDescriptors(u32),
+    /// An update of the endpoint list.
+    EndpointList(Vec<u8>),
+    /// The servers under maintenance, in the format of the maintenance file.
+    Maintenance(String),
+    /// Whether the balancer is draining by a call of the staff.
+    Draining(bool),
+    /// An open client connection; its descriptors are sent beside the frame.
+    Connection {
+        /// The sender's number for the connection.
+        number: u64,
+        /// State of the connection.
+        payload: Vec<u8>,
+    },
+    /// The answer to [`Frame::Connection`].
+    Acknowledge {
+        /// The number of the connection.
+        number: u64,
+        /// Whether the connection was taken over.
+        taken_over: bool,
+    },
 }
 
-/// A frame's bytes, with so many descriptors beside it.
-pub fn encode(frame: &Frame, descriptors: usize) -> Result<Vec<u8>, postcard::Error> {
+/// A frame read from the front of a buffer.
+#[derive(Clone, Debug, PartialEq)]
+pub struct DecodedFrame {
+    /// The frame.
+    pub frame: Frame,
+    /// The number of descriptors beside it.
+    pub descriptors: usize,
+    /// The bytes of the buffer that it takes, header included.
+    pub length: usize,
+}
+
+/// Why a frame cannot be encoded or decoded.
+#[derive(Clone, Debug, PartialEq, Error)]
+pub enum FrameError {
+    /// The body or the number of descriptors is over its limit.
+    #[error("a frame of {length} bytes with {descriptors} descriptors")]
+    TooLarge {
+        /// Bytes of the body.
+        length: usize,
+        /// Descriptors beside the frame.
+        descriptors: usize,
+    },
+    /// The body is not a frame in postcard.
+    #[error(transparent)]
+    Body(#[from] postcard::Error),
+}
+
+/// Encodes a frame that is sent with this many descriptors beside it.
+pub fn encode(frame: &Frame, descriptors: usize) -> Result<Vec<u8>, FrameError> {
     let body = postcard::to_stdvec(frame)?;
-    if body.len() > MAX_FRAME || descriptors > MAX_DESCRIPTORS {
-        return Err(postcard::Error::SerializeBufferFull);
-    }
+    check_limits(body.len(), descriptors)?;
     let length = (body.len() as u32).to_be_bytes();
     Ok([&length[..], &[descriptors as u8], &body].concat())
 }
 
-/// The first whole frame of these bytes, with its descriptors' number and its length; `Ok(None)` while it is not
-/// whole. The error says why this cannot be one.
-pub fn decode(bytes: &[u8]) -> Result<Option<(Frame, usize, usize)>, String> {
-    let Some((head, rest)) = bytes.split_first_chunk::<HEAD>() else {
+/// Decodes the first frame of a buffer; `Ok(None)` while it is incomplete.
+pub fn decode(bytes: &[u8]) -> Result<Option<DecodedFrame>, FrameError> {
+    let Some((header, rest)) = bytes.split_first_chunk::<HEADER>() else {
         return Ok(None);
     };
-    let [a, b, c, d, descriptors] = *head;
+    let [a, b, c, d, descriptors] = *header;
     let length = u32::from_be_bytes([a, b, c, d]) as usize;
-    if length > MAX_FRAME || usize::from(descriptors) > MAX_DESCRIPTORS {
-        return Err(format!(
-            "a frame of {length} bytes with {descriptors} descriptors"
-        ));
-    }
+    let descriptors = usize::from(descriptors);
+    check_limits(length, descriptors)?;
     let Some(body) = rest.get(..length) else {
         return Ok(None);
     };
-    let frame = postcard::from_bytes(body).map_err(|e| e.to_string())?;
-    Ok(Some((frame, descriptors.into(), HEAD + length)))
+    Ok(Some(DecodedFrame {
+        frame: postcard::from_bytes(body)?,
+        descriptors,
+        length: HEADER + length,
+    }))
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_frame_is_read_whole_or_not_at_all_and_nonsense_is_refused() {
-        let frame = Frame::Connection(7, vec![1; 300]);
-        let bytes = encode(&frame, 2).expect("in bounds");
-        for end in 0..bytes.len() {
-            assert_eq!(decode(&bytes[..end]), Ok(None), "{end}");
-        }
-        let two = [&bytes[..], &bytes].concat();
-        assert_eq!(decode(&two), Ok(Some((frame, 2, bytes.len()))));
-        assert!(decode(&[255, 0, 0, 0, 0]).is_err());
-        assert!(decode(&[0, 0, 0, 1, 3, 2]).is_err());
-        assert!(decode(&[0, 0, 0, 1, 0, 99]).is_err());
-        assert!(encode(&Frame::List(vec![0; MAX_FRAME + 1]), 0).is_err());
+fn check_limits(length: usize, descriptors: usize) -> Result<(), FrameError> {
+    if length > MAX_FRAME || descriptors > MAX_DESCRIPTORS {
+        return Err(FrameError::TooLarge {
+            length,
+            descriptors,
+        });
     }
+    Ok(())
 }
--- a/crates/hot-restart/src/link.rs
+++ b/crates/hot-restart/src/link.rs
@@ -1,6 +1,6 @@
-//! Carries frames over a Unix socket, and open descriptors beside them.
+//! Carries frames over a Unix socket, with open descriptors beside them.
 
-use crate::frame::{Frame, HEAD, MAX_DESCRIPTORS, MAX_FRAME, decode, encode};
+use crate::frame::{Frame, FrameError, HEADER, MAX_DESCRIPTORS, MAX_FRAME, decode, encode};
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags, recvmsg, sendmsg,
@@ -10,16 +10,43 @@
 use std::mem::MaybeUninit;
 use std::os::fd::{BorrowedFd, OwnedFd};
 use std::rc::Rc;
+use thiserror::Error;
 use tokio::io::Interest;
 use tokio::net::UnixStream;
 use tokio::sync::Mutex;
 
 /// Bytes read at once.
-const CHUNK: usize = 16 * 1024;
-/// Descriptors that one read brings at most: what the kernel lets a message hold.
-const DESCRIPTORS_AT_ONCE: usize = 253;
+const READ_CHUNK: usize = 16 * 1024;
+/// Descriptors that one read brings at most: the kernel's limit for a message.
+const MAX_DESCRIPTORS_PER_READ: usize = 253;
 
-/// Both ends of a link.
+/// Why a frame could not be sent or received. The link is of no use after it.
+#[derive(Debug, Error)]
+pub enum LinkError {
+    /// The frame itself is invalid.
+    #[error(transparent)]
+    Frame(#[from] FrameError),
+    /// The socket failed.
+    #[error(transparent)]
+    Socket(#[from] io::Error),
+    /// The kernel dropped descriptors that were sent beside the frame.
+    #[error("descriptors are missing: too many are open here")]
+    DescriptorsMissing,
+    /// More bytes were received than a frame may have.
+    #[error("a frame has no end")]
+    Unterminated,
+}
+
+/// A frame with the descriptors that were sent beside it.
+#[derive(Debug)]
+pub struct ReceivedFrame {
+    /// The frame.
+    pub frame: Frame,
+    /// The descriptors, owned by this process from here on.
+    pub descriptors: Vec<OwnedFd>,
+}
+
+/// Splits a stream into its sending and its receiving half.
 pub fn link(stream: UnixStream) -> (Sender, Receiver) {
     let stream = Rc::new(stream);
     let sender = Sender {
@@ -28,7 +55,7 @@
     };
     let receiver = Receiver {
         stream,
-        bytes: Vec::new(),
+        buffer: Vec::new(),
         descriptors: VecDeque::new(),
     };
     (sender, receiver)
@@ -37,84 +64,90 @@
 /// Sends frames, one after the other.
 pub struct Sender {
     stream: Rc<UnixStream>,
+    /// Held while a frame is written.
     turn: Mutex<()>,
 }
 
 impl Sender {
-    /// Sends a frame whole, and descriptors beside it, which stay open here. Not to be dropped halfway: the link is
-    /// of no use after that.
-    pub async fn send(&self, frame: &Frame, descriptors: &[BorrowedFd<'_>]) -> io::Result<()> {
-        let bytes = encode(frame, descriptors.len()).map_err(io::Error::other)?;
+    /// Sends a complete frame, and descriptors beside it, which stay open here. Must not be dropped before it completes:
+    /// the link is of no use after that.
+    pub async fn send(
+        &self,
+        frame: &Frame,
+        descriptors: &[BorrowedFd<'_>],
+    ) -> Result<(), LinkError> {
+        let bytes = encode(frame, descriptors.len())?;
         let _turn = self.turn.lock().await;
         let mut sent = 0;
         while sent < bytes.len() {
-            // They go with the first bytes.
+            // The descriptors go with the first bytes.
             let beside = if sent == 0 { descriptors } else { &[] };
-            let write = || {
-                let mut space =
-                    [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS))];
-                let mut control = SendAncillaryBuffer::new(&mut space);
-                if !beside.is_empty() && !control.push(SendAncillaryMessage::ScmRights(beside)) {
-                    return Err(io::Error::other("too many descriptors"));
-                }
-                let left = [IoSlice::new(&bytes[sent..])];
-                Ok(sendmsg(
-                    &*self.stream,
-                    &left,
-                    &mut control,
-                    SendFlags::NOSIGNAL,
-                )?)
-            };
             self.stream.writable().await?;
+            let write = || write(&self.stream, &bytes[sent..], beside);
             match self.stream.try_io(Interest::WRITABLE, write) {
-                Ok(n) => sent += n,
+                Ok(written) => sent += written,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                Err(e) => return Err(e),
+                Err(e) => return Err(e.into()),
             }
         }
         Ok(())
     }
 }
 
+fn write(stream: &UnixStream, bytes: &[u8], descriptors: &[BorrowedFd<'_>]) -> io::Result<usize> {
+    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS))];
+    let mut control = SendAncillaryBuffer::new(&mut space);
+    let rights = SendAncillaryMessage::ScmRights(descriptors);
+    if !descriptors.is_empty() && !control.push(rights) {
+        return Err(io::Error::other("too many descriptors"));
+    }
+    let bytes = [IoSlice::new(bytes)];
+    Ok(sendmsg(stream, &bytes, &mut control, SendFlags::NOSIGNAL)?)
+}
+
 /// Receives frames.
 pub struct Receiver {
     stream: Rc<UnixStream>,
-    bytes: Vec<u8>,
+    buffer: Vec<u8>,
     descriptors: VecDeque<OwnedFd>,
 }
 
 impl Receiver {
-    /// The next frame with its descriptors; `None` at the end of the link. Safe to drop halfway.
-    pub async fn next(&mut self) -> io::Result<Option<(Frame, Vec<OwnedFd>)>> {
+    /// Receives the next frame; `None` at the end of the link. May be dropped before it completes.
+    pub async fn next(&mut self) -> Result<Option<ReceivedFrame>, LinkError> {
         loop {
-            let whole = decode(&self.bytes).map_err(io::Error::other)?;
-            if let Some((frame, descriptors, length)) = whole {
-                if self.descriptors.len() < descriptors {
-                    return Err(io::Error::other(
-                        "descriptors are missing: too many are open here",
-                    ));
-                }
-                self.bytes.drain(..length);
-                return Ok(Some((
-                    frame,
-                    self.descriptors.drain(..descriptors).collect(),
-                )));
+            if let Some(received) = self.take_buffered()? {
+                return Ok(Some(received));
             }
-            if self.bytes.len() > HEAD + MAX_FRAME {
-                return Err(io::Error::other("a frame has no end"));
+            if self.buffer.len() > HEADER + MAX_FRAME {
+                return Err(LinkError::Unterminated);
             }
             self.stream.readable().await?;
-            let mut chunk = [0; CHUNK];
+            let mut chunk = [0; READ_CHUNK];
             let descriptors = &mut self.descriptors;
-            let receive = || read(&self.stream, &mut chunk, descriptors);
-            match self.stream.try_io(Interest::READABLE, receive) {
+            let read = || read(&self.stream, &mut chunk, descriptors);
+            match self.stream.try_io(Interest::READABLE, read) {
                 Ok(0) => return Ok(None),
-                Ok(n) => self.bytes.extend_from_slice(&chunk[..n]),
+                Ok(n) => self.buffer.extend_from_slice(&chunk[..n]),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                Err(e) => return Err(e),
+                Err(e) => return Err(e.into()),
             }
         }
     }
+
+    fn take_buffered(&mut self) -> Result<Option<ReceivedFrame>, LinkError> {
+        let Some(decoded) = decode(&self.buffer)? else {
+            return Ok(None);
+        };
+        if self.descriptors.len() < decoded.descriptors {
+            return Err(LinkError::DescriptorsMissing);
+        }
+        self.buffer.drain(..decoded.length);
+        Ok(Some(ReceivedFrame {
+            frame: decoded.frame,
+            descriptors: self.descriptors.drain(..decoded.descriptors).collect(),
+        }))
+    }
 }
 
 fn read(
@@ -122,56 +155,15 @@
     chunk: &mut [u8],
     descriptors: &mut VecDeque<OwnedFd>,
 ) -> io::Result<usize> {
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(DESCRIPTORS_AT_ONCE))];
+    let mut space =
+        [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS_PER_READ))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
-    let mut into = [IoSliceMut::new(chunk)];
-    let message = recvmsg(stream, &mut into, &mut control, RecvFlags::CMSG_CLOEXEC)?;
-    for beside in control.drain() {
-        if let RecvAncillaryMessage::ScmRights(rights) = beside {
+    let mut buffers = [IoSliceMut::new(chunk)];
+    let message = recvmsg(stream, &mut buffers, &mut control, RecvFlags::CMSG_CLOEXEC)?;
+    for ancillary in control.drain() {
+        if let RecvAncillaryMessage::ScmRights(rights) = ancillary {
             descriptors.extend(rights);
         }
     }
     Ok(message.bytes)
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use std::io::{Read, Write};
-    use std::os::fd::AsFd;
-    use std::os::unix::net::UnixStream as Plain;
-
-    #[tokio::test(flavor = "current_thread")]
-    async fn open_connections_go_over_in_order_beside_large_frames() {
-        let (one, two) = UnixStream::pair().expect("a pair");
-        let ((sender, _), (_, mut receiver)) = (link(one), link(two));
-        let pairs: Vec<(Plain, Plain)> = (0..40).map(|_| Plain::pair().expect("a pair")).collect();
-        let send = async {
-            for (at, (here, _)) in pairs.iter().enumerate() {
-                let frame = Frame::Connection(at as u64, vec![at as u8; 7000]);
-                sender.send(&frame, &[here.as_fd()]).await.expect("sent");
-                sender
-                    .send(&Frame::Held(at as u32), &[])
-                    .await
-                    .expect("sent");
-            }
-        };
-        let receive = async {
-            for (at, (_, there)) in pairs.iter().enumerate() {
-                let (frame, descriptors) = receiver.next().await.expect("read").expect("a frame");
-                assert_eq!(frame, Frame::Connection(at as u64, vec![at as u8; 7000]));
-                let [fd] = <[OwnedFd; 1]>::try_from(descriptors).expect("one");
-                Plain::from(fd).write_all(&[at as u8]).expect("open");
-                let mut said = [0];
-                (&*there)
-                    .read_exact(&mut said)
-                    .expect("the same connection");
-                assert_eq!(said, [at as u8]);
-                let (frame, descriptors) = receiver.next().await.expect("read").expect("a frame");
-                assert_eq!((frame, descriptors.len()), (Frame::Held(at as u32), 0));
-            }
-        };
-        tokio::join!(send, receive);
-        drop(sender);
-    }
-}
--- a/crates/hot-restart/tests/frame_bytes.rs
+++ b/crates/hot-restart/tests/frame_bytes.rs
@@ -3,7 +3,9 @@
 //! The fixtures `tests/fixtures/hot_restart/frame_*.bin` at the root of the repository were written by the tree at
 //! 71566bd (`WRITE_FIXTURES=1` writes them anew); rewriting them hides a change of the wire.
 
-use spanspur_hot_restart::frame::{Frame, MAX_DESCRIPTORS, MAX_FRAME, VERSION, decode, encode};
+use spanspur_hot_restart::frame::{
+    DecodedFrame, Frame, MAX_DESCRIPTORS, MAX_FRAME, VERSION, decode, encode,
+};
 use std::path::Path;
 
 /// The kept bytes of a frame; under `WRITE_FIXTURES=1` they are `written` from now on.
@@ -21,28 +23,66 @@
 fn frames() -> Vec<(&'static str, Frame, usize)> {
     let payload: Vec<u8> = (0..=255).chain(0..=99).collect();
     vec![
-        ("hello", Frame::Hello(VERSION), 0),
-        ("hello_far", Frame::Hello(u32::MAX), 0),
-        ("state", Frame::State(VERSION, payload.clone()), 0),
-        ("state_empty", Frame::State(VERSION, Vec::new()), 0),
+        ("hello", Frame::Hello { version: VERSION }, 0),
+        ("hello_far", Frame::Hello { version: u32::MAX }, 0),
+        (
+            "state",
+            Frame::State {
+                version: VERSION,
+                snapshot: payload.clone(),
+            },
+            0,
+        ),
+        (
+            "state_empty",
+            Frame::State {
+                version: VERSION,
+                snapshot: Vec::new(),
+            },
+            0,
+        ),
         ("ready", Frame::Ready, 0),
-        ("held", Frame::Held(70_123), 0),
-        ("list", Frame::List(payload.clone()), 0),
+        ("held", Frame::HeldDescriptors(70_123), 0),
+        ("list", Frame::EndpointList(payload.clone()), 0),
         (
             "outs",
-            Frame::Outs("spanspur outs 1 00ff\n{\"entries\":[],\"seen\":[]}".into()),
+            Frame::Maintenance("spanspur outs 1 00ff\n{\"entries\":[],\"seen\":[]}".into()),
             0,
         ),
-        ("lameduck_on", Frame::Lameduck(true), 0),
-        ("lameduck_off", Frame::Lameduck(false), 0),
+        ("lameduck_on", Frame::Draining(true), 0),
+        ("lameduck_off", Frame::Draining(false), 0),
         (
             "connection_two",
-            Frame::Connection(300, payload.clone()),
+            Frame::Connection {
+                number: 300,
+                payload: payload.clone(),
+            },
             MAX_DESCRIPTORS,
         ),
-        ("connection_one", Frame::Connection(u64::MAX, payload), 1),
-        ("taken", Frame::Taken(300, true), 0),
-        ("not_taken", Frame::Taken(u64::MAX, false), 0),
+        (
+            "connection_one",
+            Frame::Connection {
+                number: u64::MAX,
+                payload,
+            },
+            1,
+        ),
+        (
+            "taken",
+            Frame::Acknowledge {
+                number: 300,
+                taken_over: true,
+            },
+            0,
+        ),
+        (
+            "not_taken",
+            Frame::Acknowledge {
+                number: u64::MAX,
+                taken_over: false,
+            },
+            0,
+        ),
     ]
 }
 
@@ -52,7 +92,11 @@
         let written = encode(&frame, descriptors).unwrap_or_else(|e| panic!("{name}: {e}"));
         let kept = kept(name, &written);
         assert_eq!(written, kept, "{name}");
-        let whole = Some((frame, descriptors, kept.len()));
+        let whole = Some(DecodedFrame {
+            frame,
+            descriptors,
+            length: kept.len(),
+        });
         assert_eq!(decode(&kept), Ok(whole), "{name}");
     }
 }
--- a/src/admin/maintenance_store.rs
+++ b/src/admin/maintenance_store.rs
@@ -1,7 +1,7 @@
 //! The file under `$TMPDIR` that keeps which backends are taken out.
 
 use crate::invariants;
-use spanspur_admin::outs::{MAX_FILE, Outs};
+use spanspur_admin::{maintenance::MaintenanceSet, maintenance_file::MAX_FILE};
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
@@ -32,7 +32,7 @@
     }
 
     /// What it holds. A file that cannot be trusted is set aside, and never a reason not to start.
-    pub fn read(&self) -> Option<Outs> {
+    pub fn read(&self) -> Option<MaintenanceSet> {
         let path = self.path.as_ref()?;
         let text = match bytes(path) {
             Ok(text) => text,
@@ -42,26 +42,26 @@
                 return None;
             }
         };
-        match Outs::read(&text) {
+        match MaintenanceSet::parse(&text) {
             Ok(outs) => Some(outs),
             Err(what) => {
                 invariants::count("a file of servers taken out cannot be trusted");
                 let aside = path.with_extension("outs.bad");
                 let done = fs::rename(path, &aside);
-                tracing::warn!(file = %path.display(), what, aside = %aside.display(), ?done, "is set aside");
+                tracing::warn!(file = %path.display(), %what, aside = %aside.display(), ?done, "is set aside");
                 None
             }
         }
     }
 
     /// Writes it whole: whoever reads finds the old state or the new one. Blocks; not for the runtime's thread.
-    pub fn write(&self, outs: &Outs) -> io::Result<()> {
+    pub fn write(&self, outs: &MaintenanceSet) -> io::Result<()> {
         let Some(path) = &self.path else {
             return Ok(());
         };
         let fresh = path.with_extension(format!("outs.{}", std::process::id()));
         let mut file = File::create(&fresh)?;
-        file.write_all(outs.write().as_bytes())?;
+        file.write_all(outs.to_text().as_bytes())?;
         file.sync_all()?;
         fs::rename(&fresh, path)?;
         // The name lasts only with its folder.
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -6,8 +6,8 @@
 use crate::lifecycle::graceful_shutdown::Migrator;
 use crate::lifecycle::hot_restart::{HotRestart, Predecessor};
 use crate::runtime::Runtime;
-use spanspur_admin::pace::Pace;
-use spanspur_hot_restart::stage::Heard;
+use spanspur_admin::drain_schedule::DrainSchedule;
+use spanspur_hot_restart::predecessor::Input;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -35,7 +35,7 @@
         let node = runtime.process_config();
         let kept = Rc::new(maintenance_store::MaintenanceStore::open(&node.name));
         if let Some(outs) = kept.read() {
-            let out: Vec<&str> = outs.out().collect();
+            let out: Vec<&str> = outs.names().collect();
             tracing::info!(out = out.join(" "), "stream servers that are taken out");
             runtime.merge_maintenance(&outs);
         }
@@ -78,7 +78,7 @@
     /// This process is told to leave.
     pub fn leave(&self) {
         if let Some(succession) = &self.succession {
-            succession.hear(Heard::Leave);
+            succession.hear(Input::Shutdown);
         }
     }
 }
@@ -91,9 +91,9 @@
             return;
         }
         let now = runtime.now();
-        let pace = Pace {
-            from: now + ARRIVALS,
-            until: now + EMPTY_BY,
+        let pace = DrainSchedule {
+            start: now + ARRIVALS,
+            deadline: now + EMPTY_BY,
         };
         tracing::info!(
             standing = runtime.established_requests().len(),
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -6,8 +6,9 @@
 use crate::proxy::closing::send_and_close;
 use crate::runtime::Runtime;
 use crate::runtime::connection_limit::ConnectionLimit;
-use spanspur_admin::call::{Answer, Call, MAX_BODY, MAX_HEAD, read};
-use spanspur_admin::outs::No;
+use spanspur_admin::maintenance::MaintenanceError;
+use spanspur_admin::request::{AdminRequest, MAX_BODY, MAX_HEAD, RequestError, parse_request};
+use spanspur_admin::response::Response;
 use spanspur_hot_restart::frame::Frame;
 use std::io;
 use std::rc::Rc;
@@ -32,7 +33,7 @@
     writing: Mutex<()>,
 }
 
-/// Answers calls, as long as the process lives.
+/// Responses calls, as long as the process lives.
 pub async fn run(runtime: Rc<Runtime>, listener: TcpListener, kept: Rc<MaintenanceStore>) {
     let room = Rc::new(ConnectionLimit::default());
     let desk = Rc::new(Desk {
@@ -59,10 +60,10 @@
             let _ = caller.set_nodelay(true);
             let answer = tokio::select! {
                 answer = desk.hear(&caller) => answer,
-                () = place.evicted() => Some(Answer::new(503, "others call: this call was not finished")),
+                () = place.evicted() => Some(Response::new(503, "others call: this call was not finished")),
             };
             if let Some(answer) = answer {
-                let answer = answer.bytes();
+                let answer = answer.encode();
                 tokio::select! {
                     () = send_and_close(&caller, &answer) => {}
                     () = place.evicted() => {}
@@ -76,43 +77,43 @@
 
 impl Desk {
     /// Reads a call and carries it out; `None` if the caller has gone.
-    async fn hear(&self, caller: &TcpStream) -> Option<Answer> {
+    async fn hear(&self, caller: &TcpStream) -> Option<Response> {
         let call = match timeout(CALL, read_call(caller)).await {
             Ok(call) => call?,
-            Err(_) => Err(Answer::new(408, "the call was not whole in time")),
+            Err(_) => Err(RequestError::TimedOut),
         };
         let answer = match &call {
             Ok(call) => self.carry_out(call).await,
-            Err(answer) => answer.clone(),
+            Err(error) => error.response(),
         };
         let status = answer.status;
         match call {
-            Ok(Call::Ready) => tracing::debug!(status, "asked whether ready"),
+            Ok(AdminRequest::Ready) => tracing::debug!(status, "asked whether ready"),
             call => tracing::info!(?call, status, text = answer.text, "called"),
         }
         Some(answer)
     }
 
-    async fn carry_out(&self, call: &Call) -> Answer {
+    async fn carry_out(&self, call: &AdminRequest) -> Response {
         let runtime = &self.runtime;
         match call {
-            Call::Ready => match (
+            AdminRequest::Ready => match (
                 runtime.is_ready(),
                 runtime.lifecycle.is_accepting(),
                 runtime.lifecycle.is_lameduck(),
             ) {
-                (false, ..) => Answer::new(503, "no stream server is known yet"),
-                (_, false, _) => Answer::new(503, "another process takes the clients"),
+                (false, ..) => Response::new(503, "no stream server is known yet"),
+                (_, false, _) => Response::new(503, "another process takes the clients"),
                 (_, _, true) if runtime.lifecycle.is_lameduck_requested_here() => {
-                    Answer::new(503, "is emptied")
+                    Response::new(503, "is emptied")
                 }
-                _ => Answer::new(200, "takes clients"),
+                _ => Response::new(200, "takes clients"),
             },
-            Call::Lameduck(on) => {
+            AdminRequest::Drain(on) => {
                 runtime.lifecycle.set_lameduck_requested_here(*on);
-                runtime.peer_processes.broadcast(|| Frame::Lameduck(*on));
+                runtime.peer_processes.broadcast(|| Frame::Draining(*on));
                 let changed = runtime.lifecycle.set_lameduck(*on);
-                Answer::new(
+                Response::new(
                     200,
                     match (on, changed) {
                         (true, true) => "is emptied from now on",
@@ -122,13 +123,13 @@
                     },
                 )
             }
-            Call::Detach(name) => self.change(name, true).await,
-            Call::Attach(name) => self.change(name, false).await,
+            AdminRequest::Detach(name) => self.change(name, true).await,
+            AdminRequest::Attach(name) => self.change(name, false).await,
         }
     }
 
     /// Takes a backend out or puts it back. Written first, then it counts, then the caller hears.
-    async fn change(&self, name: &str, out: bool) -> Answer {
+    async fn change(&self, name: &str, out: bool) -> Response {
         let _one = self.writing.lock().await;
         let (mut outs, now) = (self.runtime.maintenance(), self.runtime.now());
         let id = ServerId::of(name).0;
@@ -137,36 +138,41 @@
             false => outs.attach(name, id, now),
         };
         match changed {
-            Err(No::NeverListed) => {
-                return Answer::new(404, "no list has ever named this stream server");
-            }
-            Err(No::TooMany) => return Answer::new(507, "too many stream servers are out"),
-            Ok(false) if out => return Answer::new(200, "is out already"),
-            Ok(false) => return Answer::new(200, "was not out"),
+            Err(error) => return Response::new(maintenance_status(error), error.to_string()),
+            Ok(false) if out => return Response::new(200, "is out already"),
+            Ok(false) => return Response::new(200, "was not out"),
             Ok(true) => {}
         }
         let (kept, written) = (MaintenanceStore::clone(&self.kept), outs.clone());
         let written = spawn_blocking(move || kept.write(&written)).await;
         if let Err(e) = written.map_err(io::Error::other).flatten() {
             invariants::count("the servers taken out could not be written");
-            return Answer::new(503, format!("cannot be kept, so nothing changes: {e}"));
+            return Response::new(503, format!("cannot be kept, so nothing changes: {e}"));
         }
         self.runtime.merge_maintenance(&outs);
         self.runtime
             .peer_processes
-            .broadcast(|| Frame::Outs(outs.write()));
-        Answer::new(200, if out { "is out" } else { "may serve again" })
+            .broadcast(|| Frame::Maintenance(outs.to_text()));
+        Response::new(200, if out { "is out" } else { "may serve again" })
+    }
+}
+
+/// The status of the response to a change that is rejected.
+fn maintenance_status(error: MaintenanceError) -> u16 {
+    match error {
+        MaintenanceError::NeverListed => 404,
+        MaintenanceError::TooMany => 507,
     }
 }
 
 /// `None` at the end of the connection before the call is whole.
-async fn read_call(caller: &TcpStream) -> Option<Result<Call, Answer>> {
+async fn read_call(caller: &TcpStream) -> Option<Result<AdminRequest, RequestError>> {
     let mut sent = Vec::new();
     loop {
-        match read(&sent) {
+        match parse_request(&sent) {
             Ok(Some(call)) => return Some(Ok(call)),
             Ok(None) => {}
-            Err(answer) => return Some(Err(answer)),
+            Err(error) => return Some(Err(error)),
         }
         caller.readable().await.ok()?;
         let mut chunk = [0; 1024];
--- a/src/lifecycle/graceful_shutdown.rs
+++ b/src/lifecycle/graceful_shutdown.rs
@@ -4,7 +4,7 @@
 use crate::api::{Event, RequestId};
 use crate::invariants;
 use crate::runtime::{Command, Runtime, duration};
-use spanspur_admin::pace::Pace;
+use spanspur_admin::drain_schedule::DrainSchedule;
 use std::collections::HashSet;
 use std::rc::Rc;
 use std::time::Duration;
@@ -30,13 +30,13 @@
 /// Moves what stands, each connection once, at a pace.
 pub struct Migrator {
     runtime: Rc<Runtime>,
-    pace: Pace,
+    pace: DrainSchedule,
     moved: HashSet<RequestId>,
 }
 
 impl Migrator {
     /// Nothing is moved yet.
-    pub fn new(runtime: Rc<Runtime>, pace: Pace) -> Self {
+    pub fn new(runtime: Rc<Runtime>, pace: DrainSchedule) -> Self {
         let moved = HashSet::new();
         Self {
             runtime,
@@ -50,9 +50,7 @@
         let mut standing = self.runtime.established_requests();
         standing.retain(|id| !self.moved.contains(id));
         let left = standing.len();
-        let count = self
-            .pace
-            .count(self.runtime.now(), tick.as_secs_f64(), left);
+        let count = self.pace.due(self.runtime.now(), tick.as_secs_f64(), left);
         for id in standing.into_iter().take(count) {
             self.moved.insert(id);
             self.runtime.send_command(id, Command::Migrate);
@@ -74,7 +72,13 @@
     let kill = start + longest_wait.min(LONGEST_WAIT) + GRACE;
     let from = runtime.now() + ARRIVALS.as_secs_f64();
     let until = from + SPREAD.as_secs_f64();
-    let mut mover = Migrator::new(runtime.clone(), Pace { from, until });
+    let mut mover = Migrator::new(
+        runtime.clone(),
+        DrainSchedule {
+            start: from,
+            deadline: until,
+        },
+    );
     let mut left = 0;
     let mut offered = HashSet::new();
     let mut empty = 0;
--- a/src/lifecycle/hot_restart.rs
+++ b/src/lifecycle/hot_restart.rs
@@ -8,10 +8,10 @@
 use crate::proxy::client_reader::ClientReader;
 use crate::runtime::{Runtime, duration};
 use crate::transfer::{ConnectionSender, Snapshot, TransferredConnection};
-use spanspur_admin::outs::Outs;
+use spanspur_admin::maintenance::MaintenanceSet;
 use spanspur_hot_restart::frame::{Frame, VERSION};
-use spanspur_hot_restart::link::{Receiver, Sender, link};
-use spanspur_hot_restart::stage::{Does, Heard, Stage};
+use spanspur_hot_restart::link::{ReceivedFrame, Receiver, Sender, link};
+use spanspur_hot_restart::predecessor::{Command, Input, PredecessorState, SuccessorId};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::future::Future;
@@ -41,8 +41,8 @@
 pub struct HotRestart {
     runtime: Rc<Runtime>,
     path: PathBuf,
-    stage: RefCell<Stage>,
-    givings: RefCell<HashMap<u64, Rc<ConnectionSender>>>,
+    stage: RefCell<PredecessorState>,
+    givings: RefCell<HashMap<SuccessorId, Rc<ConnectionSender>>>,
 }
 
 /// The process before this one, which still serves.
@@ -77,12 +77,22 @@
         };
         let (sender, mut receiver) = link(stream);
         let said = async {
-            sender.send(&Frame::Hello(VERSION), &[]).await?;
+            sender.send(&Frame::Hello { version: VERSION }, &[]).await?;
             receiver.next().await
         };
         let known = match timeout(ANSWER, said).await {
-            Ok(Ok(Some((Frame::State(VERSION, known), _)))) => known,
-            Ok(Ok(Some((Frame::State(version, _), _)))) => {
+            Ok(Ok(Some(ReceivedFrame {
+                frame:
+                    Frame::State {
+                        version: VERSION,
+                        snapshot,
+                    },
+                ..
+            }))) => snapshot,
+            Ok(Ok(Some(ReceivedFrame {
+                frame: Frame::State { version, .. },
+                ..
+            }))) => {
                 tracing::warn!(
                     version,
                     ours = VERSION,
@@ -107,9 +117,9 @@
             emptied = known.lameduck,
             "goes on from the process before"
         );
-        match Outs::read(known.maintenance.as_bytes()) {
+        match MaintenanceSet::parse(known.maintenance.as_bytes()) {
             Ok(outs) => runtime.merge_maintenance(&outs),
-            Err(what) => tracing::warn!(what, "which servers are out cannot be read"),
+            Err(what) => tracing::warn!(%what, "which servers are out cannot be read"),
         }
         runtime.lifecycle.set_lameduck(known.lameduck);
         let revision =
@@ -149,12 +159,25 @@
         let runtime = self.runtime.clone();
         spawn_local(async move {
             let read = async {
-                while let Ok(Some((frame, beside))) = receiver.next().await {
+                while let Ok(Some(ReceivedFrame {
+                    frame,
+                    descriptors: beside,
+                })) = receiver.next().await
+                {
                     match frame {
-                        Frame::Connection(number, what) => {
+                        Frame::Connection {
+                            number,
+                            payload: what,
+                        } => {
                             let taken = take(&runtime, &what, beside);
                             if sender
-                                .send(&Frame::Taken(number, taken), &[])
+                                .send(
+                                    &Frame::Acknowledge {
+                                        number,
+                                        taken_over: taken,
+                                    },
+                                    &[],
+                                )
                                 .await
                                 .is_err()
                             {
@@ -191,7 +214,7 @@
     }
 
     async fn accept(self: Rc<Self>, listener: UnixListener) {
-        for number in 0.. {
+        for number in (0..).map(SuccessorId) {
             match listener.accept().await {
                 Ok((stream, _)) if self.givings.borrow().len() < MAX_SUCCESSORS => {
                     spawn_local(self.clone().successor(stream, number));
@@ -206,10 +229,13 @@
     }
 
     /// The part of the older process.
-    async fn successor(self: Rc<Self>, stream: UnixStream, number: u64) {
+    async fn successor(self: Rc<Self>, stream: UnixStream, number: SuccessorId) {
         let runtime = &self.runtime;
         let (sender, mut receiver) = link(stream);
-        let Ok(Ok(Some((Frame::Hello(version), _)))) = timeout(ANSWER, receiver.next()).await
+        let Ok(Ok(Some(ReceivedFrame {
+            frame: Frame::Hello { version },
+            ..
+        }))) = timeout(ANSWER, receiver.next()).await
         else {
             return invariants::count("one that comes to replace this process says nothing");
         };
@@ -221,7 +247,13 @@
         };
         runtime.peer_processes.add(link);
         if sender
-            .send(&Frame::State(VERSION, known), &[])
+            .send(
+                &Frame::State {
+                    version: VERSION,
+                    snapshot: known,
+                },
+                &[],
+            )
             .await
             .is_err()
             || version != VERSION
@@ -235,10 +267,13 @@
         let giving = ConnectionSender::new(sender);
         self.givings.borrow_mut().insert(number, giving.clone());
         let read = async {
-            while let Ok(Some((frame, _))) = receiver.next().await {
+            while let Ok(Some(ReceivedFrame { frame, .. })) = receiver.next().await {
                 match frame {
-                    Frame::Ready => self.hear(Heard::Ready(number)),
-                    Frame::Taken(number, taken) => giving.acknowledge(number, taken),
+                    Frame::Ready => self.hear(Input::SuccessorReady(number)),
+                    Frame::Acknowledge {
+                        number,
+                        taken_over: taken,
+                    } => giving.acknowledge(number, taken),
                     frame => hear(runtime, frame),
                 }
             }
@@ -259,26 +294,25 @@
         if self.givings.borrow().is_empty() {
             runtime.peer_processes.set_descriptors(0);
         }
-        self.hear(Heard::Gone(number));
+        self.hear(Input::SuccessorGone(number));
     }
 
     /// Carries out what the stage says.
-    pub fn hear(&self, heard: Heard) {
-        let does = self.stage.borrow_mut().hear(heard);
+    pub fn hear(&self, input: Input) {
+        let Some(command) = self.stage.borrow_mut().handle(input) else {
+            return;
+        };
         let runtime = &self.runtime;
-        if does != Does::Nothing {
-            tracing::info!(
-                ?heard,
-                ?does,
-                standing = runtime.established_requests().len(),
-                "replacement"
-            );
-        }
-        let (handed, giving) = match does {
-            Does::Nothing => return,
-            Does::StopAccepting => (true, None),
-            Does::Give(number) => (true, self.givings.borrow().get(&number).cloned()),
-            Does::TakeBack => (false, None),
+        tracing::info!(
+            ?input,
+            ?command,
+            established = runtime.established_requests().len(),
+            "hot restart"
+        );
+        let (handed, giving) = match command {
+            Command::StopAccepting => (true, None),
+            Command::TransferTo(number) => (true, self.givings.borrow().get(&number).cloned()),
+            Command::ResumeAccepting => (false, None),
         };
         runtime.set_clients_handed_over(handed);
         runtime.peer_processes.set_successor(giving);
@@ -297,10 +331,10 @@
         let frame = tokio::select! {
             biased;
             frame = news.recv() => frame,
-            () = sleep(pause) => Some(Frame::Held(held() as u32)),
+            () = sleep(pause) => Some(Frame::HeldDescriptors(held() as u32)),
         };
         let Some(frame) = frame else { return };
-        if let Frame::Held(held) = frame
+        if let Frame::HeldDescriptors(held) = frame
             && told.replace(held) == Some(held)
         {
             continue;
@@ -314,10 +348,10 @@
 /// News from another process of this balancer.
 fn hear(runtime: &Rc<Runtime>, frame: Frame) {
     match frame {
-        Frame::Held(held) => runtime
+        Frame::HeldDescriptors(held) => runtime
             .peer_processes
             .set_descriptors(held as usize + FIXED),
-        Frame::List(list) => match postcard::from_bytes::<EndpointList>(&list) {
+        Frame::EndpointList(list) => match postcard::from_bytes::<EndpointList>(&list) {
             // Each watches by itself: what came here first is not undone by what the other heard before.
             Ok(list) if list.revision > runtime.list_revision() => {
                 let kind = if list.complete {
@@ -330,11 +364,11 @@
             Ok(_) => {}
             Err(e) => tracing::warn!(error = %e, "news of the list cannot be read"),
         },
-        Frame::Outs(text) => match Outs::read(text.as_bytes()) {
+        Frame::Maintenance(text) => match MaintenanceSet::parse(text.as_bytes()) {
             Ok(outs) => runtime.merge_maintenance(&outs),
-            Err(what) => tracing::warn!(what, "news of servers taken out cannot be read"),
+            Err(what) => tracing::warn!(%what, "news of servers taken out cannot be read"),
         },
-        Frame::Lameduck(on) => {
+        Frame::Draining(on) => {
             runtime.lifecycle.set_lameduck(on);
         }
         _ => invariants::count("a frame that is none of this process's business"),
--- a/src/lifecycle/startup.rs
+++ b/src/lifecycle/startup.rs
@@ -39,7 +39,7 @@
         // Before anything is opened here: a closed descriptor's number would be given to something of ours.
         let inherited = node
             .accept_fd
-            .map(spanspur_socket_activation::listening)
+            .map(spanspur_socket_activation::take_listening_socket)
             .transpose();
         let inherited = inherited.map_err(|e| format!("BALANCER_ACCEPT_FD: {e}"))?;
         let runtime = tokio::runtime::Builder::new_current_thread()
--- a/src/runtime/endpoint_directory.rs
+++ b/src/runtime/endpoint_directory.rs
@@ -2,7 +2,7 @@
 
 use crate::api::{Endpoint, EndpointState, ServerId, Time, UpdateKind};
 use crate::discovery::endpoint_list::EndpointList;
-use spanspur_admin::outs::Outs;
+use spanspur_admin::maintenance::MaintenanceSet;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
@@ -27,7 +27,7 @@
 /// What makes the balancer see an endpoint differently than discovery names it.
 #[derive(Default)]
 struct EndpointMask {
-    maintenance: Outs,
+    maintenance: MaintenanceSet,
     /// Another process takes the clients: the slow-start budget of cold servers is its alone.
     clients_handed_over: bool,
 }
@@ -35,12 +35,15 @@
 impl EndpointMask {
     /// The endpoint as the balancer is to see it: a server under maintenance is draining, whatever its list says.
     fn apply(&self, announced: Endpoint, window: SlowStartWindow) -> Endpoint {
-        let mask =
-            self.maintenance
-                .mask(announced.id.0, announced.started, window.now, window.length);
-        let warming_up = mask.started > window.now - window.length;
+        let maintenance = self.maintenance.override_for(
+            announced.id.0,
+            announced.started,
+            window.now,
+            window.length,
+        );
+        let warming_up = maintenance.started > window.now - window.length;
         let state = match announced.state {
-            EndpointState::Ready if mask.out => EndpointState::Draining,
+            EndpointState::Ready if maintenance.draining => EndpointState::Draining,
             // Two processes that both used a cold server's budget would use it twice.
             EndpointState::Ready if self.clients_handed_over && warming_up => {
                 EndpointState::Draining
@@ -49,7 +52,7 @@
         };
         Endpoint {
             state,
-            started: mask.started,
+            started: maintenance.started,
             ..announced
         }
     }
@@ -88,7 +91,7 @@
         address: SocketAddr,
         window: SlowStartWindow,
     ) -> Endpoint {
-        self.mask.maintenance.listed(announced.id.0);
+        self.mask.maintenance.record_listed(announced.id.0);
         let effective = self.mask.apply(announced, window);
         let masked = effective.state != announced.state;
         tracing::debug!(endpoint = ?announced, masked, %address, "endpoint listed");
@@ -125,12 +128,12 @@
     }
 
     /// The servers under maintenance.
-    pub fn maintenance(&self) -> &Outs {
+    pub fn maintenance(&self) -> &MaintenanceSet {
         &self.mask.maintenance
     }
 
     /// Merges in newer knowledge of the servers under maintenance; [`Self::refresh`] brings it into effect.
-    pub fn merge_maintenance(&mut self, maintenance: &Outs) {
+    pub fn merge_maintenance(&mut self, maintenance: &MaintenanceSet) {
         self.mask.maintenance.merge(maintenance);
     }
 
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -29,7 +29,7 @@
 use peer_processes::PeerProcesses;
 use report_classifier::{Report, ReportClassifier};
 use request_registry::RequestRegistry;
-use spanspur_admin::outs::Outs;
+use spanspur_admin::maintenance::MaintenanceSet;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -195,12 +195,12 @@
     }
 
     /// The servers under maintenance.
-    pub fn maintenance(&self) -> Outs {
+    pub fn maintenance(&self) -> MaintenanceSet {
         self.endpoints.borrow().maintenance().clone()
     }
 
     /// Merges in newer knowledge of the servers under maintenance.
-    pub fn merge_maintenance(self: &Rc<Self>, maintenance: &Outs) {
+    pub fn merge_maintenance(self: &Rc<Self>, maintenance: &MaintenanceSet) {
         self.endpoints.borrow_mut().merge_maintenance(maintenance);
         self.refresh_endpoints();
     }
--- a/src/runtime/snapshot.rs
+++ b/src/runtime/snapshot.rs
@@ -15,7 +15,7 @@
             revision: endpoints.revision(),
             endpoints: endpoints.announced(),
             balancer: postcard::to_stdvec(balancer).unwrap_or_default(),
-            maintenance: endpoints.maintenance().write(),
+            maintenance: endpoints.maintenance().to_text(),
             lameduck: self.lifecycle.is_lameduck(),
         }
     }
--- a/src/transfer/mod.rs
+++ b/src/transfer/mod.rs
@@ -17,5 +17,5 @@
 
 /// The frame that notifies another process of an update of the endpoint list.
 pub fn list_update_frame(list: &EndpointList) -> Frame {
-    Frame::List(postcard::to_stdvec(list).unwrap_or_default())
+    Frame::EndpointList(postcard::to_stdvec(list).unwrap_or_default())
 }
--- a/src/transfer/sender.rs
+++ b/src/transfer/sender.rs
@@ -50,7 +50,10 @@
         let number = self.next_number.replace(self.next_number.get() + 1);
         let (acknowledge, acknowledged) = oneshot::channel();
         self.unacknowledged.borrow_mut().insert(number, acknowledge);
-        let frame = Frame::Connection(number, encoded);
+        let frame = Frame::Connection {
+            number,
+            payload: encoded,
+        };
         if let Err(error) = self.link.send(&frame, descriptors).await {
             tracing::warn!(%error, "connection transfer failed");
             self.unacknowledged.borrow_mut().remove(&number);
--- a/tests/sockets/replace.rs
+++ b/tests/sockets/replace.rs
@@ -193,19 +193,21 @@
         .come(&[])
         .write_all(b"GET / HTTP/1.1\r\n")
         .expect("taken");
-    drop(place.come(&[Frame::Hello(VERSION + 1)]));
-    drop(place.come(&[Frame::Hello(VERSION)]));
+    drop(place.come(&[Frame::Hello {
+        version: VERSION + 1,
+    }]));
+    drop(place.come(&[Frame::Hello { version: VERSION }]));
     serves(0x32);
     // One that says yes, and takes nothing: clients come to nobody until it has gone.
-    let mut dead = place.come(&[Frame::Hello(VERSION), Frame::Ready]);
+    let mut dead = place.come(&[Frame::Hello { version: VERSION }, Frame::Ready]);
     wait_until(|| process.call("/_ready", "").0 == 503);
     drop(dead);
     serves(0x33);
     // One that says yes and dies while it is given what stands: it is moved then.
-    dead = place.come(&[Frame::Hello(VERSION), Frame::Ready]);
+    dead = place.come(&[Frame::Hello { version: VERSION }, Frame::Ready]);
     wait_until(|| process.call("/_ready", "").0 == 503);
     process.signal("-TERM");
-    wait_until(|| place.folder.log().contains("does=Give"));
+    wait_until(|| place.folder.log().contains("command=TransferTo("));
     let mut some = [0; 64];
     dead.read_exact(&mut some).expect("it is told something");
     drop(dead);
--- a/tests/sockets/service.rs
+++ b/tests/sockets/service.rs
@@ -67,8 +67,8 @@
     // The file is there before the yes: one killed in between has it out as well, and a second call is a yes.
     assert_eq!(balancer.call(DETACH, asked.id).0, 200);
     let kept = std::fs::read(balancer.folder().path.join("spanspur-n0.outs")).expect("the file");
-    let kept = spanspur_admin::outs::Outs::read(&kept).expect("whole");
-    assert_eq!(kept.out().count(), 2);
+    let kept = spanspur_admin::maintenance::MaintenanceSet::parse(&kept).expect("whole");
+    assert_eq!(kept.names().count(), 2);
 }
 
 #[test]
--- a/tests/transfer.rs
+++ b/tests/transfer.rs
@@ -11,8 +11,8 @@
 use spanspur::transfer::{
     EstablishedConnection, Snapshot, TransferredConnection, list_update_frame,
 };
-use spanspur_admin::outs::Outs;
-use spanspur_hot_restart::frame::{Frame, VERSION, decode, encode};
+use spanspur_admin::maintenance::MaintenanceSet;
+use spanspur_hot_restart::frame::{DecodedFrame, Frame, VERSION, decode, encode};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
@@ -31,9 +31,13 @@
     }
     let kept = std::fs::read(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
     assert_eq!(written, kept, "{name}");
-    let (read, beside, length) = decode(&kept).expect("a frame").expect("a whole one");
-    assert_eq!((beside, length), (descriptors, kept.len()), "{name}");
-    read
+    let decoded = decode(&kept).expect("a frame").expect("a whole one");
+    assert_eq!(
+        (decoded.descriptors, decoded.length),
+        (descriptors, kept.len()),
+        "{name}"
+    );
+    decoded.frame
 }
 
 /// A client's request, as it is transferred.
@@ -132,8 +136,11 @@
     let bytes = postcard::to_stdvec(mirror).expect("written");
     let (_, written) = through::<TransferredConnection>(&bytes);
     assert_eq!(written, bytes, "{name}: not the form of the mirror");
-    let Frame::Connection(9, payload) = kept(name, &Frame::Connection(9, written), descriptors)
-    else {
+    let sent = Frame::Connection {
+        number: 9,
+        payload: written,
+    };
+    let Frame::Connection { number: 9, payload } = kept(name, &sent, descriptors) else {
         panic!("{name}: another frame");
     };
     let (read, again) = through::<TransferredConnection>(&payload);
@@ -236,20 +243,28 @@
 #[test]
 fn a_snapshot_with_a_real_balancer_has_the_bytes_of_its_fixture() {
     let snapshot = std::fs::read(fixture("balancer_snapshot.bin")).expect("the snapshot's fixture");
-    let mut outs = Outs::default();
-    outs.listed(ServerId::of("s-1").0);
-    outs.detach("s-1", ServerId::of("s-1").0, 1_764_750_000.125)
+    let mut maintenance = MaintenanceSet::default();
+    maintenance.record_listed(ServerId::of("s-1").0);
+    maintenance
+        .detach("s-1", ServerId::of("s-1").0, 1_764_750_000.125)
         .expect("listed");
     let known = Snapshot {
         discovery: "10.9.8.7:8500".parse().expect("an address"),
         revision: 1 << 40,
         endpoints: members(),
         balancer: snapshot.clone(),
-        maintenance: outs.write(),
+        maintenance: maintenance.to_text(),
         lameduck: true,
     };
     let payload = postcard::to_stdvec(&known).expect("written");
-    let Frame::State(VERSION, payload) = kept("state_known", &Frame::State(VERSION, payload), 0)
+    let sent = Frame::State {
+        version: VERSION,
+        snapshot: payload,
+    };
+    let Frame::State {
+        version: VERSION,
+        snapshot: payload,
+    } = kept("state_known", &sent, 0)
     else {
         panic!("another frame");
     };
@@ -263,8 +278,8 @@
     assert_eq!(read.balancer, snapshot);
     let (_, balancer) = through::<Balancer>(&read.balancer);
     assert_eq!(balancer, snapshot, "the snapshot written again");
-    let taken_out = Outs::read(read.maintenance.as_bytes()).expect("a whole file");
-    assert_eq!(taken_out.out().collect::<Vec<_>>(), ["s-1"]);
+    let taken_out = MaintenanceSet::parse(read.maintenance.as_bytes()).expect("a whole file");
+    assert_eq!(taken_out.names().collect::<Vec<_>>(), ["s-1"]);
     let list = read.into_endpoint_list();
     assert_eq!((list.revision, list.complete), (1 << 40, true));
 }
@@ -281,7 +296,7 @@
             members: members(),
             unusable: unusable.clone(),
         };
-        let Frame::List(payload) = kept(name, &list_update_frame(&list), 0) else {
+        let Frame::EndpointList(payload) = kept(name, &list_update_frame(&list), 0) else {
             panic!("{name}: another frame");
         };
         let (read, again) = through::<EndpointList>(&payload);
@@ -299,7 +314,11 @@
 fn each_field_of_an_established_connection_is_read_from_its_own_place() {
     let bytes = std::fs::read(fixture("hot_restart/standing.bin")).expect("the fixture");
     let whole = decode(&bytes).expect("a frame");
-    let Some((Frame::Connection(_, payload), ..)) = whole else {
+    let Some(DecodedFrame {
+        frame: Frame::Connection { payload, .. },
+        ..
+    }) = whole
+    else {
         panic!("another frame: {whole:?}");
     };
     let Ok(TransferredConnection::Established(connection)) = postcard::from_bytes(&payload) else {
