--- a/crates/fleet-rig/src/capacity/data.rs
+++ b/crates/fleet-rig/src/capacity/data.rs
@@ -48,7 +48,7 @@
     let core = || Limit::Own(Figure::of(1.0), "one process runs on one core");
     let relay = Mechanism::Is("src/proxy/relay.rs", "pub fn relay(");
     let place = Mechanism::Is("src/balancer/mod.rs", "fn choose");
-    let list = Mechanism::Is("src/discovery/watcher.rs", "async fn follow");
+    let list = Mechanism::Is("src/discovery/watcher.rs", "async fn watch");
     let stand = connections(book);
     let memory = || Limit::Own(book.given("balancer-memory") * 1e9, "assumed");
     let zones = book.given("zones");
--- a/crates/fleet-rig/src/capacity/edges.rs
+++ b/crates/fleet-rig/src/capacity/edges.rs
@@ -7,7 +7,7 @@
 use super::row::{Limit, Mechanism, Row};
 use std::fmt::Write;
 
-const WATCH: Mechanism = Mechanism::Is("src/discovery/watcher.rs", "async fn follow");
+const WATCH: Mechanism = Mechanism::Is("src/discovery/watcher.rs", "async fn watch");
 const ONE_WATCH: Mechanism = Mechanism::Is("src/cluster/endpoint_list.rs", "pub struct ListNews");
 const OUTS: Mechanism = Mechanism::Is(
     "crates/admin/src/maintenance.rs",
@@ -17,7 +17,7 @@
 
 /// Calls a second at discovery: what waits is renewed so often, and each change ends the wait of all.
 fn calls(book: &Book, watchers: Figure, changes: Figure) -> Figure {
-    let wait = book.code("src/discovery/watcher.rs", "WAIT");
+    let wait = book.code("src/discovery/watcher.rs", "LONG_POLL_WAIT");
     watchers.clone() / wait + watchers * changes
 }
 
--- a/src/discovery/http.rs
+++ b/src/discovery/http.rs
@@ -1,23 +1,56 @@
-//! HTTP/1.1 as a client of discovery needs it: one GET at a time on a kept-alive connection.
+//! A minimal HTTP/1.1 client for discovery: one GET at a time on a kept-alive connection.
 
 use std::io;
 use std::net::SocketAddr;
+use thiserror::Error;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
-/// The most that a head and a body may hold.
+/// The longest head of a response, in bytes.
 const MAX_HEAD: u64 = 16 * 1024;
+/// The longest body of a response, in bytes.
 const MAX_BODY: u64 = 4 * 1024 * 1024;
 
-/// A connection, kept open between calls.
+/// Why a request failed.
+#[derive(Debug, Error)]
+pub enum HttpError {
+    /// The connection failed or ended.
+    #[error(transparent)]
+    Connection(#[from] io::Error),
+    /// The first line is no HTTP/1 status line.
+    #[error("no status")]
+    InvalidStatusLine,
+    /// A header is no name and value.
+    #[error("a header has no colon")]
+    InvalidHeader,
+    /// The length of the body is invalid or over the limit.
+    #[error("the length is no number, or too large")]
+    InvalidLength,
+    /// A line is not UTF-8.
+    #[error("a line is not text")]
+    LineNotText,
+    /// A line has no end within the limit.
+    #[error("a line is cut off or too long")]
+    LineTooLong,
+    /// A chunk does not begin with its size.
+    #[error("a chunk has no size")]
+    InvalidChunkSize,
+    /// A chunk does not end after its size.
+    #[error("a chunk is longer than its size")]
+    ChunkTooLong,
+    /// The chunks together are over the limit.
+    #[error("the body is too large")]
+    BodyTooLarge,
+}
+
+/// A connection that is kept open between requests.
 pub struct Connection {
     stream: BufReader<TcpStream>,
-    runtime: SocketAddr,
-    /// The other side keeps it open after the last answer.
-    pub alive: bool,
+    host: SocketAddr,
+    reusable: bool,
 }
 
-/// An answer.
+/// A response.
 pub struct Response {
     /// Its status.
     pub status: u16,
@@ -25,127 +58,149 @@
     pub body: Vec<u8>,
 }
 
-fn odd(what: &str) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, what)
+/// The status line of a response.
+struct StatusLine {
+    status: u16,
+    keeps_alive: bool,
+}
+
+/// What the headers of a response say about its body and its connection.
+struct Headers {
+    content_length: Option<u64>,
+    chunked: bool,
+    keeps_alive: bool,
 }
 
 impl Connection {
     /// Connects.
-    pub async fn open(runtime: SocketAddr) -> io::Result<Self> {
-        let stream = TcpStream::connect(runtime).await?;
+    ///
+    /// # Errors
+    /// If the host cannot be reached.
+    pub async fn open(host: SocketAddr) -> io::Result<Self> {
+        let stream = TcpStream::connect(host).await?;
         stream.set_nodelay(true)?;
         Ok(Self {
             stream: BufReader::new(stream),
-            runtime,
-            alive: true,
+            host,
+            reusable: true,
         })
     }
 
-    /// Nothing is there that nobody asked for: neither an answer that came twice nor the end.
-    pub fn quiet(&self) -> bool {
-        let nothing = self.stream.get_ref().try_read(&mut [0]);
-        self.stream.buffer().is_empty()
-            && nothing.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
+    /// Whether the host keeps the connection open after the last response.
+    pub fn is_reusable(&self) -> bool {
+        self.reusable
+    }
+
+    /// Whether nothing has arrived since the last response: neither unrequested bytes nor the end of the connection.
+    pub fn is_idle(&self) -> bool {
+        let read = self.stream.get_ref().try_read(&mut [0]);
+        let nothing = read.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock);
+        self.stream.buffer().is_empty() && nothing
+    }
+
+    /// Sends a GET and reads the response. After an error the connection is of no use.
+    ///
+    /// # Errors
+    /// If the connection fails, or the response is not HTTP/1 within the limits.
+    pub async fn get(&mut self, path: &str) -> Result<Response, HttpError> {
+        self.reusable = false;
+        self.send_get(path).await?;
+        let StatusLine {
+            status,
+            keeps_alive,
+        } = self.read_status_line().await?;
+        let headers = self.read_headers(keeps_alive).await?;
+        let delimited = headers.chunked || headers.content_length.is_some();
+        let body = match headers.content_length {
+            _ if headers.chunked => self.read_chunks().await?,
+            Some(length) => self.read_exactly(length).await?,
+            None if has_no_body(status) => Vec::new(),
+            None => self.read_to_end().await?,
+        };
+        self.reusable = headers.keeps_alive && (delimited || has_no_body(status));
+        Ok(Response { status, body })
     }
 
-    /// Sends a GET and reads the answer.
-    pub async fn get(&mut self, path: &str) -> io::Result<Response> {
-        let runtime = self.runtime;
+    async fn send_get(&mut self, path: &str) -> io::Result<()> {
+        let host = self.host;
         let head =
-            format!("GET {path} HTTP/1.1\r\nHost: {runtime}\r\nAccept: application/json\r\n\r\n");
-        self.alive = false;
-        self.stream.write_all(head.as_bytes()).await?;
-        let status = self.line(MAX_HEAD).await?;
-        let mut words = status.split(' ');
+            format!("GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n");
+        self.stream.write_all(head.as_bytes()).await
+    }
+
+    async fn read_status_line(&mut self) -> Result<StatusLine, HttpError> {
+        let line = self.read_line(MAX_HEAD).await?;
+        let mut words = line.split(' ');
         let version = words.next().unwrap_or("");
         let status = words.next().and_then(|code| code.parse().ok());
-        let status = status
-            .filter(|_| version.starts_with("HTTP/1."))
-            .ok_or_else(|| odd("no status"))?;
-        let (mut length, mut chunked, mut keep) = (None, false, version == "HTTP/1.1");
-        let mut room = MAX_HEAD;
+        let status = status.filter(|_| version.starts_with("HTTP/1."));
+        Ok(StatusLine {
+            status: status.ok_or(HttpError::InvalidStatusLine)?,
+            keeps_alive: version == "HTTP/1.1",
+        })
+    }
+
+    async fn read_headers(&mut self, keeps_alive: bool) -> Result<Headers, HttpError> {
+        let mut headers = Headers {
+            content_length: None,
+            chunked: false,
+            keeps_alive,
+        };
+        let mut limit = MAX_HEAD;
         loop {
-            let header = self.line(room).await?;
-            room = room.saturating_sub(header.len() as u64 + 2);
-            if header.is_empty() {
-                break;
-            }
-            let (name, value) = header
-                .split_once(':')
-                .ok_or_else(|| odd("a header has no colon"))?;
-            let value = value.trim().to_ascii_lowercase();
-            match name.to_ascii_lowercase().as_str() {
-                "content-length" => {
-                    let n = value.parse::<u64>().ok().filter(|n| *n <= MAX_BODY);
-                    length = Some(n.ok_or_else(|| odd("the length is no number, or too large"))?);
-                }
-                "transfer-encoding" => chunked = value.ends_with("chunked"),
-                "connection" if value.contains("close") => keep = false,
-                "connection" if value.contains("keep-alive") => keep = true,
-                _ => {}
+            let line = self.read_line(limit).await?;
+            limit = limit.saturating_sub(line.len() as u64 + 2);
+            if line.is_empty() {
+                return Ok(headers);
             }
+            headers.apply(&line)?;
         }
-        let body = match length {
-            _ if chunked => self.chunks().await?,
-            Some(length) => self.exactly(length).await?,
-            None if matches!(status, 204 | 304) => Vec::new(),
-            None => {
-                keep = false;
-                let mut body = Vec::new();
-                (&mut self.stream)
-                    .take(MAX_BODY)
-                    .read_to_end(&mut body)
-                    .await?;
-                body
-            }
-        };
-        self.alive = keep;
-        Ok(Response { status, body })
     }
 
-    async fn line(&mut self, room: u64) -> io::Result<String> {
+    async fn read_line(&mut self, limit: u64) -> Result<String, HttpError> {
         let mut line = Vec::new();
-        (&mut self.stream)
-            .take(room)
-            .read_until(b'\n', &mut line)
-            .await?;
+        let mut limited = (&mut self.stream).take(limit);
+        limited.read_until(b'\n', &mut line).await?;
         match line.strip_suffix(b"\n") {
             Some(text) => {
                 let text = text.strip_suffix(b"\r").unwrap_or(text);
-                String::from_utf8(text.to_vec()).map_err(|_| odd("a line is not text"))
+                String::from_utf8(text.to_vec()).map_err(|_| HttpError::LineNotText)
             }
-            None if line.is_empty() => Err(io::ErrorKind::UnexpectedEof.into()),
-            None => Err(odd("a line is cut off or too long")),
+            None if line.is_empty() => Err(unexpected_end()),
+            None => Err(HttpError::LineTooLong),
         }
     }
 
-    async fn exactly(&mut self, length: u64) -> io::Result<Vec<u8>> {
+    async fn read_exactly(&mut self, length: u64) -> Result<Vec<u8>, HttpError> {
         let mut body = Vec::new();
-        let read = (&mut self.stream)
-            .take(length)
-            .read_to_end(&mut body)
-            .await?;
+        let mut limited = (&mut self.stream).take(length);
+        let read = limited.read_to_end(&mut body).await?;
         if read as u64 == length {
             Ok(body)
         } else {
-            Err(io::ErrorKind::UnexpectedEof.into())
+            Err(unexpected_end())
         }
     }
 
-    async fn chunks(&mut self) -> io::Result<Vec<u8>> {
+    async fn read_to_end(&mut self) -> io::Result<Vec<u8>> {
+        let mut body = Vec::new();
+        let mut limited = (&mut self.stream).take(MAX_BODY);
+        limited.read_to_end(&mut body).await?;
+        Ok(body)
+    }
+
+    async fn read_chunks(&mut self) -> Result<Vec<u8>, HttpError> {
         let mut body = Vec::new();
         loop {
-            let size = self.line(MAX_HEAD).await?;
-            let digits = size.split(';').next().unwrap_or("").trim();
-            let size = u64::from_str_radix(digits, 16).map_err(|_| odd("a chunk has no size"))?;
+            let size = parse_chunk_size(&self.read_line(MAX_HEAD).await?)?;
             if size > MAX_BODY - body.len() as u64 {
-                return Err(odd("the body is too large"));
+                return Err(HttpError::BodyTooLarge);
             }
-            body.extend(self.exactly(size).await?);
+            body.extend(self.read_exactly(size).await?);
             // After the data, or after the last chunk and its trailers, there is an empty line.
-            while !self.line(MAX_HEAD).await?.is_empty() {
+            while !self.read_line(MAX_HEAD).await?.is_empty() {
                 if size > 0 {
-                    return Err(odd("a chunk is longer than its size"));
+                    return Err(HttpError::ChunkTooLong);
                 }
             }
             if size == 0 {
@@ -154,3 +209,35 @@
         }
     }
 }
+
+impl Headers {
+    fn apply(&mut self, line: &str) -> Result<(), HttpError> {
+        let (name, value) = line.split_once(':').ok_or(HttpError::InvalidHeader)?;
+        let value = value.trim().to_ascii_lowercase();
+        match name.to_ascii_lowercase().as_str() {
+            "content-length" => {
+                let length = value.parse().ok().filter(|length| *length <= MAX_BODY);
+                self.content_length = Some(length.ok_or(HttpError::InvalidLength)?);
+            }
+            "transfer-encoding" => self.chunked = value.ends_with("chunked"),
+            "connection" if value.contains("close") => self.keeps_alive = false,
+            "connection" if value.contains("keep-alive") => self.keeps_alive = true,
+            _ => {}
+        }
+        Ok(())
+    }
+}
+
+/// Whether a response with this status has no body, whatever its headers say.
+fn has_no_body(status: u16) -> bool {
+    matches!(status, 204 | 304)
+}
+
+fn parse_chunk_size(line: &str) -> Result<u64, HttpError> {
+    let digits = line.split(';').next().unwrap_or("").trim();
+    u64::from_str_radix(digits, 16).map_err(|_| HttpError::InvalidChunkSize)
+}
+
+fn unexpected_end() -> HttpError {
+    io::Error::from(io::ErrorKind::UnexpectedEof).into()
+}
