--- a/crates/fleet-rig/src/capacity/data.rs
+++ b/crates/fleet-rig/src/capacity/data.rs
@@ -210,8 +210,8 @@
             "restart without a successor",
             Unit::Rate,
             stand
-                / (book.code("src/admin/mod.rs", "EMPTY_BY")
-                    - book.code("src/admin/mod.rs", "ARRIVALS")),
+                / (book.code("src/lifecycle/draining.rs", "DRAIN_TIME")
+                    - book.code("src/lifecycle/draining.rs", "ARRIVAL_TIME")),
         )
         .by(Mechanism::Is(
             "crates/admin/src/drain_schedule.rs",
--- a/src/admin/maintenance_store.rs
+++ b/src/admin/maintenance_store.rs
@@ -1,79 +1,104 @@
-//! The file under `$TMPDIR` that keeps which backends are taken out.
+//! The file of the servers under maintenance, in `$TMPDIR`.
 
 use crate::invariants;
-use spanspur_admin::{maintenance::MaintenanceSet, maintenance_file::MAX_FILE};
+use spanspur_admin::maintenance::MaintenanceSet;
+use spanspur_admin::maintenance_file::{MAX_FILE, MaintenanceFileError};
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// Where it is; nowhere without `$TMPDIR`, which is this balancer's alone.
+/// The longest part of the balancer's name that is in the name of the file, in characters.
+const MAX_NAME: usize = 64;
+/// Extension of the file.
+const EXTENSION: &str = "outs";
+/// Extension of a file that is set aside.
+const INVALID_EXTENSION: &str = "outs.bad";
+
+/// The place of the file; none without `$TMPDIR`, which is this balancer's alone.
 #[derive(Clone)]
 pub struct MaintenanceStore {
     path: Option<PathBuf>,
 }
 
 impl MaintenanceStore {
-    /// The file of the balancer with this name.
+    /// The store of the balancer with this name.
     pub fn open(name: &str) -> Self {
-        let folder = std::env::var_os("TMPDIR").filter(|path| !path.is_empty());
-        let plain = |c: char| if c.is_ascii_alphanumeric() { c } else { '-' };
-        let name: String = name.chars().take(64).map(plain).collect();
-        let file = |folder| Path::new(&folder).join(format!("spanspur-{name}.outs"));
+        let directory = std::env::var_os("TMPDIR").filter(|path| !path.is_empty());
+        let file_name = file_name(name);
         Self {
-            path: folder.map(file),
+            path: directory.map(|directory| Path::new(&directory).join(file_name)),
         }
     }
 
-    /// The path of something else that is kept beside it.
-    pub fn beside(&self, extension: &str) -> Option<PathBuf> {
-        self.path
-            .as_ref()
-            .map(|path| path.with_extension(extension))
+    /// The path of something else that is kept beside the file.
+    pub fn path_beside(&self, extension: &str) -> Option<PathBuf> {
+        let path = self.path.as_ref()?;
+        Some(path.with_extension(extension))
     }
 
-    /// What it holds. A file that cannot be trusted is set aside, and never a reason not to start.
+    /// Reads the file. One that is invalid is set aside: it never keeps the process from starting.
     pub fn read(&self) -> Option<MaintenanceSet> {
         let path = self.path.as_ref()?;
-        let text = match bytes(path) {
+        let text = match read_limited(path) {
             Ok(text) => text,
-            Err(e) if e.kind() == io::ErrorKind::NotFound => return None,
-            Err(e) => {
-                tracing::warn!(file = %path.display(), error = %e, "cannot be read, is left alone");
+            Err(error) if error.kind() == io::ErrorKind::NotFound => return None,
+            Err(error) => {
+                tracing::warn!(file = %path.display(), %error, "unreadable maintenance file ignored");
                 return None;
             }
         };
         match MaintenanceSet::parse(&text) {
-            Ok(outs) => Some(outs),
-            Err(what) => {
-                invariants::count("a file of servers taken out cannot be trusted");
-                let aside = path.with_extension("outs.bad");
-                let done = fs::rename(path, &aside);
-                tracing::warn!(file = %path.display(), %what, aside = %aside.display(), ?done, "is set aside");
+            Ok(maintenance) => Some(maintenance),
+            Err(error) => {
+                set_aside(path, &error);
                 None
             }
         }
     }
 
-    /// Writes it whole: whoever reads finds the old state or the new one. Blocks; not for the runtime's thread.
-    pub fn write(&self, outs: &MaintenanceSet) -> io::Result<()> {
+    /// Replaces the file: whoever reads it finds the old state or the new one. Blocks; not for the event loop's thread.
+    ///
+    /// # Errors
+    /// If the file cannot be written or renamed.
+    pub fn write(&self, maintenance: &MaintenanceSet) -> io::Result<()> {
         let Some(path) = &self.path else {
             return Ok(());
         };
-        let fresh = path.with_extension(format!("outs.{}", std::process::id()));
+        let fresh = path.with_extension(format!("{EXTENSION}.{}", std::process::id()));
         let mut file = File::create(&fresh)?;
-        file.write_all(outs.to_text().as_bytes())?;
+        file.write_all(maintenance.to_text().as_bytes())?;
         file.sync_all()?;
         fs::rename(&fresh, path)?;
-        // The name lasts only with its folder.
+        // The new name is durable only with its directory.
         path.parent()
-            .map_or(Ok(()), |folder| File::open(folder)?.sync_all())
+            .map_or(Ok(()), |directory| File::open(directory)?.sync_all())
     }
 }
 
-fn bytes(path: &Path) -> io::Result<Vec<u8>> {
+fn file_name(balancer: &str) -> String {
+    let plain = |c: char| if c.is_ascii_alphanumeric() { c } else { '-' };
+    let name: String = balancer.chars().take(MAX_NAME).map(plain).collect();
+    format!("spanspur-{name}.{EXTENSION}")
+}
+
+/// Reads a file; of one that is too long only what shows that it is.
+fn read_limited(path: &Path) -> io::Result<Vec<u8>> {
     let mut text = Vec::new();
     File::open(path)?
         .take(MAX_FILE + 1)
         .read_to_end(&mut text)?;
     Ok(text)
 }
+
+fn set_aside(path: &Path, error: &MaintenanceFileError) {
+    invariants::count("invalid maintenance file");
+    let aside = path.with_extension(INVALID_EXTENSION);
+    let renamed = fs::rename(path, &aside);
+    tracing::warn!(
+        file = %path.display(),
+        %error,
+        aside = %aside.display(),
+        ?renamed,
+        "invalid maintenance file set aside"
+    );
+}
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -1,12 +1,12 @@
-//! The second address: the staff's calls, one to a connection.
+//! The admin address: requests of the staff, one to a connection.
 
 use super::maintenance_store::MaintenanceStore;
 use crate::api::ServerId;
 use crate::invariants;
 use crate::proxy::closing::send_and_close;
 use crate::runtime::Runtime;
-use crate::runtime::connection_limit::ConnectionLimit;
-use spanspur_admin::maintenance::MaintenanceError;
+use crate::runtime::connection_limit::{ConnectionLimit, ConnectionPermit};
+use spanspur_admin::maintenance::{MaintenanceError, MaintenanceSet};
 use spanspur_admin::request::{AdminRequest, MAX_BODY, MAX_HEAD, RequestError, parse_request};
 use spanspur_admin::response::Response;
 use spanspur_hot_restart::frame::Frame;
@@ -15,171 +15,186 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Mutex;
-use tokio::task::{spawn_blocking, spawn_local};
+use tokio::task::{spawn_blocking, spawn_local, yield_now};
 use tokio::time::{sleep, timeout};
 
-/// Who calls at the same time; for one more, the one that has not finished its call for longest gives way.
-pub const CALLERS: usize = 8;
-/// A call is whole within this.
-const CALL: Duration = Duration::from_secs(5);
+/// The most callers at a time; for one more, the one whose request is incomplete for longest is evicted.
+const MAX_CALLERS: usize = 8;
+/// Time for a caller to send its request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 /// Pause after accepting failed.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Bytes read at once.
+const READ_CHUNK: usize = 1024;
 
-/// What the calls change.
-struct Desk {
+/// What requests act on.
+struct AdminServer {
     runtime: Rc<Runtime>,
-    kept: Rc<MaintenanceStore>,
-    /// One change at a time: each is written before it counts.
-    writing: Mutex<()>,
+    store: Rc<MaintenanceStore>,
+    /// Held during a change: each is written before it comes into effect.
+    change: Mutex<()>,
 }
 
-/// Responses calls, as long as the process lives.
-pub async fn run(runtime: Rc<Runtime>, listener: TcpListener, kept: Rc<MaintenanceStore>) {
-    let room = Rc::new(ConnectionLimit::default());
-    let desk = Rc::new(Desk {
+/// Answers requests, as long as the process lives.
+pub async fn run(runtime: Rc<Runtime>, listener: TcpListener, store: Rc<MaintenanceStore>) {
+    let callers = Rc::new(ConnectionLimit::default());
+    let server = Rc::new(AdminServer {
         runtime,
-        kept,
-        writing: Mutex::new(()),
+        store,
+        change: Mutex::new(()),
     });
     loop {
         let caller = match listener.accept().await {
             Ok((caller, _)) => caller,
-            Err(e) => {
-                invariants::count("accepting a caller failed");
-                tracing::debug!(error = %e, "accept");
+            Err(error) => {
+                invariants::count("accepting an admin caller failed");
+                tracing::debug!(%error, "admin caller not accepted");
                 sleep(ACCEPT_PAUSE).await;
                 continue;
             }
         };
-        let Some(mut place) = room.acquire(CALLERS) else {
-            invariants::count("a caller finds no room");
+        let Some(permit) = callers.acquire(MAX_CALLERS) else {
+            invariants::count("too many admin callers");
             continue;
         };
-        let desk = desk.clone();
-        spawn_local(async move {
-            let _ = caller.set_nodelay(true);
-            let answer = tokio::select! {
-                answer = desk.hear(&caller) => answer,
-                () = place.evicted() => Some(Response::new(503, "others call: this call was not finished")),
-            };
-            if let Some(answer) = answer {
-                let answer = answer.encode();
-                tokio::select! {
-                    () = send_and_close(&caller, &answer) => {}
-                    () = place.evicted() => {}
-                }
-            }
-        });
-        // In a crowd of callers, those that give way have to be gone before the next is accepted.
-        tokio::task::yield_now().await;
+        spawn_local(server.clone().serve(caller, permit));
+        // In a crowd, those that are evicted have to be gone before the next caller is accepted.
+        yield_now().await;
     }
 }
 
-impl Desk {
-    /// Reads a call and carries it out; `None` if the caller has gone.
-    async fn hear(&self, caller: &TcpStream) -> Option<Response> {
-        let call = match timeout(CALL, read_call(caller)).await {
-            Ok(call) => call?,
+impl AdminServer {
+    async fn serve(self: Rc<Self>, caller: TcpStream, mut permit: ConnectionPermit) {
+        let _ = caller.set_nodelay(true);
+        let response = tokio::select! {
+            response = self.answer(&caller) => response,
+            () = permit.evicted() => Some(evicted_response()),
+        };
+        let Some(response) = response else { return };
+        let response = response.encode();
+        tokio::select! {
+            () = send_and_close(&caller, &response) => {}
+            () = permit.evicted() => {}
+        }
+    }
+
+    /// Reads a request and carries it out; `None` if the caller has gone.
+    async fn answer(&self, caller: &TcpStream) -> Option<Response> {
+        let request = match timeout(REQUEST_TIMEOUT, read_request(caller)).await {
+            Ok(request) => request?,
             Err(_) => Err(RequestError::TimedOut),
         };
-        let answer = match &call {
-            Ok(call) => self.carry_out(call).await,
+        let response = match &request {
+            Ok(request) => self.carry_out(request).await,
             Err(error) => error.response(),
         };
-        let status = answer.status;
-        match call {
-            Ok(AdminRequest::Ready) => tracing::debug!(status, "asked whether ready"),
-            call => tracing::info!(?call, status, text = answer.text, "called"),
+        let status = response.status;
+        match request {
+            Ok(AdminRequest::Ready) => tracing::debug!(status, "readiness request"),
+            request => tracing::info!(?request, status, text = response.text, "admin request"),
         }
-        Some(answer)
+        Some(response)
     }
 
-    async fn carry_out(&self, call: &AdminRequest) -> Response {
-        let runtime = &self.runtime;
-        match call {
-            AdminRequest::Ready => match (
-                runtime.is_ready(),
-                runtime.lifecycle.is_accepting(),
-                runtime.lifecycle.is_lameduck(),
-            ) {
-                (false, ..) => Response::new(503, "no stream server is known yet"),
-                (_, false, _) => Response::new(503, "another process takes the clients"),
-                (_, _, true) if runtime.lifecycle.is_lameduck_requested_here() => {
-                    Response::new(503, "is emptied")
-                }
-                _ => Response::new(200, "takes clients"),
-            },
-            AdminRequest::Drain(on) => {
-                runtime.lifecycle.set_lameduck_requested_here(*on);
-                runtime.peer_processes.broadcast(|| Frame::Draining(*on));
-                let changed = runtime.lifecycle.set_lameduck(*on);
-                Response::new(
-                    200,
-                    match (on, changed) {
-                        (true, true) => "is emptied from now on",
-                        (true, false) => "is being emptied already",
-                        (false, true) => "takes clients again",
-                        (false, false) => "was not being emptied",
-                    },
-                )
-            }
-            AdminRequest::Detach(name) => self.change(name, true).await,
-            AdminRequest::Attach(name) => self.change(name, false).await,
+    async fn carry_out(&self, request: &AdminRequest) -> Response {
+        match request {
+            AdminRequest::Ready => self.readiness(),
+            AdminRequest::Drain(draining) => self.set_draining(*draining),
+            AdminRequest::Detach(name) => self.detach(name).await,
+            AdminRequest::Attach(name) => self.attach(name).await,
         }
     }
 
-    /// Takes a backend out or puts it back. Written first, then it counts, then the caller hears.
-    async fn change(&self, name: &str, out: bool) -> Response {
-        let _one = self.writing.lock().await;
-        let (mut outs, now) = (self.runtime.maintenance(), self.runtime.now());
-        let id = ServerId::of(name).0;
-        let changed = match out {
-            true => outs.detach(name, id, now),
-            false => outs.attach(name, id, now),
-        };
-        match changed {
-            Err(error) => return Response::new(maintenance_status(error), error.to_string()),
-            Ok(false) if out => return Response::new(200, "is out already"),
-            Ok(false) => return Response::new(200, "was not out"),
-            Ok(true) => {}
+    fn readiness(&self) -> Response {
+        let lifecycle = &self.runtime.lifecycle;
+        if !self.runtime.is_ready() {
+            return Response::new(503, "no stream server is known yet");
+        }
+        if !lifecycle.is_accepting() {
+            return Response::new(503, "another process takes the clients");
         }
-        let (kept, written) = (MaintenanceStore::clone(&self.kept), outs.clone());
-        let written = spawn_blocking(move || kept.write(&written)).await;
-        if let Err(e) = written.map_err(io::Error::other).flatten() {
-            invariants::count("the servers taken out could not be written");
-            return Response::new(503, format!("cannot be kept, so nothing changes: {e}"));
+        if lifecycle.is_draining() && lifecycle.is_draining_requested_here() {
+            return Response::new(503, "is emptied");
         }
-        self.runtime.merge_maintenance(&outs);
-        self.runtime
+        Response::new(200, "takes clients")
+    }
+
+    fn set_draining(&self, draining: bool) -> Response {
+        let runtime = &self.runtime;
+        runtime.lifecycle.set_draining_requested_here(draining);
+        runtime
             .peer_processes
-            .broadcast(|| Frame::Maintenance(outs.to_text()));
-        Response::new(200, if out { "is out" } else { "may serve again" })
+            .broadcast(|| Frame::Draining(draining));
+        let changed = runtime.lifecycle.set_draining(draining);
+        let text = match (draining, changed) {
+            (true, true) => "is emptied from now on",
+            (true, false) => "is being emptied already",
+            (false, true) => "takes clients again",
+            (false, false) => "was not being emptied",
+        };
+        Response::new(200, text)
+    }
+
+    async fn detach(&self, name: &str) -> Response {
+        let _change = self.change.lock().await;
+        let (mut maintenance, now) = (self.runtime.maintenance(), self.runtime.now());
+        match maintenance.detach(name, ServerId::of(name).0, now) {
+            Err(error) => maintenance_response(error),
+            Ok(false) => Response::new(200, "is out already"),
+            Ok(true) => self.store_and_apply(&maintenance, "is out").await,
+        }
+    }
+
+    async fn attach(&self, name: &str) -> Response {
+        let _change = self.change.lock().await;
+        let (mut maintenance, now) = (self.runtime.maintenance(), self.runtime.now());
+        match maintenance.attach(name, ServerId::of(name).0, now) {
+            Err(error) => maintenance_response(error),
+            Ok(false) => Response::new(200, "was not out"),
+            Ok(true) => self.store_and_apply(&maintenance, "may serve again").await,
+        }
+    }
+
+    /// Writes the servers under maintenance, then brings them into effect, then answers the caller with this text.
+    async fn store_and_apply(&self, maintenance: &MaintenanceSet, text: &str) -> Response {
+        let (store, written) = (MaintenanceStore::clone(&self.store), maintenance.clone());
+        let written = spawn_blocking(move || store.write(&written)).await;
+        if let Err(error) = written.map_err(io::Error::other).flatten() {
+            invariants::count("maintenance file not written");
+            return Response::new(503, format!("cannot be kept, so nothing changes: {error}"));
+        }
+        self.runtime.merge_maintenance(maintenance);
+        let processes = &self.runtime.peer_processes;
+        processes.broadcast(|| Frame::Maintenance(maintenance.to_text()));
+        Response::new(200, text)
     }
 }
 
-/// The status of the response to a change that is rejected.
-fn maintenance_status(error: MaintenanceError) -> u16 {
-    match error {
+fn evicted_response() -> Response {
+    Response::new(503, "others call: this call was not finished")
+}
+
+fn maintenance_response(error: MaintenanceError) -> Response {
+    let status = match error {
         MaintenanceError::NeverListed => 404,
         MaintenanceError::TooMany => 507,
-    }
+    };
+    Response::new(status, error.to_string())
 }
 
-/// `None` at the end of the connection before the call is whole.
-async fn read_call(caller: &TcpStream) -> Option<Result<AdminRequest, RequestError>> {
-    let mut sent = Vec::new();
+/// Reads a request; `None` at the end of the connection before it is complete.
+async fn read_request(caller: &TcpStream) -> Option<Result<AdminRequest, RequestError>> {
+    let mut received = Vec::new();
     loop {
-        match parse_request(&sent) {
-            Ok(Some(call)) => return Some(Ok(call)),
-            Ok(None) => {}
-            Err(error) => return Some(Err(error)),
+        if let Some(request) = parse_request(&received).transpose() {
+            return Some(request);
         }
         caller.readable().await.ok()?;
-        let mut chunk = [0; 1024];
-        let room = (MAX_HEAD + MAX_BODY).saturating_sub(sent.len());
-        match caller.try_read(&mut chunk[..room.min(1024)]) {
-            Ok(n) if n > 0 => sent.extend_from_slice(&chunk[..n]),
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
+        let mut chunk = [0; READ_CHUNK];
+        let limit = (MAX_HEAD + MAX_BODY).saturating_sub(received.len());
+        match caller.try_read(&mut chunk[..limit.min(READ_CHUNK)]) {
+            Ok(read) if read > 0 => received.extend_from_slice(&chunk[..read]),
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
             _ => return None,
         }
     }
--- /dev/null
+++ b/src/lifecycle/draining.rs
@@ -0,0 +1,45 @@
+//! Drains the balancer by a call of the staff: its clients are migrated, and the process runs on.
+
+use super::migration::{MIGRATION_INTERVAL, Migrator};
+use crate::runtime::Runtime;
+use spanspur_admin::drain_schedule::DrainSchedule;
+use std::rc::Rc;
+use tokio::time::sleep;
+
+/// Seconds in which clients may still arrive: the front asks ten times a second and stops sending 0.2 s after a no. A
+/// client migrated before that could come back here.
+const ARRIVAL_TIME: f64 = 0.4;
+/// Seconds until all connections have been told to migrate. All have to be gone after 4 s: this leaves half a second for
+/// clients that arrive late.
+const DRAIN_TIME: f64 = 3.5;
+
+/// Drains the balancer whenever it is told to, until it is told to take clients again.
+pub async fn run(runtime: Rc<Runtime>) {
+    let mut draining = runtime.lifecycle.subscribe_draining();
+    loop {
+        if draining.wait_for(|draining| *draining).await.is_err() {
+            return;
+        }
+        tracing::info!(
+            established = runtime.established_requests().len(),
+            "draining"
+        );
+        let mut migrator = Migrator::new(runtime.clone(), schedule(&runtime));
+        while *draining.borrow_and_update() {
+            migrator.migrate_due();
+            sleep(MIGRATION_INTERVAL).await;
+        }
+        tracing::info!(
+            established = runtime.established_requests().len(),
+            "draining ended"
+        );
+    }
+}
+
+fn schedule(runtime: &Runtime) -> DrainSchedule {
+    let now = runtime.now();
+    DrainSchedule {
+        start: now + ARRIVAL_TIME,
+        deadline: now + DRAIN_TIME,
+    }
+}
--- a/src/lifecycle/graceful_shutdown.rs
+++ b/src/lifecycle/graceful_shutdown.rs
@@ -1,6 +1,8 @@
-//! SIGTERM: serve what still arrives, answer all, move every standing connection, and leave.
+//! Graceful shutdown after SIGTERM: clients that still arrive are served, established connections are migrated or
+//! transferred to the successor, all requests get their final response, and the process exits.
 
-use crate::admin::Service;
+use super::hot_restart::HotRestart;
+use super::migration::{MIGRATION_INTERVAL, Migrator};
 use crate::api::{Event, RequestId};
 use crate::invariants;
 use crate::runtime::{Command, Runtime, duration};
@@ -10,121 +12,138 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// New connections arrive for up to 0.4 s more; a client moved before that could come back here.
-const ARRIVALS: Duration = Duration::from_millis(450);
-/// The clients are spread over this time, so that they do not fall on the other balancers in one wave.
-const SPREAD: Duration = Duration::from_millis(1000);
-/// SIGKILL comes no earlier than the longest wait, counted as this at most, and a grace after SIGTERM.
-const LONGEST_WAIT: Duration = Duration::from_secs(3);
-const GRACE: Duration = Duration::from_millis(700);
-/// Before that, the last answers are given and written.
-const ANSWER_BEFORE: Duration = Duration::from_millis(450);
-const EXIT_BEFORE: Duration = Duration::from_millis(250);
-/// Who has its answer gets this long to end its side: an exit over unread bytes resets the connection.
-const LAST_WORDS: Duration = Duration::from_millis(200);
-/// How often the rest is looked at.
-const TICK: Duration = Duration::from_millis(20);
-/// Nothing is left once so many looks in a row have found nothing: a client may wait to be accepted at the first.
-const EMPTY_LOOKS: u32 = 2;
+/// New connections arrive for up to 0.4 s more; a client migrated before that could come back here.
+const ARRIVAL_TIME: Duration = Duration::from_millis(450);
+/// Migrations are spread over this time, so that the clients do not reach the other balancers in one wave.
+const MIGRATION_TIME: Duration = Duration::from_millis(1000);
+/// SIGKILL comes no earlier after SIGTERM than the longest wait of a client, counted as this at most, and a grace period.
+const MAX_CLIENT_WAIT: Duration = Duration::from_secs(3);
+/// The grace period.
+const KILL_GRACE: Duration = Duration::from_millis(700);
+/// Time before SIGKILL at which the final responses are sent.
+const FINAL_RESPONSES_BEFORE_KILL: Duration = Duration::from_millis(450);
+/// Time before SIGKILL at which the process stops waiting for requests.
+const EXIT_BEFORE_KILL: Duration = Duration::from_millis(250);
+/// Time for clients that have their response to close their side: an exit over unread bytes resets the connection.
+const CLOSE_TIME: Duration = Duration::from_millis(200);
+/// The process is idle after so many ticks in a row without a client: at the first one a client may wait to be accepted.
+const IDLE_TICKS: u32 = 2;
 
-/// Moves what stands, each connection once, at a pace.
-pub struct Migrator {
+/// Shuts the process down; returns when it may exit.
+pub async fn run(runtime: Rc<Runtime>, hot_restart: Option<&HotRestart>) {
+    runtime.lifecycle.set_shutting_down();
+    if let Some(hot_restart) = hot_restart {
+        hot_restart.begin_shutdown();
+    }
+    tracing::info!(
+        established = runtime.established_requests().len(),
+        "graceful shutdown"
+    );
+    let mut shutdown = GracefulShutdown::new(runtime);
+    shutdown.finish_requests().await;
+    shutdown.wait_for_clients_to_close().await;
+    if shutdown.not_migrated > 0 {
+        invariants::count("established connections at the exit");
+    }
+}
+
+struct GracefulShutdown {
     runtime: Rc<Runtime>,
-    pace: DrainSchedule,
-    moved: HashSet<RequestId>,
+    arrivals_end: Instant,
+    /// The earliest time of SIGKILL.
+    kill: Instant,
+    migrator: Migrator,
+    /// Established connections that the migrator has not told yet, at its last tick.
+    not_migrated: usize,
+    /// Requests whose connection was offered to the successor.
+    offered: HashSet<RequestId>,
+    idle_ticks: u32,
 }
 
-impl Migrator {
-    /// Nothing is moved yet.
-    pub fn new(runtime: Rc<Runtime>, pace: DrainSchedule) -> Self {
-        let moved = HashSet::new();
+impl GracefulShutdown {
+    fn new(runtime: Rc<Runtime>) -> Self {
+        let start = Instant::now();
+        let longest_wait = duration(runtime.process_config().longest_wait);
+        let migration_start = runtime.now() + ARRIVAL_TIME.as_secs_f64();
+        let schedule = DrainSchedule {
+            start: migration_start,
+            deadline: migration_start + MIGRATION_TIME.as_secs_f64(),
+        };
         Self {
+            arrivals_end: start + ARRIVAL_TIME,
+            kill: start + longest_wait.min(MAX_CLIENT_WAIT) + KILL_GRACE,
+            migrator: Migrator::new(runtime.clone(), schedule),
+            not_migrated: 0,
+            offered: HashSet::new(),
+            idle_ticks: 0,
             runtime,
-            pace,
-            moved,
         }
     }
 
-    /// Moves what is due where the next look comes after `tick`; returns how many stand that were not told.
-    pub fn look(&mut self, tick: Duration) -> usize {
-        let mut standing = self.runtime.established_requests();
-        standing.retain(|id| !self.moved.contains(id));
-        let left = standing.len();
-        let count = self.pace.due(self.runtime.now(), tick.as_secs_f64(), left);
-        for id in standing.into_iter().take(count) {
-            self.moved.insert(id);
-            self.runtime.send_command(id, Command::Migrate);
+    /// Serves, migrates and transfers until no client is left, or SIGKILL is near.
+    async fn finish_requests(&mut self) {
+        while Instant::now() < self.kill - EXIT_BEFORE_KILL {
+            sleep(MIGRATION_INTERVAL).await;
+            let now = Instant::now();
+            if self.runtime.peer_processes.has_successor() {
+                // The successor continues with the established connections, and nobody arrives here any more.
+                self.transfer_established();
+            } else if now < self.arrivals_end {
+                continue;
+            } else {
+                self.not_migrated = self.migrator.migrate_due();
+            }
+            if self.is_finished() {
+                return;
+            }
+            if now >= self.kill - FINAL_RESPONSES_BEFORE_KILL {
+                self.send_final_responses();
+            }
         }
-        left - count
     }
-}
 
-/// Empties the process; returns when it may exit.
-pub async fn run(runtime: Rc<Runtime>, service: &Service) {
-    let longest_wait = duration(runtime.process_config().longest_wait);
-    runtime.lifecycle.set_shutting_down();
-    service.leave();
-    tracing::info!(
-        standing = runtime.established_requests().len(),
-        "told to stop"
-    );
-    let start = Instant::now();
-    let kill = start + longest_wait.min(LONGEST_WAIT) + GRACE;
-    let from = runtime.now() + ARRIVALS.as_secs_f64();
-    let until = from + SPREAD.as_secs_f64();
-    let mut mover = Migrator::new(
-        runtime.clone(),
-        DrainSchedule {
-            start: from,
-            deadline: until,
-        },
-    );
-    let mut left = 0;
-    let mut offered = HashSet::new();
-    let mut empty = 0;
-    while Instant::now() < kill - EXIT_BEFORE {
-        sleep(TICK).await;
-        let now = Instant::now();
-        if runtime.peer_processes.has_successor() {
-            // Another process goes on with what stands, and nobody arrives here any more.
-            for id in runtime.established_requests() {
-                if offered.insert(id) {
-                    runtime.send_command(id, Command::Transfer);
-                }
+    fn transfer_established(&mut self) {
+        for id in self.runtime.established_requests() {
+            if self.offered.insert(id) {
+                self.runtime.send_command(id, Command::Transfer);
             }
-        } else if now < start + ARRIVALS {
-            continue;
-        } else {
-            left = mover.look(TICK);
-        }
-        let waiting = runtime.pending_requests();
-        // One that has not said yet what it wants may take its time, and is owed an answer then.
-        let none = runtime.established_requests().is_empty()
-            && waiting.is_empty()
-            && runtime.lifecycle.clients_without_request.count() == 0;
-        empty = if none { empty + 1 } else { 0 };
-        // Where another process takes the clients, nobody is accepted here.
-        if empty >= EMPTY_LOOKS || (none && runtime.peer_processes.has_successor()) {
-            break;
-        }
-        if now >= kill - ANSWER_BEFORE {
-            // Refused or failed, by what may have run: the module knows.
-            let leave = |id| runtime.handle_event(Event::ShutdownDeadline(id));
-            waiting.into_iter().for_each(leave);
-            runtime.lifecycle.set_exiting();
         }
     }
-    let end = (Instant::now() + LAST_WORDS).min(kill - EXIT_BEFORE / 2);
-    if runtime.lifecycle.clients_with_pending_close.count() > 0 {
-        tracing::info!(
-            clients = runtime.lifecycle.clients_with_pending_close.count(),
-            "waits for clients that have their answer to end"
-        );
+
+    /// Whether no client is left, and none can arrive.
+    fn is_finished(&mut self) -> bool {
+        let idle = self.is_idle();
+        self.idle_ticks = if idle { self.idle_ticks + 1 } else { 0 };
+        // Where a successor accepts the clients, none is accepted here.
+        self.idle_ticks >= IDLE_TICKS || (idle && self.runtime.peer_processes.has_successor())
+    }
+
+    /// Whether no client is served. One that has not sent its request yet may take its time, and is owed a response.
+    fn is_idle(&self) -> bool {
+        self.runtime.established_requests().is_empty()
+            && self.runtime.pending_requests().is_empty()
+            && self.runtime.lifecycle.clients_without_request.count() == 0
     }
-    while runtime.lifecycle.clients_with_pending_close.count() > 0 && Instant::now() < end {
-        sleep(TICK).await;
+
+    /// Rejects or fails what is pending: the balancer knows which, by what may have been executed.
+    fn send_final_responses(&self) {
+        for id in self.runtime.pending_requests() {
+            self.runtime.handle_event(Event::ShutdownDeadline(id));
+        }
+        self.runtime.lifecycle.set_exiting();
     }
-    if left > 0 {
-        invariants::count("connections that stood at the exit");
+
+    async fn wait_for_clients_to_close(&self) {
+        let clients = &self.runtime.lifecycle.clients_with_pending_close;
+        let end = (Instant::now() + CLOSE_TIME).min(self.kill - EXIT_BEFORE_KILL / 2);
+        if clients.count() > 0 {
+            tracing::info!(
+                clients = clients.count(),
+                "waiting for answered clients to close"
+            );
+        }
+        while clients.count() > 0 && Instant::now() < end {
+            sleep(MIGRATION_INTERVAL).await;
+        }
     }
 }
--- /dev/null
+++ b/src/lifecycle/hot_restart/peer.rs
@@ -0,0 +1,91 @@
+//! What both processes of a hot restart do on their link: they pass on updates, and report the descriptors that their
+//! clients hold.
+
+use crate::api::UpdateKind;
+use crate::discovery::endpoint_list::EndpointList;
+use crate::invariants;
+use crate::runtime::Runtime;
+use spanspur_admin::maintenance::MaintenanceSet;
+use spanspur_hot_restart::frame::Frame;
+use spanspur_hot_restart::link::Sender;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::mpsc;
+use tokio::time::sleep;
+
+/// Time for the other process to send its first frame.
+pub const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
+/// Updates that may wait to be sent to the other process.
+pub const MAX_QUEUED_UPDATES: usize = 256;
+/// How often the number of descriptors that clients hold is reported, if it has changed.
+const REPORT_INTERVAL: Duration = Duration::from_millis(50);
+/// Descriptors that a process holds besides its clients': standard streams, the event loop, listeners, discovery, admin.
+const OWN_DESCRIPTORS: usize = 20;
+
+/// Sends updates, and the number of descriptors that clients hold here, until the link breaks.
+pub async fn send_updates(
+    sender: &Sender,
+    mut updates: mpsc::Receiver<Frame>,
+    held_descriptors: impl Fn() -> usize,
+) {
+    let mut reported = None;
+    loop {
+        let pause = match reported {
+            None => Duration::ZERO,
+            Some(_) => REPORT_INTERVAL,
+        };
+        let frame = tokio::select! {
+            biased;
+            update = updates.recv() => update,
+            () = sleep(pause) => Some(Frame::HeldDescriptors(held_descriptors() as u32)),
+        };
+        let Some(frame) = frame else { return };
+        if let Frame::HeldDescriptors(held) = frame
+            && reported.replace(held) == Some(held)
+        {
+            continue;
+        }
+        if sender.send(&frame, &[]).await.is_err() {
+            return;
+        }
+    }
+}
+
+/// Applies an update from the other process.
+pub fn apply_update(runtime: &Rc<Runtime>, update: Frame) {
+    match update {
+        Frame::HeldDescriptors(held) => {
+            let descriptors = held as usize + OWN_DESCRIPTORS;
+            runtime.peer_processes.set_descriptors(descriptors);
+        }
+        Frame::EndpointList(payload) => apply_endpoint_list(runtime, &payload),
+        Frame::Maintenance(text) => match MaintenanceSet::parse(text.as_bytes()) {
+            Ok(maintenance) => runtime.merge_maintenance(&maintenance),
+            Err(error) => {
+                tracing::warn!(%error, "unreadable maintenance update from other process");
+            }
+        },
+        Frame::Draining(draining) => {
+            runtime.lifecycle.set_draining(draining);
+        }
+        _ => invariants::count("unexpected frame from other process"),
+    }
+}
+
+fn apply_endpoint_list(runtime: &Rc<Runtime>, payload: &[u8]) {
+    let list: EndpointList = match postcard::from_bytes(payload) {
+        Ok(list) => list,
+        Err(error) => {
+            return tracing::warn!(%error, "unreadable endpoint list from other process");
+        }
+    };
+    // Each process watches by itself: a newer list is not replaced by one that the other received earlier.
+    if list.revision <= runtime.list_revision() {
+        return;
+    }
+    let kind = match list.complete {
+        true => UpdateKind::Full,
+        false => UpdateKind::Delta,
+    };
+    runtime.update_endpoints(kind, list);
+}
--- /dev/null
+++ b/src/lifecycle/hot_restart/predecessor.rs
@@ -0,0 +1,136 @@
+//! The older process: listens for successors, and sends them its state, updates and connections.
+
+use super::HotRestart;
+use super::peer::{HELLO_TIMEOUT, MAX_QUEUED_UPDATES, apply_update, send_updates};
+use crate::invariants;
+use crate::transfer::ConnectionSender;
+use spanspur_hot_restart::frame::{Frame, VERSION};
+use spanspur_hot_restart::link::{ReceivedFrame, Receiver, link};
+use spanspur_hot_restart::predecessor::{Input, SuccessorId};
+use std::fs::{self, Permissions};
+use std::io;
+use std::os::unix::fs::PermissionsExt;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::{UnixListener, UnixStream};
+use tokio::sync::mpsc;
+use tokio::task::spawn_local;
+use tokio::time::{sleep, timeout};
+
+/// Successors that may be connected: one that starts, one that may be stuck, and one that replaces that.
+const MAX_SUCCESSORS: usize = 4;
+/// Pause after accepting a successor failed.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Access to the socket: whoever connects is given the clients, so the owner's processes only.
+const SOCKET_MODE: u32 = 0o600;
+
+impl HotRestart {
+    /// Lets successors connect from here on.
+    pub(super) fn listen_for_successors(self: &Rc<Self>) {
+        match self.bind() {
+            Ok(listener) => drop(spawn_local(self.clone().accept_successors(listener))),
+            Err(error) => {
+                invariants::count("no successor can connect");
+                let path = self.socket_path.display();
+                tracing::warn!(%path, %error, "hot restart socket not bound");
+            }
+        }
+    }
+
+    /// Binds a fresh socket and renames it, so that whoever connects finds the old socket or this one.
+    fn bind(&self) -> io::Result<UnixListener> {
+        let extension = format!("sock{}", std::process::id());
+        let fresh = self.socket_path.with_extension(extension);
+        let _ = fs::remove_file(&fresh);
+        let listener = UnixListener::bind(&fresh)?;
+        fs::set_permissions(&fresh, Permissions::from_mode(SOCKET_MODE))?;
+        fs::rename(&fresh, &self.socket_path)?;
+        Ok(listener)
+    }
+
+    async fn accept_successors(self: Rc<Self>, listener: UnixListener) {
+        for id in (0..).map(SuccessorId) {
+            match listener.accept().await {
+                Ok((stream, _)) if self.successors.borrow().len() < MAX_SUCCESSORS => {
+                    spawn_local(self.clone().serve_successor(stream, id));
+                }
+                Ok(_) => invariants::count("too many successors"),
+                Err(error) => {
+                    tracing::warn!(%error, "successor not accepted");
+                    sleep(ACCEPT_PAUSE).await;
+                }
+            }
+        }
+    }
+
+    async fn serve_successor(self: Rc<Self>, stream: UnixStream, id: SuccessorId) {
+        let (sender, mut receiver) = link(stream);
+        let Some(version) = receive_hello(&mut receiver).await else {
+            return invariants::count("successor without hello");
+        };
+        let (queue, updates) = mpsc::channel(MAX_QUEUED_UPDATES);
+        let state = Frame::State {
+            version: VERSION,
+            snapshot: self.snapshot_for(version),
+        };
+        self.runtime.peer_processes.add(queue);
+        if sender.send(&state, &[]).await.is_err() || version != VERSION {
+            return tracing::warn!(
+                version,
+                expected = VERSION,
+                "successor cannot continue from this process"
+            );
+        }
+        let transfers = ConnectionSender::new(sender);
+        self.successors.borrow_mut().insert(id, transfers.clone());
+        let held_descriptors = || {
+            let held = self.runtime.connection_limit.held();
+            held.saturating_sub(transfers.descriptors_in_transit())
+        };
+        tokio::select! {
+            () = self.receive(id, &transfers, receiver) => {}
+            () = send_updates(transfers.link(), updates, held_descriptors) => {}
+        }
+        self.successor_gone(id, &transfers);
+    }
+
+    /// The state for a successor of this version. A state without a snapshot is understood by all versions: the successor
+    /// cannot continue from this process.
+    fn snapshot_for(&self, version: u32) -> Vec<u8> {
+        match version {
+            VERSION => postcard::to_stdvec(&self.runtime.snapshot()).unwrap_or_default(),
+            _ => Vec::new(),
+        }
+    }
+
+    async fn receive(&self, id: SuccessorId, transfers: &ConnectionSender, mut receiver: Receiver) {
+        while let Ok(Some(ReceivedFrame { frame, .. })) = receiver.next().await {
+            match frame {
+                Frame::Ready => self.handle(Input::SuccessorReady(id)),
+                Frame::Acknowledge { number, taken_over } => {
+                    transfers.acknowledge(number, taken_over);
+                }
+                update => apply_update(&self.runtime, update),
+            }
+        }
+    }
+
+    fn successor_gone(&self, id: SuccessorId, transfers: &ConnectionSender) {
+        transfers.close();
+        self.successors.borrow_mut().remove(&id);
+        // One that disconnects while another is connected says nothing of the descriptors that the other holds.
+        if self.successors.borrow().is_empty() {
+            self.runtime.peer_processes.set_descriptors(0);
+        }
+        self.handle(Input::SuccessorGone(id));
+    }
+}
+
+/// The version of the successor; `None` if its first frame is not a hello, or late.
+async fn receive_hello(receiver: &mut Receiver) -> Option<u32> {
+    let received = timeout(HELLO_TIMEOUT, receiver.next()).await;
+    match received.ok()?.ok()??.frame {
+        Frame::Hello { version } => Some(version),
+        _ => None,
+    }
+}
--- /dev/null
+++ b/src/lifecycle/hot_restart/successor.rs
@@ -0,0 +1,222 @@
+//! The newer process: connects to its predecessor, continues from its state, and takes over its connections.
+
+use super::peer::{HELLO_TIMEOUT, MAX_QUEUED_UPDATES, apply_update, send_updates};
+use crate::invariants;
+use crate::proxy::client::{serve, serve_transferred};
+use crate::proxy::client_reader::ClientReader;
+use crate::runtime::{Runtime, duration};
+use crate::transfer::{EstablishedConnection, Snapshot, TransferredConnection};
+use spanspur_admin::maintenance::MaintenanceSet;
+use spanspur_hot_restart::frame::{Frame, VERSION};
+use spanspur_hot_restart::link::{LinkError, ReceivedFrame, Receiver, Sender, link};
+use std::io;
+use std::os::fd::OwnedFd;
+use std::path::Path;
+use std::rc::Rc;
+use thiserror::Error;
+use tokio::net::{TcpStream, UnixStream};
+use tokio::sync::mpsc;
+use tokio::task::spawn_local;
+use tokio::time::timeout;
+
+/// Why this process cannot continue from another one.
+#[derive(Debug, Error)]
+enum PredecessorError {
+    /// Nobody listens at the socket.
+    #[error(transparent)]
+    NotRunning(io::Error),
+    /// No answer in time.
+    #[error("no answer in time")]
+    TimedOut,
+    /// The link failed.
+    #[error("the link failed: {0}")]
+    Link(#[from] LinkError),
+    /// The link was closed without an answer.
+    #[error("the link was closed")]
+    Closed,
+    /// The first frame is not the state.
+    #[error("another frame than the state")]
+    UnexpectedFrame,
+    /// The predecessor's protocol has another version.
+    #[error("version {theirs}, not {VERSION}")]
+    OtherVersion {
+        /// The predecessor's version.
+        theirs: u32,
+    },
+    /// The state cannot be decoded.
+    #[error("unreadable snapshot: {0}")]
+    InvalidSnapshot(#[from] postcard::Error),
+}
+
+/// The link to the older process, which still serves.
+pub struct PredecessorLink {
+    sender: Sender,
+    receiver: Receiver,
+    updates: mpsc::Receiver<Frame>,
+    /// Revision of the endpoint list taken over, if it is of the same discovery.
+    pub revision: Option<u64>,
+}
+
+/// Connects to the older process and continues from its state, if there is one.
+pub async fn connect(runtime: &Rc<Runtime>, socket_path: &Path) -> Option<PredecessorLink> {
+    match request_state(socket_path).await {
+        Ok((sender, receiver, snapshot)) => {
+            Some(continue_from(runtime, snapshot, sender, receiver))
+        }
+        Err(error @ PredecessorError::NotRunning(_)) => {
+            tracing::info!(%error, "no predecessor is running");
+            None
+        }
+        Err(error) => {
+            tracing::warn!(%error, "no hot restart from the predecessor");
+            None
+        }
+    }
+}
+
+async fn request_state(
+    socket_path: &Path,
+) -> Result<(Sender, Receiver, Snapshot), PredecessorError> {
+    let stream = UnixStream::connect(socket_path).await;
+    let (sender, mut receiver) = link(stream.map_err(PredecessorError::NotRunning)?);
+    let answer = async {
+        sender.send(&Frame::Hello { version: VERSION }, &[]).await?;
+        receiver.next().await
+    };
+    let answer = timeout(HELLO_TIMEOUT, answer).await;
+    let answer = answer.map_err(|_| PredecessorError::TimedOut)??;
+    match answer.ok_or(PredecessorError::Closed)?.frame {
+        Frame::State {
+            version: VERSION,
+            snapshot,
+        } => Ok((sender, receiver, postcard::from_bytes(&snapshot)?)),
+        Frame::State { version, .. } => Err(PredecessorError::OtherVersion { theirs: version }),
+        _ => Err(PredecessorError::UnexpectedFrame),
+    }
+}
+
+fn continue_from(
+    runtime: &Rc<Runtime>,
+    snapshot: Snapshot,
+    sender: Sender,
+    receiver: Receiver,
+) -> PredecessorLink {
+    tracing::info!(
+        revision = snapshot.revision,
+        endpoints = snapshot.endpoints.len(),
+        draining = snapshot.draining,
+        "continuing from predecessor"
+    );
+    match MaintenanceSet::parse(snapshot.maintenance.as_bytes()) {
+        Ok(maintenance) => runtime.merge_maintenance(&maintenance),
+        Err(error) => tracing::warn!(%error, "unreadable maintenance state of the predecessor"),
+    }
+    runtime.lifecycle.set_draining(snapshot.draining);
+    let same_discovery = snapshot.discovery == runtime.process_config().discovery;
+    let revision = same_discovery.then_some(snapshot.revision);
+    let (queue, updates) = mpsc::channel(MAX_QUEUED_UPDATES);
+    runtime.peer_processes.add(queue);
+    runtime.restore(snapshot);
+    PredecessorLink {
+        sender,
+        receiver,
+        updates,
+        revision,
+    }
+}
+
+impl PredecessorLink {
+    /// Notifies the predecessor that this process accepts the clients, and takes over its connections from here on.
+    pub async fn take_clients(self, runtime: Rc<Runtime>) {
+        if self.sender.send(&Frame::Ready, &[]).await.is_err() {
+            tracing::warn!("predecessor has exited before this process was ready");
+        }
+        spawn_local(self.serve(runtime));
+    }
+
+    async fn serve(self, runtime: Rc<Runtime>) {
+        let Self {
+            sender,
+            receiver,
+            updates,
+            ..
+        } = self;
+        let held_descriptors = || runtime.connection_limit.held();
+        tokio::select! {
+            () = receive(&runtime, &sender, receiver) => {}
+            () = send_updates(&sender, updates, held_descriptors) => {}
+        }
+        runtime.peer_processes.set_descriptors(0);
+        tracing::info!(
+            established = runtime.established_requests().len(),
+            "predecessor has exited"
+        );
+    }
+}
+
+/// Takes over connections and applies updates until the link ends.
+async fn receive(runtime: &Rc<Runtime>, sender: &Sender, mut receiver: Receiver) {
+    while let Ok(Some(ReceivedFrame { frame, descriptors })) = receiver.next().await {
+        let Frame::Connection { number, payload } = frame else {
+            apply_update(runtime, frame);
+            continue;
+        };
+        let taken_over = take_over(runtime, &payload, descriptors);
+        let answer = Frame::Acknowledge { number, taken_over };
+        if sender.send(&answer, &[]).await.is_err() {
+            return;
+        }
+    }
+}
+
+/// Continues with a connection of the predecessor; whether it can.
+fn take_over(runtime: &Rc<Runtime>, payload: &[u8], descriptors: Vec<OwnedFd>) -> bool {
+    // They were counted at the predecessor until now.
+    let others = runtime.peer_processes.descriptors();
+    let others = others.saturating_sub(descriptors.len());
+    runtime.peer_processes.set_descriptors(others);
+    let to_stream = |fd| TcpStream::from_std(std::net::TcpStream::from(fd)).ok();
+    let mut streams = descriptors.into_iter().map_while(to_stream);
+    let taken_over = match postcard::from_bytes(payload) {
+        Ok(TransferredConnection::Established(connection)) => {
+            let streams = streams.next().zip(streams.next());
+            streams.map(|(client, backend)| {
+                serve_established(runtime, connection, client, backend);
+            })
+        }
+        Ok(TransferredConnection::AwaitingRequest(received, time_left)) => {
+            let client = streams.next();
+            client.map(|client| serve_awaiting_request(runtime, client, received, time_left))
+        }
+        Err(error) => {
+            tracing::warn!(%error, "unreadable connection of the predecessor");
+            None
+        }
+    };
+    if taken_over.is_none() {
+        invariants::count("connection of the predecessor not taken over");
+    }
+    taken_over.is_some()
+}
+
+fn serve_established(
+    runtime: &Rc<Runtime>,
+    connection: EstablishedConnection,
+    client: TcpStream,
+    backend: TcpStream,
+) {
+    let permit = runtime.connection_limit.admit_in_service();
+    let serve = serve_transferred(runtime.clone(), connection, client, backend, permit);
+    drop(spawn_local(serve));
+}
+
+fn serve_awaiting_request(
+    runtime: &Rc<Runtime>,
+    client: TcpStream,
+    received: Vec<u8>,
+    time_left: f64,
+) {
+    let permit = runtime.connection_limit.admit_idle();
+    let reader = ClientReader::resume(runtime, received, duration(time_left));
+    drop(spawn_local(serve(runtime.clone(), client, permit, reader)));
+}
--- /dev/null
+++ b/src/lifecycle/migration.rs
@@ -0,0 +1,45 @@
+//! Migrates established connections at a pace, so that their clients do not reach the other balancers in one wave.
+
+use crate::api::RequestId;
+use crate::runtime::{Command, Runtime};
+use spanspur_admin::drain_schedule::DrainSchedule;
+use std::collections::HashSet;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Interval between the calls of [`Migrator::migrate_due`].
+pub const MIGRATION_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Migrates each established connection once, by a schedule.
+pub struct Migrator {
+    runtime: Rc<Runtime>,
+    schedule: DrainSchedule,
+    migrated: HashSet<RequestId>,
+}
+
+impl Migrator {
+    /// A migrator that has migrated nothing yet.
+    pub fn new(runtime: Rc<Runtime>, schedule: DrainSchedule) -> Self {
+        let migrated = HashSet::new();
+        Self {
+            runtime,
+            schedule,
+            migrated,
+        }
+    }
+
+    /// Migrates the connections that are due, where the next call comes after [`MIGRATION_INTERVAL`]. Returns how many
+    /// established connections are left to migrate.
+    pub fn migrate_due(&mut self) -> usize {
+        let mut remaining = self.runtime.established_requests();
+        remaining.retain(|id| !self.migrated.contains(id));
+        let count = remaining.len();
+        let interval = MIGRATION_INTERVAL.as_secs_f64();
+        let due = self.schedule.due(self.runtime.now(), interval, count);
+        for id in remaining.into_iter().take(due) {
+            self.migrated.insert(id);
+            self.runtime.send_command(id, Command::Migrate);
+        }
+        count - due
+    }
+}
--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -1,6 +1,14 @@
-//! The life of the process: signals, configuration reload, graceful shutdown and hot restart.
+//! The life of the process: startup, signals, configuration reload, draining, graceful shutdown and hot restart.
 
+pub mod accept;
+pub mod draining;
+pub mod error;
 pub mod graceful_shutdown;
 pub mod hot_restart;
+pub mod logging;
+pub mod migration;
+pub mod operator_file;
+pub mod reload;
 pub mod signals;
+pub mod sockets;
 pub mod startup;
--- /dev/null
+++ b/src/lifecycle/reload.rs
@@ -0,0 +1,67 @@
+//! Reload at SIGHUP: the configuration and the operator's file as they are now come into effect.
+
+use super::error::ReloadError;
+use super::operator_file;
+use crate::cli::Serve;
+use crate::cluster::{Followed, Shared};
+use crate::config::{LoadReason, ProcessConfig};
+use crate::runtime::Runtime;
+use spanspur_operator_config::Operator;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::sync::watch;
+
+/// What a reload brings into effect, and where.
+pub struct Reload {
+    /// The runtime of the process.
+    pub runtime: Rc<Runtime>,
+    /// The address of discovery.
+    pub discovery: watch::Sender<SocketAddr>,
+    /// The options of the command line.
+    pub options: Serve,
+    /// The operator's file as it is in effect.
+    pub operator: Operator,
+    /// The membership of this process in a cluster.
+    pub shared: Option<Rc<Shared>>,
+    /// The control instances that this process follows.
+    pub followed: Option<Rc<Followed>>,
+}
+
+impl Reload {
+    /// All or nothing: a file that is unreadable or invalid must not replace the old state, nor keep half of the other
+    /// file's changes.
+    pub fn run(&mut self) {
+        match self.read() {
+            Ok((config, operator)) => self.apply(config, operator),
+            Err(error) => tracing::error!(%error, "not reloaded, configuration unchanged"),
+        }
+    }
+
+    fn read(&self) -> Result<(ProcessConfig, Operator), ReloadError> {
+        let config = ProcessConfig::from_env(LoadReason::Reload)
+            .and_then(|config| config.replace(&self.runtime.process_config()))
+            .map_err(ReloadError::Config)?;
+        let operator = operator_file::read(&self.options)?;
+        let faults = self.operator.fixed(&operator);
+        match faults.is_empty() {
+            true => Ok((config, operator)),
+            false => Err(ReloadError::FixedSettings(faults)),
+        }
+    }
+
+    fn apply(&mut self, config: ProcessConfig, operator: Operator) {
+        tracing::info!(discovery = %config.discovery, "configuration reloaded");
+        // First the address, then the balancer's request to poll it.
+        let discovery = config.discovery;
+        self.discovery
+            .send_if_modified(|address| std::mem::replace(address, discovery) != discovery);
+        self.runtime.apply_config(config);
+        if let Some(shared) = &self.shared {
+            shared.configure(operator.clone());
+        }
+        if let (Some(followed), Some(follow)) = (&self.followed, &operator.follow) {
+            followed.configure(follow);
+        }
+        self.operator = operator;
+    }
+}
--- a/src/lifecycle/startup.rs
+++ b/src/lifecycle/startup.rs
@@ -1,197 +1,167 @@
-//! Startup of the process: command line, configuration, logging, sockets, then the tasks that serve.
+//! Startup of the process: command line, configuration, log, sockets, then the tasks that serve until SIGTERM.
 
-use crate::admin::Service;
+use super::error::StartupError;
+use super::hot_restart::{HotRestart, PredecessorLink};
+use super::reload::Reload;
+use super::signals::Signals;
+use super::sockets::ListeningSockets;
+use super::{accept, draining, graceful_shutdown, logging, operator_file};
+use crate::admin::{self, MaintenanceStore};
 use crate::api::UpdateKind;
 use crate::cli::{Cli, Serve};
-use crate::cluster::{Followed, Shared};
+use crate::cluster::{Followed, ListNews, Shared};
 use crate::config::{LoadReason, ProcessConfig};
+use crate::discovery::endpoint_list::EndpointList;
 use crate::discovery::watcher;
 use crate::invariants;
-use crate::lifecycle::graceful_shutdown;
-use crate::lifecycle::signals::{Reload, Signals};
-use crate::proxy::client_reader::ClientReader;
-use crate::proxy::{client, listener, local_response};
 use crate::runtime::Runtime;
+use socket2::Socket;
 use spanspur_operator_config::{Format, Operator};
-use std::io::IsTerminal;
+use spanspur_socket_activation::take_listening_socket;
 use std::process::ExitCode;
 use std::rc::Rc;
-use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use tokio::task::{LocalSet, spawn_local};
-use tracing_subscriber::EnvFilter;
 
-/// Pause after accepting failed: descriptors that ran out come back when connections end.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Extension of the hot restart socket, which is beside the maintenance file.
+const SOCKET_EXTENSION: &str = "sock";
 
 /// Runs the program: a sub-command, or the balancer until it is told to stop.
 pub fn run() -> ExitCode {
-    let serve = match Cli::run() {
-        Ok(done) => return done,
-        Err(serve) => serve,
+    let options = match Cli::run() {
+        Ok(exit_code) => return exit_code,
+        Err(options) => options,
     };
-    let operator = read_operator(&serve);
-    log_as(operator.as_ref().map_or(Format::Text, |o| o.log.format));
-    let both =
-        operator.and_then(|operator| Ok((ProcessConfig::from_env(LoadReason::Start)?, operator)));
-    let served = both.and_then(|(node, operator)| {
-        // Before anything is opened here: a closed descriptor's number would be given to something of ours.
-        let inherited = node
-            .accept_fd
-            .map(spanspur_socket_activation::take_listening_socket)
-            .transpose();
-        let inherited = inherited.map_err(|e| format!("BALANCER_ACCEPT_FD: {e}"))?;
-        let runtime = tokio::runtime::Builder::new_current_thread()
-            .enable_all()
-            .build();
-        let runtime = runtime.map_err(|e| format!("no runtime: {e}"))?;
-        LocalSet::new().block_on(
-            &runtime,
-            serve_until_shutdown(node, operator, serve, inherited),
-        )
-    });
+    let operator = operator_file::read(&options);
+    logging::start(operator.as_ref().map_or(Format::Text, |o| o.log.format));
+    let served = operator
+        .map_err(StartupError::from)
+        .and_then(|operator| serve(options, operator));
     invariants::log_counters();
     match served {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            tracing::error!("{what}");
+        Err(error) => {
+            tracing::error!("{error}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// The operator's file, if one is given.
-pub fn read_operator(serve: &Serve) -> Result<Operator, String> {
-    let Some(path) = &serve.operator else {
-        return Ok(Operator::default());
-    };
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    spanspur_operator_config::parse(&text).map_err(|faults| {
-        format!(
-            "{}: {}",
-            path.display(),
-            spanspur_operator_config::sentence(&faults)
-        )
-    })
-}
-
-/// Starts the log, on standard error; what it holds is chosen by `RUST_LOG`, `info` where that is not set.
-fn log_as(format: Format) {
-    let chosen = std::env::var("RUST_LOG")
-        .ok()
-        .filter(|text| !text.is_empty());
-    let filter = EnvFilter::builder().parse_lossy(chosen.as_deref().unwrap_or("info"));
-    let log = tracing_subscriber::fmt()
-        .with_env_filter(filter)
-        .with_writer(std::io::stderr)
-        .with_ansi(std::io::stderr().is_terminal());
-    match format {
-        Format::Text => log.init(),
-        Format::Json => log.json().flatten_event(true).init(),
-    }
+fn serve(options: Serve, operator: Operator) -> Result<(), StartupError> {
+    let config = ProcessConfig::from_env(LoadReason::Start).map_err(StartupError::Config)?;
+    // Before anything is opened here: the number of a closed descriptor would be given to something else.
+    let inherited = config.accept_fd.map(take_listening_socket).transpose()?;
+    let event_loop = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(StartupError::EventLoop)?;
+    let serve = serve_until_terminated(config, operator, options, inherited);
+    LocalSet::new().block_on(&event_loop, serve)
 }
 
-async fn serve_until_shutdown(
-    mut node: ProcessConfig,
+async fn serve_until_terminated(
+    mut config: ProcessConfig,
     operator: Operator,
-    serve: Serve,
-    inherited: Option<socket2::Socket>,
-) -> Result<(), String> {
-    let signals = Signals::new().map_err(|e| format!("no signals: {e}"))?;
-    let listener = match inherited {
-        Some(socket) => listener::inherited(socket, node.listen)
-            .map_err(|e| format!("BALANCER_ACCEPT_FD: {e}"))?,
-        None => listener::bind(node.listen)
-            .map_err(|e| format!("key 'listen': {}: {e}", node.listen))?,
-    };
-    let calls = node.operator.map(listener::bind).transpose();
-    let calls = calls.map_err(|e| format!("key 'operator': {e}"))?;
+    options: Serve,
+    inherited: Option<Socket>,
+) -> Result<(), StartupError> {
+    let signals = Signals::new().map_err(StartupError::Signals)?;
+    let sockets = ListeningSockets::open(&config, inherited)?;
     tracing::info!(
-        name = node.name,
-        address = %node.listen,
-        servers_known = node.known.members.len(),
-        "listens"
+        name = config.name,
+        address = %config.listen,
+        cached_endpoints = config.known.members.len(),
+        "listening"
     );
-    let known = std::mem::take(&mut node.known);
-    let (discovery, watched) = watch::channel(node.discovery);
-    let runtime = Rc::new(Runtime::new(node));
-    // Versions start from 0: only a node that knows no server asks for the whole list.
-    // One that watches for others has to know the whole list too, as discovery has it.
-    let ask_all = known.members.is_empty() || operator.duties.list.is_some();
-    let listed = Some(known.revision).filter(|_| !ask_all);
-    let service = Service::start(&runtime, calls).await;
-    let listed = match service.resumed() {
-        Some(revision) => revision,
-        None => {
-            runtime.update_endpoints(UpdateKind::Cached, known);
-            listed
-        }
+    let cached = std::mem::take(&mut config.known);
+    let (discovery, discovery_changes) = watch::channel(config.discovery);
+    let runtime = Rc::new(Runtime::new(config));
+
+    let store = Rc::new(MaintenanceStore::open(&runtime.process_config().name));
+    restore_maintenance(&runtime, &store);
+    let hot_restart = set_up_hot_restart(&runtime, &store);
+    let predecessor = connect_to_predecessor(hot_restart.as_deref()).await;
+    // The predecessor accepts the clients until this process is ready.
+    runtime.lifecycle.set_accepting(predecessor.is_none());
+    if let Some(listener) = sockets.admin {
+        start_admin(&runtime, listener, store);
+    }
+    let revision = match &predecessor {
+        Some(predecessor) => predecessor.revision,
+        None => start_from_cache(&runtime, cached, &operator),
     };
-    let shared = Shared::start(&runtime, &operator).await?;
-    let followed = Followed::start(&runtime, &operator).await?;
-    let news = shared.as_ref().map(|shared| shared.news());
-    let news = news.or(followed.as_ref().map(|followed| followed.news()));
-    spawn_local(watcher::run(runtime.clone(), watched, listed, news));
-    spawn_local(accept(runtime.clone(), listener));
-    service.takes_clients(&runtime).await;
-    let reload = Reload::new(
-        runtime.clone(),
+    let shared = Shared::start(&runtime, &operator).await;
+    let shared = shared.map_err(StartupError::Cluster)?;
+    let followed = Followed::start(&runtime, &operator).await;
+    let followed = followed.map_err(StartupError::Cluster)?;
+    let shared_list = shared_list(shared.as_deref(), followed.as_deref());
+    let watch = watcher::run(runtime.clone(), discovery_changes, revision, shared_list);
+    spawn_local(watch);
+    spawn_local(accept::run(runtime.clone(), sockets.clients));
+    if let Some(hot_restart) = &hot_restart {
+        hot_restart.take_clients(predecessor).await;
+    }
+    runtime.lifecycle.set_accepting(true);
+
+    let reload = Reload {
+        runtime: runtime.clone(),
         discovery,
-        serve,
+        options,
         operator,
-        shared.clone(),
+        shared: shared.clone(),
         followed,
-    );
-    signals.serve(reload).await;
+    };
+    signals.reload_until_terminated(reload).await;
     if let Some(shared) = shared {
         shared.leave();
     }
-    graceful_shutdown::run(runtime, &service).await;
+    graceful_shutdown::run(runtime, hot_restart.as_deref()).await;
     Ok(())
 }
 
-async fn accept(runtime: Rc<Runtime>, listener: TcpListener) {
-    let mut on = runtime.lifecycle.subscribe_accepting();
-    loop {
-        if on.wait_for(|on| *on).await.is_err() {
-            return;
-        }
-        let accepted = tokio::select! {
-            biased;
-            _ = on.changed() => continue,
-            accepted = listener.accept() => accepted,
-        };
-        match accepted {
-            Ok((stream, _)) => {
-                match runtime
-                    .connection_limit
-                    .acquire_for_client(runtime.descriptor_limit())
-                {
-                    Some(place) => {
-                        let reader = ClientReader::new(&runtime);
-                        drop(spawn_local(client::serve(
-                            runtime.clone(),
-                            stream,
-                            place,
-                            reader,
-                        )));
-                    }
-                    None => {
-                        let runtime = runtime.clone();
-                        spawn_local(async move {
-                            local_response::reject_for_descriptors(&runtime, &stream).await
-                        });
-                    }
-                }
-                // In a crowd, those that give way for the next have to be gone before it is accepted.
-                tokio::task::yield_now().await;
-            }
-            Err(e) => {
-                invariants::count("accepting failed");
-                tracing::debug!(error = %e, "accept");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
-            }
-        }
-    }
+/// Brings the maintenance file into effect.
+fn restore_maintenance(runtime: &Rc<Runtime>, store: &MaintenanceStore) {
+    let Some(maintenance) = store.read() else {
+        return;
+    };
+    let servers: Vec<&str> = maintenance.names().collect();
+    tracing::info!(servers = servers.join(" "), "servers under maintenance");
+    runtime.merge_maintenance(&maintenance);
+}
+
+/// Hot restarts need a clients' socket that the platform holds: only then two processes can accept one after the other.
+fn set_up_hot_restart(runtime: &Rc<Runtime>, store: &MaintenanceStore) -> Option<Rc<HotRestart>> {
+    runtime.process_config().accept_fd?;
+    let socket_path = store.path_beside(SOCKET_EXTENSION)?;
+    Some(HotRestart::new(runtime.clone(), socket_path))
+}
+
+async fn connect_to_predecessor(hot_restart: Option<&HotRestart>) -> Option<PredecessorLink> {
+    hot_restart?.connect_to_predecessor().await
+}
+
+fn start_admin(runtime: &Rc<Runtime>, listener: TcpListener, store: Rc<MaintenanceStore>) {
+    spawn_local(admin::server::run(runtime.clone(), listener, store));
+    spawn_local(draining::run(runtime.clone()));
+}
+
+/// Begins with the cached endpoint list; returns the revision to watch from, `None` for the full list.
+fn start_from_cache(
+    runtime: &Rc<Runtime>,
+    cached: EndpointList,
+    operator: &Operator,
+) -> Option<u64> {
+    // Revisions start from 0: only a process that knows no endpoint polls for the full list. One that watches for
+    // others has to know the full list too, as discovery has it.
+    let poll_full_list = cached.members.is_empty() || operator.duties.list.is_some();
+    let revision = Some(cached.revision).filter(|_| !poll_full_list);
+    runtime.update_endpoints(UpdateKind::Cached, cached);
+    revision
+}
+
+/// The endpoint list that other instances watch for this one, if any do.
+fn shared_list(shared: Option<&Shared>, followed: Option<&Followed>) -> Option<Rc<ListNews>> {
+    let of_cluster = shared.map(Shared::news);
+    of_cluster.or(followed.map(Followed::news))
 }
--- a/src/proxy/client_reader.rs
+++ b/src/proxy/client_reader.rs
@@ -137,13 +137,13 @@
 
 /// Waits until requests can be decided or are refused anyway: the front sends clients from the response on.
 async fn wait_until_ready(runtime: &Runtime) {
-    while !runtime.is_ready() && !runtime.lifecycle.is_lameduck() {
+    while !runtime.is_ready() && !runtime.lifecycle.is_draining() {
         sleep(READINESS_INTERVAL).await;
     }
 }
 
 fn probe_response(runtime: &Runtime) -> &'static [u8] {
-    let line = match runtime.lifecycle.is_lameduck() {
+    let line = match runtime.lifecycle.is_draining() {
         true => BUSY,
         false => PROBE_RESPONSE,
     };
--- a/src/runtime/lifecycle_state.rs
+++ b/src/runtime/lifecycle_state.rs
@@ -30,12 +30,12 @@
     }
 }
 
-/// Readiness, lameduck mode, shutdown, and the clients to wait for.
+/// Readiness, draining mode, shutdown, and the clients to wait for.
 pub struct LifecycleState {
     discovery_answered: Cell<bool>,
     accepting: watch::Sender<bool>,
-    lameduck: watch::Sender<bool>,
-    lameduck_requested_here: Cell<bool>,
+    draining: watch::Sender<bool>,
+    draining_requested_here: Cell<bool>,
     shutting_down: Cell<bool>,
     exiting: watch::Sender<bool>,
     /// Clients whose request has not been received yet.
@@ -49,8 +49,8 @@
         Self {
             discovery_answered: Cell::new(false),
             accepting: watch::Sender::new(true),
-            lameduck: watch::Sender::new(false),
-            lameduck_requested_here: Cell::new(false),
+            draining: watch::Sender::new(false),
+            draining_requested_here: Cell::new(false),
             shutting_down: Cell::new(false),
             exiting: watch::Sender::new(false),
             clients_without_request: ClientCounter::default(),
@@ -85,31 +85,31 @@
         self.accepting.subscribe()
     }
 
-    /// Sets lameduck mode, in which front proxies are told not to send clients; `true` if that is a change.
-    pub fn set_lameduck(&self, lameduck: bool) -> bool {
-        let replace = |before: &mut bool| std::mem::replace(before, lameduck) != lameduck;
-        self.lameduck.send_if_modified(replace)
+    /// Sets draining mode, in which front proxies are told not to send clients; `true` if that is a change.
+    pub fn set_draining(&self, draining: bool) -> bool {
+        let replace = |before: &mut bool| std::mem::replace(before, draining) != draining;
+        self.draining.send_if_modified(replace)
     }
 
-    /// Whether the balancer is in lameduck mode.
-    pub fn is_lameduck(&self) -> bool {
-        *self.lameduck.borrow()
+    /// Whether the balancer is in draining mode.
+    pub fn is_draining(&self) -> bool {
+        *self.draining.borrow()
     }
 
-    /// Changes of lameduck mode.
-    pub fn subscribe_lameduck(&self) -> watch::Receiver<bool> {
-        self.lameduck.subscribe()
+    /// Changes of draining mode.
+    pub fn subscribe_draining(&self) -> watch::Receiver<bool> {
+        self.draining.subscribe()
     }
 
-    /// Sets whether lameduck mode was requested at this process. One that took over a balancer in lameduck mode
+    /// Sets whether draining mode was requested at this process. One that took over a balancer in draining mode
     /// counts as ready all the same.
-    pub fn set_lameduck_requested_here(&self, requested: bool) {
-        self.lameduck_requested_here.set(requested);
+    pub fn set_draining_requested_here(&self, requested: bool) {
+        self.draining_requested_here.set(requested);
     }
 
-    /// Whether lameduck mode was requested at this process.
-    pub fn is_lameduck_requested_here(&self) -> bool {
-        self.lameduck_requested_here.get()
+    /// Whether draining mode was requested at this process.
+    pub fn is_draining_requested_here(&self) -> bool {
+        self.draining_requested_here.get()
     }
 
     /// Records that the process was told to stop.
--- a/src/runtime/snapshot.rs
+++ b/src/runtime/snapshot.rs
@@ -16,7 +16,7 @@
             endpoints: endpoints.announced(),
             balancer: postcard::to_stdvec(balancer).unwrap_or_default(),
             maintenance: endpoints.maintenance().to_text(),
-            lameduck: self.lifecycle.is_lameduck(),
+            draining: self.lifecycle.is_draining(),
         }
     }
 
--- a/src/transfer/snapshot.rs
+++ b/src/transfer/snapshot.rs
@@ -18,8 +18,8 @@
     pub balancer: Vec<u8>,
     /// Servers under maintenance, in the format of the maintenance file.
     pub maintenance: String,
-    /// Whether the balancer is in lameduck mode.
-    pub lameduck: bool,
+    /// Whether the balancer is in draining mode.
+    pub draining: bool,
 }
 
 impl Snapshot {
--- a/tests/sockets/endings.rs
+++ b/tests/sockets/endings.rs
@@ -72,7 +72,7 @@
         wait_until(|| {
             balancer
                 .log()
-                .contains("waits for clients that have their answer")
+                .contains("waiting for answered clients to close")
         });
         drop((waits, rests));
         assert_eq!(balancer.exit(), Some(0));
--- a/tests/sockets/service.rs
+++ b/tests/sockets/service.rs
@@ -108,7 +108,9 @@
     std::fs::write(&file, &whole[..whole.len() / 2]).expect("written");
     let balancer = start();
     assert!(
-        balancer.log().contains("is set aside"),
+        balancer
+            .log()
+            .contains("invalid maintenance file set aside"),
         "{}",
         balancer.log()
     );
--- a/tests/transfer.rs
+++ b/tests/transfer.rs
@@ -254,7 +254,7 @@
         endpoints: members(),
         balancer: snapshot.clone(),
         maintenance: maintenance.to_text(),
-        lameduck: true,
+        draining: true,
     };
     let payload = postcard::to_stdvec(&known).expect("written");
     let sent = Frame::State {
@@ -271,7 +271,7 @@
     let (read, again) = through::<Snapshot>(&payload);
     assert_eq!(again, payload, "written again");
     assert_eq!(
-        (read.discovery, read.revision, read.lameduck),
+        (read.discovery, read.revision, read.draining),
         (known.discovery, 1 << 40, true)
     );
     assert_members(&read.endpoints);
