--- a/crates/fleet-rig/src/capacity/edges.rs
+++ b/crates/fleet-rig/src/capacity/edges.rs
@@ -313,7 +313,7 @@
     let bound = || {
         Limit::Code(
             book.code("crates/admin/src/maintenance.rs", "MAX_ENTRIES"),
-            "outs::MAX_ENTRIES",
+            "maintenance::MAX_ENTRIES",
         )
     };
     let members = Mechanism::Is("crates/cluster/src/control.rs", "MAX_ASKING");
--- a/crates/fleet-rig/tests/capacity.rs
+++ b/crates/fleet-rig/tests/capacity.rs
@@ -382,7 +382,8 @@
         Some(8.0)
     );
     assert_eq!(
-        book.code("src/discovery/watcher.rs", "WAIT").value(),
+        book.code("src/discovery/watcher.rs", "LONG_POLL_WAIT")
+            .value(),
         Some(2.0)
     );
     assert_eq!(
