--- a/tests/cluster/main.rs
+++ b/tests/cluster/main.rs
@@ -112,8 +112,8 @@
         (0..3)
             .filter(|i| {
                 let log = cluster.log(*i);
-                let on = log.rfind("another instance watches discovery");
-                on.is_some() && on > log.rfind("this instance watches discovery itself")
+                let on = log.rfind("endpoint list followed through another instance");
+                on.is_some() && on > log.rfind("endpoint list watched by this instance")
             })
             .collect()
     };
--- a/tests/distribution/main.rs
+++ b/tests/distribution/main.rs
@@ -99,8 +99,8 @@
     fn rests(&self, when: &str) {
         let rests = |i: usize| {
             let log = self.cluster.log(i);
-            let on = log.rfind("another instance watches discovery");
-            on.is_some() && on > log.rfind("this instance watches discovery itself")
+            let on = log.rfind("endpoint list followed through another instance");
+            on.is_some() && on > log.rfind("endpoint list watched by this instance")
         };
         // After a change of hands all rows travel anew: none is still on its way.
         let same = || {
