--- a/crates/fleet-rig/src/capacity/data.rs
+++ b/crates/fleet-rig/src/capacity/data.rs
@@ -47,7 +47,7 @@
     let core = || Limit::Own(Figure::of(1.0), "one process runs on one core");
     let relay = Mechanism::Is("src/proxy/relay.rs", "pub fn relay(");
     let place = Mechanism::Is("src/balancer/selection.rs", "fn choose_server");
-    let list = Mechanism::Is("src/discovery/watcher.rs", "async fn follow");
+    let list = Mechanism::Is("src/discovery/watcher.rs", "async fn watch");
     let stand = connections(book);
     let memory = || Limit::Own(book.given("balancer-memory") * 1e9, "assumed");
     let zones = book.given("zones");
@@ -209,10 +209,13 @@
             "restart without a successor",
             Unit::Rate,
             stand
-                / (book.code("src/admin/mod.rs", "EMPTY_BY")
-                    - book.code("src/admin/mod.rs", "ARRIVALS")),
+                / (book.code("src/lifecycle/draining.rs", "DRAIN_TIME")
+                    - book.code("src/lifecycle/draining.rs", "ARRIVAL_TIME")),
         )
-        .by(Mechanism::Is("crates/admin/src/pace.rs", "pub struct Pace")),
+        .by(Mechanism::Is(
+            "crates/admin/src/drain_schedule.rs",
+            "pub struct DrainSchedule",
+        )),
     );
     rows
 }
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -1,179 +1,200 @@
-//! The second address: the staff's calls, one to a connection.
+//! The admin address: requests of the staff, one to a connection.
 
 use super::maintenance_store::MaintenanceStore;
 use crate::api::ServerId;
 use crate::invariants;
 use crate::proxy::closing::send_and_close;
 use crate::runtime::Runtime;
-use crate::runtime::connection_limit::ConnectionLimit;
-use spanspur_admin::call::{Answer, Call, MAX_BODY, MAX_HEAD, read};
-use spanspur_admin::outs::No;
+use crate::runtime::connection_limit::{ConnectionLimit, ConnectionPermit};
+use spanspur_admin::maintenance::{MaintenanceError, MaintenanceSet};
+use spanspur_admin::request::{AdminRequest, MAX_BODY, MAX_HEAD, RequestError, parse_request};
+use spanspur_admin::response::Response;
 use spanspur_hot_restart::frame::Frame;
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Mutex;
-use tokio::task::{spawn_blocking, spawn_local};
+use tokio::task::{spawn_blocking, spawn_local, yield_now};
 use tokio::time::{sleep, timeout};
 
-/// Who calls at the same time; for one more, the one that has not finished its call for longest gives way.
-pub const CALLERS: usize = 8;
-/// A call is whole within this.
-const CALL: Duration = Duration::from_secs(5);
+/// The most callers at a time; for one more, the one whose request is incomplete for longest is evicted.
+const MAX_CALLERS: usize = 8;
+/// Time for a caller to send its request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 /// Pause after accepting failed.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Bytes read at once.
+const READ_CHUNK: usize = 1024;
 
-/// What the calls change.
-struct Desk {
+/// What requests act on.
+struct AdminServer {
     runtime: Rc<Runtime>,
-    kept: Rc<MaintenanceStore>,
-    /// One change at a time: each is written before it counts.
-    writing: Mutex<()>,
+    store: Rc<MaintenanceStore>,
+    /// Held during a change: each is written before it comes into effect.
+    change: Mutex<()>,
 }
 
-/// Answers calls, as long as the process lives.
-pub async fn run(runtime: Rc<Runtime>, listener: TcpListener, kept: Rc<MaintenanceStore>) {
-    let room = Rc::new(ConnectionLimit::default());
-    let desk = Rc::new(Desk {
+/// Answers requests, as long as the process lives.
+pub async fn run(runtime: Rc<Runtime>, listener: TcpListener, store: Rc<MaintenanceStore>) {
+    let callers = Rc::new(ConnectionLimit::default());
+    let server = Rc::new(AdminServer {
         runtime,
-        kept,
-        writing: Mutex::new(()),
+        store,
+        change: Mutex::new(()),
     });
     loop {
         let caller = match listener.accept().await {
             Ok((caller, _)) => caller,
-            Err(e) => {
-                invariants::count("accepting a caller failed");
-                tracing::debug!(error = %e, "accept");
+            Err(error) => {
+                invariants::count("accepting an admin caller failed");
+                tracing::debug!(%error, "admin caller not accepted");
                 sleep(ACCEPT_PAUSE).await;
                 continue;
             }
         };
-        let Some(mut place) = room.acquire(CALLERS) else {
-            invariants::count("a caller finds no room");
+        let Some(permit) = callers.acquire(MAX_CALLERS) else {
+            invariants::count("too many admin callers");
             continue;
         };
-        let desk = desk.clone();
-        spawn_local(async move {
-            let _ = caller.set_nodelay(true);
-            let answer = tokio::select! {
-                answer = desk.hear(&caller) => answer,
-                () = place.evicted() => Some(Answer::new(503, "others call: this call was not finished")),
-            };
-            if let Some(answer) = answer {
-                let answer = answer.bytes();
-                tokio::select! {
-                    () = send_and_close(&caller, &answer) => {}
-                    () = place.evicted() => {}
-                }
-            }
-        });
-        // In a crowd of callers, those that give way have to be gone before the next is accepted.
-        tokio::task::yield_now().await;
+        spawn_local(server.clone().serve(caller, permit));
+        // In a crowd, those that are evicted have to be gone before the next caller is accepted.
+        yield_now().await;
     }
 }
 
-impl Desk {
-    /// Reads a call and carries it out; `None` if the caller has gone.
-    async fn hear(&self, caller: &TcpStream) -> Option<Answer> {
-        let call = match timeout(CALL, read_call(caller)).await {
-            Ok(call) => call?,
-            Err(_) => Err(Answer::new(408, "the call was not whole in time")),
+impl AdminServer {
+    async fn serve(self: Rc<Self>, caller: TcpStream, mut permit: ConnectionPermit) {
+        let _ = caller.set_nodelay(true);
+        let response = tokio::select! {
+            response = self.answer(&caller) => response,
+            () = permit.evicted() => Some(evicted_response()),
         };
-        let answer = match &call {
-            Ok(call) => self.carry_out(call).await,
-            Err(answer) => answer.clone(),
+        let Some(response) = response else { return };
+        let response = response.encode();
+        tokio::select! {
+            () = send_and_close(&caller, &response) => {}
+            () = permit.evicted() => {}
+        }
+    }
+
+    /// Reads a request and carries it out; `None` if the caller has gone.
+    async fn answer(&self, caller: &TcpStream) -> Option<Response> {
+        let request = match timeout(REQUEST_TIMEOUT, read_request(caller)).await {
+            Ok(request) => request?,
+            Err(_) => Err(RequestError::TimedOut),
         };
-        let status = answer.status;
-        match call {
-            Ok(Call::Ready) => tracing::debug!(status, "asked whether ready"),
-            call => tracing::info!(?call, status, text = answer.text, "called"),
+        let response = match &request {
+            Ok(request) => self.carry_out(request).await,
+            Err(error) => error.response(),
+        };
+        let status = response.status;
+        match request {
+            Ok(AdminRequest::Ready) => tracing::debug!(status, "readiness request"),
+            request => tracing::info!(?request, status, text = response.text, "admin request"),
         }
-        Some(answer)
+        Some(response)
     }
 
-    async fn carry_out(&self, call: &Call) -> Answer {
-        let runtime = &self.runtime;
-        match call {
-            Call::Ready => match (
-                runtime.is_ready(),
-                runtime.lifecycle.is_accepting(),
-                runtime.lifecycle.is_lameduck(),
-            ) {
-                (false, ..) => Answer::new(503, "no stream server is known yet"),
-                (_, false, _) => Answer::new(503, "another process takes the clients"),
-                (_, _, true) if runtime.lifecycle.is_lameduck_requested_here() => {
-                    Answer::new(503, "is emptied")
-                }
-                _ => Answer::new(200, "takes clients"),
-            },
-            Call::Lameduck(on) => {
-                runtime.lifecycle.set_lameduck_requested_here(*on);
-                runtime.peer_processes.broadcast(|| Frame::Lameduck(*on));
-                let changed = runtime.lifecycle.set_lameduck(*on);
-                Answer::new(
-                    200,
-                    match (on, changed) {
-                        (true, true) => "is emptied from now on",
-                        (true, false) => "is being emptied already",
-                        (false, true) => "takes clients again",
-                        (false, false) => "was not being emptied",
-                    },
-                )
-            }
-            Call::Detach(name) => self.change(name, true).await,
-            Call::Attach(name) => self.change(name, false).await,
+    async fn carry_out(&self, request: &AdminRequest) -> Response {
+        match request {
+            AdminRequest::Ready => self.readiness(),
+            AdminRequest::Drain(draining) => self.set_draining(*draining),
+            AdminRequest::Detach(name) => self.detach(name).await,
+            AdminRequest::Attach(name) => self.attach(name).await,
         }
     }
 
-    /// Takes a backend out or puts it back. Written first, then it counts, then the caller hears.
-    async fn change(&self, name: &str, out: bool) -> Answer {
-        let _one = self.writing.lock().await;
-        let (mut outs, now) = (self.runtime.maintenance(), self.runtime.now());
-        let id = ServerId::of(name).0;
-        let changed = match out {
-            true => outs.detach(name, id, now),
-            false => outs.attach(name, id, now),
-        };
-        match changed {
-            Err(No::NeverListed) => {
-                return Answer::new(404, "no list has ever named this stream server");
-            }
-            Err(No::TooMany) => return Answer::new(507, "too many stream servers are out"),
-            Ok(false) if out => return Answer::new(200, "is out already"),
-            Ok(false) => return Answer::new(200, "was not out"),
-            Ok(true) => {}
+    fn readiness(&self) -> Response {
+        let lifecycle = &self.runtime.lifecycle;
+        if !self.runtime.is_ready() {
+            return Response::new(503, "no stream server is known yet");
         }
-        let (kept, written) = (MaintenanceStore::clone(&self.kept), outs.clone());
-        let written = spawn_blocking(move || kept.write(&written)).await;
-        if let Err(e) = written.map_err(io::Error::other).flatten() {
-            invariants::count("the servers taken out could not be written");
-            return Answer::new(503, format!("cannot be kept, so nothing changes: {e}"));
+        if !lifecycle.is_accepting() {
+            return Response::new(503, "another process takes the clients");
         }
-        self.runtime.merge_maintenance(&outs);
-        self.runtime
+        if lifecycle.is_draining() && lifecycle.is_draining_requested_here() {
+            return Response::new(503, "is emptied");
+        }
+        Response::new(200, "takes clients")
+    }
+
+    fn set_draining(&self, draining: bool) -> Response {
+        let runtime = &self.runtime;
+        runtime.lifecycle.set_draining_requested_here(draining);
+        runtime
             .peer_processes
-            .broadcast(|| Frame::Outs(outs.write()));
-        Answer::new(200, if out { "is out" } else { "may serve again" })
+            .broadcast(|| Frame::Draining(draining));
+        let changed = runtime.lifecycle.set_draining(draining);
+        let text = match (draining, changed) {
+            (true, true) => "is emptied from now on",
+            (true, false) => "is being emptied already",
+            (false, true) => "takes clients again",
+            (false, false) => "was not being emptied",
+        };
+        Response::new(200, text)
     }
+
+    async fn detach(&self, name: &str) -> Response {
+        let _change = self.change.lock().await;
+        let (mut maintenance, now) = (self.runtime.maintenance(), self.runtime.now());
+        match maintenance.detach(name, ServerId::of(name).0, now) {
+            Err(error) => maintenance_response(error),
+            Ok(false) => Response::new(200, "is out already"),
+            Ok(true) => self.store_and_apply(&maintenance, "is out").await,
+        }
+    }
+
+    async fn attach(&self, name: &str) -> Response {
+        let _change = self.change.lock().await;
+        let (mut maintenance, now) = (self.runtime.maintenance(), self.runtime.now());
+        match maintenance.attach(name, ServerId::of(name).0, now) {
+            Err(error) => maintenance_response(error),
+            Ok(false) => Response::new(200, "was not out"),
+            Ok(true) => self.store_and_apply(&maintenance, "may serve again").await,
+        }
+    }
+
+    /// Writes the servers under maintenance, then brings them into effect, then answers the caller with this text.
+    async fn store_and_apply(&self, maintenance: &MaintenanceSet, text: &str) -> Response {
+        let (store, written) = (MaintenanceStore::clone(&self.store), maintenance.clone());
+        let written = spawn_blocking(move || store.write(&written)).await;
+        if let Err(error) = written.map_err(io::Error::other).flatten() {
+            invariants::count("maintenance file not written");
+            return Response::new(503, format!("cannot be kept, so nothing changes: {error}"));
+        }
+        self.runtime.merge_maintenance(maintenance);
+        let processes = &self.runtime.peer_processes;
+        processes.broadcast(|| Frame::Maintenance(maintenance.to_text()));
+        Response::new(200, text)
+    }
+}
+
+fn evicted_response() -> Response {
+    Response::new(503, "others call: this call was not finished")
+}
+
+fn maintenance_response(error: MaintenanceError) -> Response {
+    let status = match error {
+        MaintenanceError::NeverListed => 404,
+        MaintenanceError::TooMany => 507,
+    };
+    Response::new(status, error.to_string())
 }
 
-/// `None` at the end of the connection before the call is whole.
-async fn read_call(caller: &TcpStream) -> Option<Result<Call, Answer>> {
-    let mut sent = Vec::new();
+/// Reads a request; `None` at the end of the connection before it is complete.
+async fn read_request(caller: &TcpStream) -> Option<Result<AdminRequest, RequestError>> {
+    let mut received = Vec::new();
     loop {
-        match read(&sent) {
-            Ok(Some(call)) => return Some(Ok(call)),
-            Ok(None) => {}
-            Err(answer) => return Some(Err(answer)),
+        if let Some(request) = parse_request(&received).transpose() {
+            return Some(request);
         }
         caller.readable().await.ok()?;
-        let mut chunk = [0; 1024];
-        let room = (MAX_HEAD + MAX_BODY).saturating_sub(sent.len());
-        match caller.try_read(&mut chunk[..room.min(1024)]) {
-            Ok(n) if n > 0 => sent.extend_from_slice(&chunk[..n]),
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
+        let mut chunk = [0; READ_CHUNK];
+        let limit = (MAX_HEAD + MAX_BODY).saturating_sub(received.len());
+        match caller.try_read(&mut chunk[..limit.min(READ_CHUNK)]) {
+            Ok(read) if read > 0 => received.extend_from_slice(&chunk[..read]),
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
             _ => return None,
         }
     }
--- a/src/runtime/endpoints.rs
+++ b/src/runtime/endpoints.rs
@@ -5,7 +5,7 @@
 use crate::api::{Event, ServerId, UpdateKind};
 use crate::discovery::endpoint_list::EndpointList;
 use crate::transfer::list_update_frame;
-use spanspur_admin::outs::Outs;
+use spanspur_admin::maintenance::MaintenanceSet;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -43,12 +43,12 @@
     }
 
     /// The servers under maintenance.
-    pub fn maintenance(&self) -> Outs {
+    pub fn maintenance(&self) -> MaintenanceSet {
         self.endpoints.borrow().maintenance().clone()
     }
 
     /// Merges in newer knowledge of the servers under maintenance.
-    pub fn merge_maintenance(self: &Rc<Self>, maintenance: &Outs) {
+    pub fn merge_maintenance(self: &Rc<Self>, maintenance: &MaintenanceSet) {
         self.endpoints.borrow_mut().merge_maintenance(maintenance);
         self.refresh_endpoints();
     }
--- a/src/runtime/snapshot.rs
+++ b/src/runtime/snapshot.rs
@@ -15,8 +15,8 @@
             revision: endpoints.revision(),
             endpoints: endpoints.announced(),
             balancer: postcard::to_stdvec(balancer).unwrap_or_default(),
-            maintenance: endpoints.maintenance().write(),
-            lameduck: self.lifecycle.is_lameduck(),
+            maintenance: endpoints.maintenance().to_text(),
+            draining: self.lifecycle.is_draining(),
         }
     }
 
