--- a/src/lifecycle/startup.rs
+++ b/src/lifecycle/startup.rs
@@ -78,24 +78,13 @@
     let (discovery, discovery_changes) = watch::channel(config.discovery);
     let runtime = Rc::new(Runtime::new(config));
 
-    let store = Rc::new(MaintenanceStore::open(&runtime.process_config().name));
-    restore_maintenance(&runtime, &store);
-    let hot_restart = set_up_hot_restart(&runtime, &store);
-    let predecessor = connect_to_predecessor(hot_restart.as_deref()).await;
-    // The predecessor accepts the clients until this process is ready.
-    runtime.lifecycle.set_accepting(predecessor.is_none());
-    if let Some(listener) = sockets.admin {
-        start_admin(&runtime, listener, store);
-    }
+    let (hot_restart, predecessor) = continue_balancer(&runtime, sockets.admin).await;
     let revision = match &predecessor {
         Some(predecessor) => predecessor.revision,
         None => start_from_cache(&runtime, cached, &operator),
     };
-    let shared = Shared::start(&runtime, &operator).await;
-    let shared = shared.map_err(StartupError::Cluster)?;
-    let followed = Followed::start(&runtime, &operator).await;
-    let followed = followed.map_err(StartupError::Cluster)?;
-    let shared_list = shared_list(shared.as_deref(), followed.as_deref());
+    let cluster = ClusterTasks::start(&runtime, &operator).await?;
+    let shared_list = cluster.shared_list();
     let watch = watcher::run(runtime.clone(), discovery_changes, revision, shared_list);
     spawn_local(watch);
     spawn_local(accept::run(runtime.clone(), sockets.clients));
@@ -109,17 +98,38 @@
         discovery,
         options,
         operator,
-        shared: shared.clone(),
-        followed,
+        shared: cluster.shared.clone(),
+        followed: cluster.followed,
     };
     signals.reload_until_terminated(reload).await;
-    if let Some(shared) = shared {
+    if let Some(shared) = cluster.shared {
         shared.leave();
     }
     graceful_shutdown::run(runtime, hot_restart.as_deref()).await;
     Ok(())
 }
 
+/// Continues from the maintenance file and from a predecessor, and answers the staff.
+async fn continue_balancer(
+    runtime: &Rc<Runtime>,
+    listener: Option<TcpListener>,
+) -> (Option<Rc<HotRestart>>, Option<PredecessorLink>) {
+    let store = Rc::new(MaintenanceStore::open(&runtime.process_config().name));
+    restore_maintenance(runtime, &store);
+    let hot_restart = set_up_hot_restart(runtime, &store);
+    let predecessor = match &hot_restart {
+        Some(hot_restart) => hot_restart.connect_to_predecessor().await,
+        None => None,
+    };
+    // The predecessor accepts the clients until this process is ready.
+    runtime.lifecycle.set_accepting(predecessor.is_none());
+    if let Some(listener) = listener {
+        spawn_local(admin::server::run(runtime.clone(), listener, store));
+        spawn_local(draining::run(runtime.clone()));
+    }
+    (hot_restart, predecessor)
+}
+
 /// Brings the maintenance file into effect.
 fn restore_maintenance(runtime: &Rc<Runtime>, store: &MaintenanceStore) {
     let Some(maintenance) = store.read() else {
@@ -137,15 +147,6 @@
     Some(HotRestart::new(runtime.clone(), socket_path))
 }
 
-async fn connect_to_predecessor(hot_restart: Option<&HotRestart>) -> Option<PredecessorLink> {
-    hot_restart?.connect_to_predecessor().await
-}
-
-fn start_admin(runtime: &Rc<Runtime>, listener: TcpListener, store: Rc<MaintenanceStore>) {
-    spawn_local(admin::server::run(runtime.clone(), listener, store));
-    spawn_local(draining::run(runtime.clone()));
-}
-
 /// Begins with the cached endpoint list; returns the revision to watch from, `None` for the full list.
 fn start_from_cache(
     runtime: &Rc<Runtime>,
@@ -160,8 +161,24 @@
     revision
 }
 
-/// The endpoint list that other instances watch for this one, if any do.
-fn shared_list(shared: Option<&Shared>, followed: Option<&Followed>) -> Option<Rc<ListNews>> {
-    let of_cluster = shared.map(Shared::news);
-    of_cluster.or(followed.map(Followed::news))
+/// The part of this process in a cluster, or as a follower of one.
+struct ClusterTasks {
+    shared: Option<Rc<Shared>>,
+    followed: Option<Rc<Followed>>,
+}
+
+impl ClusterTasks {
+    async fn start(runtime: &Rc<Runtime>, operator: &Operator) -> Result<Self, StartupError> {
+        let shared = Shared::start(runtime, operator).await;
+        let shared = shared.map_err(StartupError::Cluster)?;
+        let followed = Followed::start(runtime, operator).await;
+        let followed = followed.map_err(StartupError::Cluster)?;
+        Ok(Self { shared, followed })
+    }
+
+    /// The endpoint list that other instances watch for this one, if any do.
+    fn shared_list(&self) -> Option<Rc<ListNews>> {
+        let of_cluster = self.shared.as_ref().map(|shared| shared.news());
+        of_cluster.or(self.followed.as_ref().map(|followed| followed.news()))
+    }
 }
