--- a/crates/cluster/src/control.rs
+++ b/crates/cluster/src/control.rs
@@ -127,19 +127,19 @@
 pub fn duties(handle: &Handle) -> DutiesAnswer {
     handle.with(|node, now| {
         let status = node.status(now);
-        let slowest = status.iter().map(|(_, s)| s.every).max();
+        let slowest = status.iter().map(|(_, s)| s.interval).max();
         let rows = status.into_iter().map(|(duty, s)| DutyRow {
             duty,
-            every_ms: s.every,
+            every_ms: s.interval,
             holder: s.holder.map(|id| match node.instance_name(id) {
                 Some(name) => name.to_owned(),
                 None => format!("{:016x}", id.0),
             }),
-            period: s.period,
-            since_ms: s.since,
-            done: s.done,
+            period: s.term,
+            since_ms: s.term_age,
+            done: s.completed,
             missed: s.missed,
-            minority: s.minority,
+            minority: s.is_quorum_lost,
         });
         DutiesAnswer {
             duties: rows.collect(),
--- a/crates/cluster/src/driver.rs
+++ b/crates/cluster/src/driver.rs
@@ -4,8 +4,8 @@
 use crate::node::{Effect, Node, Notice, Setup};
 pub use crate::port::Traffic;
 use crate::port::{self, Endpoint, Port};
-use spanspur_leases::board::Entry;
-use spanspur_leases::{Millis, Now, Permit};
+use spanspur_leases::GossipEntry;
+use spanspur_leases::{Clocks, LeaseGrant, Millis};
 use spanspur_membership::Keys;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -18,7 +18,7 @@
 use tokio::time::timeout;
 
 /// Duties done at the same time. Each may hold a descriptor, and those come out of the few that the balancer keeps
-/// for itself; more wait, as long as their permits hold.
+/// for itself; more wait, as long as their grants hold.
 const MAX_PERFORMING: usize = 16;
 /// News that waits for whoever is interested in it.
 const MAX_NEWS: usize = 16_384;
@@ -29,7 +29,7 @@
     work: Work,
     port: Port,
     performing: Semaphore,
-    news: mpsc::Sender<Entry>,
+    news: mpsc::Sender<GossipEntry>,
     /// News that found no room.
     news_dropped: Cell<u64>,
 }
@@ -44,7 +44,7 @@
 impl Cluster {
     /// Opens the socket and starts the instance on the current `LocalSet`. News of other instances' results comes
     /// out of the receiver.
-    pub async fn start(setup: Setup) -> io::Result<(Handle, mpsc::Receiver<Entry>)> {
+    pub async fn start(setup: Setup) -> io::Result<(Handle, mpsc::Receiver<GossipEntry>)> {
         let port = Port::open(setup.me.address).await?;
         let work = Work {
             origin: port.origin(),
@@ -65,10 +65,10 @@
     }
 }
 
-fn now_of(work: Work) -> Now {
+fn now_of(work: Work) -> Clocks {
     let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
-    Now {
-        mono: work.now(),
+    Clocks {
+        monotonic: work.now(),
         wall: unix.unwrap_or_default().as_millis() as Millis,
     }
 }
@@ -90,7 +90,7 @@
     }
 
     /// Puts results on the board.
-    pub fn publish(&self, entries: Vec<Entry>) {
+    pub fn publish(&self, entries: Vec<GossipEntry>) {
         self.with(|node, now| node.publish(now, entries));
     }
 
@@ -99,7 +99,7 @@
         self.with(|node, now| node.leave(now));
     }
 
-    /// The clock of the permits.
+    /// The clock of the grants.
     pub fn work(&self) -> Work {
         self.0.work
     }
@@ -115,7 +115,7 @@
     }
 
     /// Looks at the node, or changes it, and carries out what comes of that.
-    pub fn with<T>(&self, change: impl FnOnce(&mut Node, Now) -> T) -> T {
+    pub fn with<T>(&self, change: impl FnOnce(&mut Node, Clocks) -> T) -> T {
         let now = now_of(self.0.work);
         let result = change(&mut self.0.node.borrow_mut(), now);
         self.carry_out();
@@ -123,14 +123,14 @@
         result
     }
 
-    fn tell(&self, entry: Entry) {
+    fn tell(&self, entry: GossipEntry) {
         if self.0.news.try_send(entry).is_err() {
             self.0.news_dropped.set(self.0.news_dropped.get() + 1);
         }
     }
 
-    fn perform(&self, permit: Permit) {
-        let name = self.0.node.borrow().duty_name(permit.duty).to_owned();
+    fn perform(&self, grant: LeaseGrant) {
+        let name = self.0.node.borrow().duty_name(grant.lease).to_owned();
         let Some(duty) = self.0.duties.borrow().get(&name).cloned() else {
             return;
         };
@@ -138,19 +138,19 @@
         spawn_local(async move {
             let work = handle.0.work;
             let start = work.now();
-            let left = Duration::from_millis(permit.until.saturating_sub(start));
+            let left = Duration::from_millis(grant.valid_until.saturating_sub(start));
             let place = timeout(left, handle.0.performing.acquire()).await;
-            let in_time = matches!(place, Ok(Ok(_))) && work.holds(&permit);
+            let in_time = matches!(place, Ok(Ok(_))) && work.holds(&grant);
             let mut result = Vec::new();
             if in_time {
-                tracing::debug!(duty = name, period = permit.period, "performs");
-                let left = Duration::from_millis(permit.until.saturating_sub(work.now()));
-                match timeout(left, duty.perform(permit, work)).await {
+                tracing::debug!(duty = name, period = grant.fencing_token, "performs");
+                let left = Duration::from_millis(grant.valid_until.saturating_sub(work.now()));
+                match timeout(left, duty.perform(grant, work)).await {
                     Ok(entries) => result = entries,
                     Err(_) => {
                         tracing::warn!(
                             duty = name,
-                            period = permit.period,
+                            period = grant.fencing_token,
                             "cut off: not done within its period"
                         );
                     }
@@ -158,19 +158,19 @@
             } else {
                 tracing::warn!(
                     duty = name,
-                    period = permit.period,
-                    "not performed: the permit has run out"
+                    period = grant.fencing_token,
+                    "not performed: the grant has run out"
                 );
             }
             let took = work.now() - start;
             tracing::trace!(
                 duty = name,
-                period = permit.period,
+                period = grant.fencing_token,
                 took_ms = took,
                 "performed"
             );
             handle.with(|node, now| {
-                node.performed(&permit, in_time);
+                node.performed(&grant, in_time);
                 node.publish(now, result.clone());
             });
             // What was found here counts here as well.
@@ -242,7 +242,7 @@
         for effect in effects {
             match effect {
                 Effect::Datagram(to, bytes) => self.0.port.send(to, &bytes),
-                Effect::Perform(permit) => self.perform(permit),
+                Effect::Perform(grant) => self.perform(grant),
                 Effect::News(entry) => self.tell(entry),
                 Effect::Notice(notice) => self.log(notice),
             }
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -2,11 +2,10 @@
 //! three travel. What can be replayed in virtual time is all of an instance but its sockets.
 
 use serde::{Deserialize, Serialize};
-use spanspur_leases::board::{Entry, News};
-use spanspur_leases::division::Ranking;
-use spanspur_leases::instance::Status;
+use spanspur_leases::ranking::Ranking;
 use spanspur_leases::{
-    Board, DutyId, Instance, InstanceId, Item, Millis, Now, Output, Permit, Settings,
+    Clocks, GossipEntry, GossipMessage, GossipStore, InstanceId, LeaseConfig, LeaseGrant, LeaseId,
+    LeaseManager, LeaseStatus, Message, Millis, Output,
 };
 use spanspur_membership::seal::{Kind, MAX_DATAGRAM, OVERHEAD, Refusal};
 use spanspur_membership::{Change, Greetings, Identity, Keys, Membership, Pace, Sessions, greet};
@@ -49,10 +48,10 @@
 pub enum Effect {
     /// Send a datagram.
     Datagram(SocketAddr, Vec<u8>),
-    /// Do a duty, as long as the permit holds.
-    Perform(Permit),
+    /// Do a duty, as long as the grant holds.
+    Perform(LeaseGrant),
     /// Something new on the board, by another instance.
-    News(Entry),
+    News(GossipEntry),
     /// Something for the log.
     Notice(Notice),
 }
@@ -67,11 +66,11 @@
     /// This instance was held for down, wrongly.
     Renewed,
     /// Periods of a duty passed undone.
-    Missed(DutyId, u64),
+    Missed(LeaseId, u64),
     /// No majority for a duty of ours, or one again.
-    Minority(DutyId, bool),
+    Minority(LeaseId, bool),
     /// A duty came to this instance, or left it.
-    Holds(DutyId, bool),
+    Holds(LeaseId, bool),
 }
 
 /// What a datagram carries.
@@ -79,8 +78,8 @@
 enum Body {
     Gossip(Vec<u8>),
     /// The hash of the voters, which have to be the same at both ends, and the items.
-    Duties(u64, Vec<Item>),
-    Board(News),
+    Duties(u64, Vec<Message>),
+    Board(GossipMessage),
 }
 
 /// A member as others are told of it.
@@ -104,12 +103,12 @@
     voters_hash: u64,
     sessions: Sessions,
     members: Membership,
-    duties: Instance,
-    board: Board,
+    duties: LeaseManager,
+    board: GossipStore,
     /// Everyone ever heard of, by id: the alive ones, and those that answered a greeting.
     known: BTreeMap<InstanceId, Identity>,
     alive: Vec<InstanceId>,
-    names: BTreeMap<DutyId, String>,
+    names: BTreeMap<LeaseId, String>,
     greetings: Greetings,
     next_greet: Millis,
     next_compare: Millis,
@@ -120,31 +119,31 @@
 
 impl Node {
     /// An instance that has met nobody yet.
-    pub fn new(now: Now, setup: Setup) -> Self {
+    pub fn new(now: Clocks, setup: Setup) -> Self {
         let me = InstanceId::of(&setup.me.name);
         let voters: Vec<InstanceId> = setup.voters.iter().map(|v| InstanceId::of(v)).collect();
         let mut sorted = voters.clone();
         sorted.sort();
         let hashed: Vec<u8> = sorted.iter().flat_map(|v| v.0.to_le_bytes()).collect();
-        let settings = Settings {
-            me,
-            boot: setup.me.boot,
+        let config = LeaseConfig {
+            instance: me,
+            incarnation: setup.me.boot,
             voters,
-            skew: setup.skew,
+            max_clock_skew: setup.skew,
             ranking: setup.ranking,
         };
         Self {
             voters_hash: xxh3_64(&hashed),
             sessions: Sessions::new(me.0, setup.me.boot, setup.keys.clone()),
             members: Membership::new(setup.me.clone(), setup.pace, setup.seed),
-            duties: Instance::new(now, settings),
-            board: Board::default(),
+            duties: LeaseManager::new(now, config),
+            board: GossipStore::default(),
             known: BTreeMap::new(),
             alive: Vec::new(),
             names: BTreeMap::new(),
             greetings: Greetings::new(MAX_ANSWERS),
-            next_greet: now.mono,
-            next_compare: now.mono + COMPARE_EVERY,
+            next_greet: now.monotonic,
+            next_compare: now.monotonic + COMPARE_EVERY,
             compared: 0,
             effects: Vec::new(),
             counters: BTreeMap::new(),
@@ -153,9 +152,9 @@
     }
 
     /// Takes the duties over, by name, each with its period.
-    pub fn configure(&mut self, now: Now, duties: &BTreeMap<String, Millis>) {
-        self.names = duties.keys().map(|n| (DutyId::of(n), n.clone())).collect();
-        let by_id = duties.iter().map(|(n, every)| (DutyId::of(n), *every));
+    pub fn configure(&mut self, now: Clocks, duties: &BTreeMap<String, Millis>) {
+        self.names = duties.keys().map(|n| (LeaseId::of(n), n.clone())).collect();
+        let by_id = duties.iter().map(|(n, every)| (LeaseId::of(n), *every));
         self.duties.configure(now, &by_id.collect());
         self.settle(now);
     }
@@ -167,7 +166,7 @@
     }
 
     /// Takes a datagram; what does not hold is counted and dropped.
-    pub fn receive(&mut self, now: Now, from: SocketAddr, bytes: &[u8]) {
+    pub fn receive(&mut self, now: Clocks, from: SocketAddr, bytes: &[u8]) {
         let opened = match self.sessions.open(bytes) {
             Ok(opened) => opened,
             Err(why) => {
@@ -198,15 +197,16 @@
                     self.greet(now, from);
                 }
                 match postcard::from_bytes::<Body>(opened.body) {
-                    Ok(Body::Gossip(bytes)) => self.members.receive(now.mono, &bytes),
+                    Ok(Body::Gossip(bytes)) => self.members.receive(now.monotonic, &bytes),
                     Ok(Body::Duties(hash, items)) if hash == self.voters_hash => {
                         self.duties.receive(now, id, &items);
                     }
                     Ok(Body::Duties(..)) => self.count("other-voters"),
                     Ok(Body::Board(news)) => {
-                        let (fresh, sends) = self.board.receive(id, news);
-                        self.effects.extend(fresh.into_iter().map(Effect::News));
-                        self.send_news(now, sends);
+                        let received = self.board.receive(id, news);
+                        self.effects
+                            .extend(received.updated.into_iter().map(Effect::News));
+                        self.send_news(now, received.outgoing);
                     }
                     Err(_) => self.count("garbled"),
                 }
@@ -223,9 +223,9 @@
     }
 
     /// Carries out what has fallen due.
-    pub fn wake(&mut self, now: Now) {
-        if now.mono >= self.next_greet {
-            self.next_greet = now.mono + GREET_EVERY;
+    pub fn wake(&mut self, now: Clocks) {
+        if now.monotonic >= self.next_greet {
+            self.next_greet = now.monotonic + GREET_EVERY;
             let alive: BTreeSet<SocketAddr> =
                 self.members.alive().values().map(|m| m.address).collect();
             let me = self.setup.me.address;
@@ -238,45 +238,45 @@
                 .collect();
             absent.into_iter().for_each(|seed| self.greet(now, seed));
         }
-        if now.mono >= self.next_compare {
-            self.next_compare = now.mono + COMPARE_EVERY;
+        if now.monotonic >= self.next_compare {
+            self.next_compare = now.monotonic + COMPARE_EVERY;
             if !self.alive.is_empty() {
                 self.compared = (self.compared + 1) % self.alive.len();
-                let sends = vec![(self.alive[self.compared], self.board.compare())];
+                let sends = vec![(self.alive[self.compared], self.board.digest())];
                 self.send_news(now, sends);
             }
         }
-        self.members.wake(now.mono);
+        self.members.wake(now.monotonic);
         self.duties.wake(now);
         self.settle(now);
     }
 
     /// Puts results on the board of all instances.
-    pub fn publish(&mut self, now: Now, entries: Vec<Entry>) {
+    pub fn publish(&mut self, now: Clocks, entries: Vec<GossipEntry>) {
         let sends = self.board.publish(entries, &self.alive);
         self.send_news(now, sends);
     }
 
     /// What the board holds for a key.
-    pub fn board(&self) -> &Board {
+    pub fn board(&self) -> &GossipStore {
         &self.board
     }
 
     /// The board, to drop what is not wanted any more.
-    pub fn board_mut(&mut self) -> &mut Board {
+    pub fn board_mut(&mut self) -> &mut GossipStore {
         &mut self.board
     }
 
-    /// A duty was done, or its permit ran out before that.
-    pub fn performed(&mut self, permit: &Permit, in_time: bool) {
-        self.duties.performed(permit, in_time);
+    /// A duty was done, or its grant ran out before that.
+    pub fn performed(&mut self, grant: &LeaseGrant, in_time: bool) {
+        self.duties.record_completion(grant, in_time);
     }
 
     /// Gives all duties back and says farewell.
-    pub fn leave(&mut self, now: Now) {
-        self.duties.leave(now);
+    pub fn leave(&mut self, now: Clocks) {
+        self.duties.release_all(now);
         self.settle(now);
-        self.members.leave(now.mono);
+        self.members.leave(now.monotonic);
         self.settle(now);
     }
 
@@ -286,18 +286,18 @@
     }
 
     /// Every duty that this instance knows, with its name.
-    pub fn status(&self, now: Now) -> Vec<(String, Status)> {
-        let named = |s: Status| self.names.get(&s.duty).map(|name| (name.clone(), s));
+    pub fn status(&self, now: Clocks) -> Vec<(String, LeaseStatus)> {
+        let named = |s: LeaseStatus| self.names.get(&s.lease).map(|name| (name.clone(), s));
         self.duties.status(now).filter_map(named).collect()
     }
 
     /// All that is kept of a duty here, for whoever looks for a fault.
-    pub fn describe(&self, duty: DutyId) -> String {
+    pub fn describe(&self, duty: LeaseId) -> String {
         self.duties.describe(duty)
     }
 
     /// The name of a duty.
-    pub fn duty_name(&self, duty: DutyId) -> &str {
+    pub fn duty_name(&self, duty: LeaseId) -> &str {
         self.names.get(&duty).map_or("?", String::as_str)
     }
 
@@ -337,15 +337,15 @@
     }
 
     /// How long this instance still abstains from votes on duties with this period.
-    pub fn abstains(&self, now: Now, every: Millis) -> Millis {
-        self.duties.abstains(now, every)
+    pub fn abstains(&self, now: Clocks, every: Millis) -> Millis {
+        self.duties.remaining_abstention(now, every)
     }
 
     /// What was dropped or refused, and how often.
     pub fn counters(&self) -> BTreeMap<&'static str, u64> {
         let mut counters = self.counters.clone();
         counters.insert("gossip-refused", self.members.refused);
-        counters.insert("board-refused", self.board.refused);
+        counters.insert("board-refused", self.board.rejected_entries);
         counters
     }
 
@@ -353,35 +353,38 @@
         *self.counters.entry(what).or_default() += 1;
     }
 
-    fn greet(&mut self, now: Now, to: SocketAddr) {
+    fn greet(&mut self, now: Clocks, to: SocketAddr) {
         let me = self.members.me();
-        if let Some(bytes) = self.greetings.greet(now.mono, &self.sessions, me, to) {
+        if let Some(bytes) = self.greetings.greet(now.monotonic, &self.sessions, me, to) {
             self.effects.push(Effect::Datagram(to, bytes));
         }
     }
 
-    fn answer(&mut self, now: Now, to: SocketAddr, run: u64) {
+    fn answer(&mut self, now: Clocks, to: SocketAddr, run: u64) {
         let me = self.members.me();
-        match self.greetings.answer(now.mono, &self.sessions, me, run) {
+        match self
+            .greetings
+            .answer(now.monotonic, &self.sessions, me, run)
+        {
             Some(bytes) => self.effects.push(Effect::Datagram(to, bytes)),
             None => self.count("greetings-unanswered"),
         }
     }
 
     /// Someone has proved to be there: greets back once, and joins over it unless it is a member already.
-    fn met(&mut self, now: Now, who: Identity, fresh: bool) {
+    fn met(&mut self, now: Clocks, who: Identity, fresh: bool) {
         let id = InstanceId::of(&who.name);
         self.known.insert(id, who.clone());
         if fresh {
             self.answer(now, who.address, who.boot);
         }
         if self.members.alive().get(&who.name) != Some(&who) {
-            self.members.join(now.mono, who);
+            self.members.join(now.monotonic, who);
         }
     }
 
     /// Carries on what the parts have brought about.
-    fn settle(&mut self, now: Now) {
+    fn settle(&mut self, now: Clocks) {
         loop {
             let changes = self.members.changes();
             let seen = !changes.is_empty();
@@ -400,19 +403,25 @@
                 let alive = self.members.alive().keys();
                 let alive: BTreeSet<InstanceId> = alive.map(|n| InstanceId::of(n)).collect();
                 self.alive = alive.iter().copied().collect();
-                self.duties.view(now, &alive);
+                self.duties.update_alive(now, &alive);
             }
-            let outputs = self.duties.outputs();
+            let outputs = self.duties.take_outputs();
             if !seen && outputs.is_empty() {
                 break;
             }
             for output in outputs {
                 match output {
                     Output::Send(to, items) => self.send_items(now, to, items),
-                    Output::Perform(permit) => self.effects.push(Effect::Perform(permit)),
-                    Output::Missed(duty, n) => self.notice(Notice::Missed(duty, n)),
-                    Output::Minority(duty, yes) => self.notice(Notice::Minority(duty, yes)),
-                    Output::Holds(duty, yes) => self.notice(Notice::Holds(duty, yes)),
+                    Output::Granted(grant) => self.effects.push(Effect::Perform(grant)),
+                    Output::TermsMissed { lease, terms } => {
+                        self.notice(Notice::Missed(lease, terms))
+                    }
+                    Output::QuorumChanged { lease, is_lost } => {
+                        self.notice(Notice::Minority(lease, is_lost))
+                    }
+                    Output::HoldingChanged { lease, is_held } => {
+                        self.notice(Notice::Holds(lease, is_held))
+                    }
                 }
             }
         }
@@ -426,17 +435,23 @@
         self.effects.push(Effect::Notice(notice));
     }
 
-    fn send_items(&mut self, now: Now, to: InstanceId, items: Vec<Item>) {
+    fn send_items(&mut self, now: Clocks, to: InstanceId, items: Vec<Message>) {
         let hash = self.voters_hash;
         self.send_parts(now, to, items, |part| Body::Duties(hash, part));
     }
 
-    fn send_news(&mut self, now: Now, sends: Vec<(InstanceId, News)>) {
+    fn send_news(&mut self, now: Clocks, sends: Vec<(InstanceId, GossipMessage)>) {
         for (to, news) in sends {
             match news {
-                News::Entries(entries, on) => {
+                GossipMessage::Entries {
+                    entries,
+                    forward_to: on,
+                } => {
                     self.send_parts(now, to, entries, |part| {
-                        Body::Board(News::Entries(part, on.clone()))
+                        Body::Board(GossipMessage::Entries {
+                            entries: part,
+                            forward_to: on.clone(),
+                        })
                     });
                 }
                 news => {
@@ -451,7 +466,7 @@
     /// Sends things in as few datagrams as hold them.
     fn send_parts<T: Serialize>(
         &mut self,
-        now: Now,
+        now: Clocks,
         to: InstanceId,
         things: Vec<T>,
         body: impl Fn(Vec<T>) -> Body,
@@ -476,7 +491,7 @@
         }
     }
 
-    fn send(&mut self, now: Now, to: InstanceId, address: SocketAddr, body: &Body) {
+    fn send(&mut self, now: Clocks, to: InstanceId, address: SocketAddr, body: &Body) {
         let Ok(bytes) = postcard::to_stdvec(body) else {
             return self.count("not-encoded");
         };
--- a/crates/cluster/tests/wire_fixtures.rs
+++ b/crates/cluster/tests/wire_fixtures.rs
@@ -8,9 +8,8 @@
 use serde::{Deserialize, Serialize};
 use spanspur_cluster::node::{Member, Notice};
 use spanspur_cluster::{Effect, Node, Setup};
-use spanspur_leases::board::{Entry, News};
-use spanspur_leases::division::Ranking;
-use spanspur_leases::{Item, Millis, Now};
+use spanspur_leases::ranking::Ranking;
+use spanspur_leases::{Clocks, GossipEntry, GossipMessage, Message, Millis};
 use spanspur_membership::{Identity, Key, Keys, Pace};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -39,8 +38,8 @@
 #[derive(Serialize, Deserialize)]
 enum Body {
     Gossip(Vec<u8>),
-    Duties(u64, Vec<Item>),
-    Board(News),
+    Duties(u64, Vec<Message>),
+    Board(GossipMessage),
 }
 
 fn encode(value: &impl Serialize) -> Vec<u8> {
@@ -94,9 +93,9 @@
         world
     }
 
-    fn clocks(&self) -> Now {
-        Now {
-            mono: self.now,
+    fn clocks(&self) -> Clocks {
+        Clocks {
+            monotonic: self.now,
             wall: WALL + self.now,
         }
     }
@@ -135,7 +134,7 @@
             value.truncate((key * 7 % 19) as usize);
             value
         };
-        let entries = keys.map(|key| Entry {
+        let entries = keys.map(|key| GossipEntry {
             key,
             version,
             value: value(key),
@@ -162,8 +161,8 @@
                 match body {
                     Body::Gossip(_) => "gossip",
                     Body::Duties(..) => "duties",
-                    Body::Board(News::Entries(..)) => "board-entries",
-                    Body::Board(News::Compare(_)) => "board-compare",
+                    Body::Board(GossipMessage::Entries { .. }) => "board-entries",
+                    Body::Board(GossipMessage::Digest(_)) => "board-compare",
                 }
             }
             0 => "greeting",
@@ -192,12 +191,12 @@
     fn carry_out(&mut self, at: usize, effect: Effect) {
         match effect {
             Effect::Datagram(to, datagram) => self.send(at, to, datagram),
-            Effect::Perform(permit) => {
-                let values = (at, permit.duty, permit.period, permit.until);
+            Effect::Perform(grant) => {
+                let values = (at, grant.lease, grant.fencing_token, grant.valid_until);
                 self.note("perform", &values);
-                let in_time = permit.holds(self.now);
+                let in_time = grant.is_valid(self.now);
                 let node = self.nodes[at].as_mut().expect("runs");
-                node.performed(&permit, in_time);
+                node.performed(&grant, in_time);
             }
             Effect::News(entry) => self.note("news", &(at, entry)),
             Effect::Notice(notice) => match notice {
@@ -272,7 +271,7 @@
     fn note_status(&mut self) {
         let now = self.clocks();
         for node in self.nodes.iter().flatten() {
-            let board: Vec<&Entry> = node.board().iter().collect();
+            let board: Vec<&GossipEntry> = node.board().iter().collect();
             let stands = (
                 node.status(now),
                 node.members(),
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -28,7 +28,7 @@
 
 pub use follower::{AskPace, Follower, FollowerSetup, FollowerStatus};
 pub use source::{Limits, Source, SourceSetup, SourceStatus};
-pub use spanspur_leases::board::Entry;
+pub use spanspur_leases::GossipEntry as Entry;
 pub use store::Store;
 
 use serde::{Deserialize, Serialize};
--- a/crates/distribution/src/store.rs
+++ b/crates/distribution/src/store.rs
@@ -1,6 +1,6 @@
 //! What is distributed: a map of the last writer's values, the hash tree over it, and a source's log of arrivals.
 
-use spanspur_leases::board::{Entry, MAX_KEYS, MAX_VALUE};
+use spanspur_leases::gossip_store::{GossipEntry as Entry, MAX_KEYS, MAX_VALUE_BYTES as MAX_VALUE};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
--- a/crates/distribution/src/wire.rs
+++ b/crates/distribution/src/wire.rs
@@ -12,7 +12,7 @@
 
 use crate::store::{self, BRANCHES, LEAVES};
 use serde::{Deserialize, Serialize};
-use spanspur_leases::board::Entry;
+use spanspur_leases::GossipEntry as Entry;
 use spanspur_membership::seal::{MAX_DATAGRAM, OVERHEAD};
 
 /// The first byte of each.
--- a/crates/distribution/tests/claims.rs
+++ b/crates/distribution/tests/claims.rs
@@ -1,37 +1,36 @@
 //! Versions as the claims of today give them are believed, and those beyond are not.
 
 use spanspur_distribution::store::{MAX_VERSION, Store, Unfit};
-use spanspur_leases::board::Entry;
-use spanspur_leases::division::Ranking;
-use spanspur_leases::instance::Settings;
-use spanspur_leases::{DutyId, Instance, InstanceId, Now, Output};
+use spanspur_leases::GossipEntry as Entry;
+use spanspur_leases::ranking::Ranking;
+use spanspur_leases::{Clocks, InstanceId, LeaseConfig, LeaseId, LeaseManager, Output};
 use std::collections::BTreeMap;
 
 /// The first period that a lone voter gives when its wall clock says this.
 fn first_period(wall: u64) -> u64 {
     let me = InstanceId(7);
-    let settings = Settings {
-        me,
-        boot: 1,
+    let config = LeaseConfig {
+        instance: me,
+        incarnation: 1,
         voters: vec![me],
-        skew: 1000,
+        max_clock_skew: 1000,
         ranking: Ranking(|_, _| 1.0),
     };
-    let now = |mono: u64| Now {
-        mono,
+    let now = |mono: u64| Clocks {
+        monotonic: mono,
         wall: wall + mono,
     };
-    let mut instance = Instance::new(now(1000), settings);
-    instance.configure(now(1000), &BTreeMap::from([(DutyId(1), 4000)]));
+    let mut instance = LeaseManager::new(now(1000), config);
+    instance.configure(now(1000), &BTreeMap::from([(LeaseId(1), 4000)]));
     for mono in (1000..60_000).step_by(50) {
         instance.wake(now(mono));
-        for output in instance.outputs() {
-            if let Output::Perform(permit) = output {
-                return permit.period;
+        for output in instance.take_outputs() {
+            if let Output::Granted(grant) = output {
+                return grant.fencing_token;
             }
         }
     }
-    panic!("no permit within a minute");
+    panic!("no grant within a minute");
 }
 
 #[test]
--- a/crates/distribution/tests/wire_fixtures.rs
+++ b/crates/distribution/tests/wire_fixtures.rs
@@ -12,7 +12,7 @@
 use spanspur_distribution::store::{self, Log, MAX_VERSION, Unfit};
 use spanspur_distribution::wire::{self, Answer, Ask, Held, MAX_WINDOW, Part, Rows, Want};
 use spanspur_distribution::{Entry, FollowerStatus, Limits, Notice, Place, SourceStatus, Store};
-use spanspur_leases::board::MAX_VALUE;
+use spanspur_leases::gossip_store::MAX_VALUE_BYTES as MAX_VALUE;
 use spanspur_membership::seal::Kind;
 use std::collections::BTreeSet;
 use wire_fixtures::Record;
--- a/crates/fleet-rig/src/capacity/control.rs
+++ b/crates/fleet-rig/src/capacity/control.rs
@@ -14,15 +14,15 @@
 /// `seal::MAX_SENDERS` before the distribution raised it, as the flat cluster was measured.
 const SENDERS_BEFORE: f64 = 1024.0;
 
-const BOARD_FILE: &str = "crates/leases/src/board.rs";
+const BOARD_FILE: &str = "crates/leases/src/gossip_store.rs";
 const SEAL_FILE: &str = "crates/membership/src/seal.rs";
 const SOURCE_FILE: &str = "crates/distribution/src/source.rs";
 const WIRE_FILE: &str = "crates/distribution/src/wire.rs";
 
 const NODE: Mechanism = Mechanism::Is("crates/cluster/src/node.rs", "pub struct Node");
 const SEAL: Mechanism = Mechanism::Is(SEAL_FILE, "MAX_SENDERS");
-const BOARD: Mechanism = Mechanism::Is(BOARD_FILE, "fn pass_on");
-const VOTE: Mechanism = Mechanism::Is("crates/leases/src/vote.rs", "MAX_DUTIES");
+const BOARD: Mechanism = Mechanism::Is(BOARD_FILE, "fn disseminate");
+const VOTE: Mechanism = Mechanism::Is("crates/leases/src/acceptor.rs", "MAX_LEASES");
 const FOLLOWER: Mechanism =
     Mechanism::Is("crates/distribution/src/follower.rs", "pub struct Follower");
 const SOURCE: Mechanism = Mechanism::Is(SOURCE_FILE, "pub struct Source");
@@ -375,7 +375,7 @@
             row("until the region's own control instances hold all", when, Unit::Seconds, cut("/control", 1e-3))
                 .by(BOARD)
                 .limit(in_force(book))
-                .answer("a comparison of boards that sends what differs alone: missing (`crates/leases/src/board.rs`)"),
+                .answer("a comparison of boards that sends what differs alone: missing (`crates/leases/src/gossip_store.rs`)"),
         );
     }
     rows
@@ -403,7 +403,7 @@
 pub fn control_flat(book: &Book) -> Vec<Row> {
     let duties = || {
         Limit::Code(
-            book.code("crates/leases/src/vote.rs", "MAX_DUTIES"),
+            book.code("crates/leases/src/acceptor.rs", "MAX_LEASES"),
             "vote::MAX_DUTIES",
         )
     };
--- a/crates/fleet-rig/src/distribution/checker.rs
+++ b/crates/fleet-rig/src/distribution/checker.rs
@@ -1,7 +1,7 @@
 //! What was written, what each follower holds, and what of it is wrong.
 
+use spanspur_leases::GossipEntry;
 use spanspur_leases::Millis;
-use spanspur_leases::board::Entry;
 use std::collections::{BTreeMap, HashMap};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -53,7 +53,7 @@
 }
 
 /// Whether an entry of the rig says that the key is removed.
-pub fn is_removed(entry: &Entry) -> bool {
+pub fn is_removed(entry: &GossipEntry) -> bool {
     entry.value.get(1) == Some(&2)
 }
 
@@ -90,7 +90,7 @@
     }
 
     /// A writer has written an entry.
-    pub fn wrote(&mut self, now: Millis, by: usize, entry: &Entry) {
+    pub fn wrote(&mut self, now: Millis, by: usize, entry: &GossipEntry) {
         let value = xxh3_64(&entry.value);
         let last = self.by_key.get(&entry.key).and_then(|of| of.last());
         let change = last.map_or(0, |last| last + 1);
@@ -114,7 +114,7 @@
     }
 
     /// What a follower holds for a key.
-    pub fn holds(&mut self, now: Millis, follower: usize, entry: &Entry) {
+    pub fn holds(&mut self, now: Millis, follower: usize, entry: &GossipEntry) {
         self.looks += 1;
         let before = self.held[follower].get(&entry.key).copied();
         let removed = is_removed(entry);
@@ -122,7 +122,7 @@
             return;
         }
         let text = || {
-            let Entry { key, version, .. } = entry;
+            let GossipEntry { key, version, .. } = entry;
             format!("{now} follower {follower}: {key:x} at {version:x}, before {before:x?}")
         };
         let value = xxh3_64(&entry.value);
@@ -157,7 +157,7 @@
         &mut self,
         now: Millis,
         follower: usize,
-        entries: impl Iterator<Item = &'a Entry>,
+        entries: impl Iterator<Item = &'a GossipEntry>,
     ) {
         let mut count = 0;
         for entry in entries {
@@ -176,8 +176,8 @@
         &mut self,
         now: Millis,
         follower: usize,
-        entries: impl Iterator<Item = &'a Entry>,
-        right: &BTreeMap<u64, Entry>,
+        entries: impl Iterator<Item = &'a GossipEntry>,
+        right: &BTreeMap<u64, GossipEntry>,
     ) {
         let (mut count, mut differ) = (0, Vec::new());
         for entry in entries {
--- a/crates/fleet-rig/src/distribution/sockets.rs
+++ b/crates/fleet-rig/src/distribution/sockets.rs
@@ -13,7 +13,7 @@
 use spanspur_cluster::driver::{Cluster, Handle};
 use spanspur_cluster::node::Setup;
 use spanspur_distribution::{AskPace, Entry, FollowerSetup, Limits, SourceAt, SourceSetup};
-use spanspur_leases::DutyId;
+use spanspur_leases::LeaseId;
 use spanspur_membership::{Identity, Key, Keys};
 use std::cell::{Cell, RefCell};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, UdpSocket};
@@ -341,7 +341,7 @@
 
 /// Where the list is confirmed on the board; not passed on to followers.
 fn beat_key() -> u64 {
-    DutyId::of("list/beat").0
+    LeaseId::of("list/beat").0
 }
 
 fn publish((node, distributor): &Control, entries: Vec<Entry>) {
--- a/crates/fleet-rig/src/distribution/world.rs
+++ b/crates/fleet-rig/src/distribution/world.rs
@@ -1,7 +1,7 @@
 //! Control instances and followers in virtual time, in regions and zones, with their network. The same seed plays the
 //! same again.
 //!
-//! The truth is a stand-in for discovery: keys with values. The control instance that holds the permit for the duty
+//! The truth is a stand-in for discovery: keys with values. The control instance that holds the grant for the duty
 //! `list` watches it and puts on its node's board what differs, with the version period << 20 | step, and a head
 //! several times a second; every control instance hands its own entries and the board's news to its source.
 
@@ -16,8 +16,8 @@
 use spanspur_distribution::{
     AskPace, Follower, FollowerSetup, Limits, Place, SourceAt, SourceSetup,
 };
-use spanspur_leases::board::Entry;
-use spanspur_leases::{DutyId, InstanceId, Millis, Now, Permit};
+use spanspur_leases::GossipEntry;
+use spanspur_leases::{Clocks, InstanceId, LeaseGrant, LeaseId, Millis};
 use spanspur_membership::{Identity, Key, Keys, Pace, Sessions};
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -38,7 +38,7 @@
 const STEPS: u32 = 20;
 /// From a change to the writer's knowledge of it.
 const WATCH: Millis = 5;
-/// From looking at the permit to acting, at most.
+/// From looking at the grant to acting, at most.
 const ACT: Millis = 5;
 /// Bytes of a value: a row of the list.
 pub const VALUE: usize = 44;
@@ -142,11 +142,11 @@
 enum Event {
     Datagram(u32, u16, SocketAddr, Vec<u8>),
     Wake(u32, u16),
-    Act(u32, u64, Permit),
+    Act(u32, u64, LeaseGrant),
     Head(u32, u64, u64),
     Watched(u64),
     /// The planted fault: an entry is taken again.
-    Again(u32, u64, Entry),
+    Again(u32, u64, GossipEntry),
     Fault(Fault),
 }
 
@@ -230,7 +230,7 @@
     wall: i64,
     wake_at: [Millis; 2],
     /// What the planted follower makes of it.
-    own: BTreeMap<u64, Entry>,
+    own: BTreeMap<u64, GossipEntry>,
 }
 
 /// See the module's page.
@@ -299,7 +299,7 @@
 
 /// The key of the n-th server.
 pub fn key(n: usize) -> u64 {
-    DutyId::of(&format!("{DUTY}/{n:016x}")).0
+    LeaseId::of(&format!("{DUTY}/{n:016x}")).0
 }
 
 fn keys() -> Keys {
@@ -543,10 +543,10 @@
         value
     }
 
-    fn clocks(&self, i: usize) -> Now {
+    fn clocks(&self, i: usize) -> Clocks {
         let process = &self.processes[i];
-        Now {
-            mono: self.now + process.mono,
+        Clocks {
+            monotonic: self.now + process.mono,
             wall: (START as i64 + self.now as i64 + process.wall) as Millis,
         }
     }
@@ -585,7 +585,7 @@
         match event {
             Event::Datagram(i, port, from, bytes) => self.receive(i as usize, port, from, &bytes),
             Event::Wake(i, port) => self.wake(i as usize, port),
-            Event::Act(i, boot, permit) => self.act(i as usize, boot, permit),
+            Event::Act(i, boot, grant) => self.act(i as usize, boot, grant),
             Event::Head(i, boot, period) => {
                 let i = i as usize;
                 if self.processes[i].boot == boot && self.leads(i) {
@@ -633,11 +633,11 @@
             }
             Part::Control(control) => {
                 metered(meter, cost, || {
-                    control.source.receive(now.mono, from, bytes)
+                    control.source.receive(now.monotonic, from, bytes)
                 });
             }
             Part::Follower(follower) => {
-                metered(meter, cost, || follower.receive(now.mono, from, bytes));
+                metered(meter, cost, || follower.receive(now.monotonic, from, bytes));
             }
         }
         self.settle(i, port);
@@ -657,8 +657,8 @@
             Part::Control(control) if port == CLUSTER => {
                 metered(meter, cost, || control.node.wake(now));
             }
-            Part::Control(control) => metered(meter, cost, || control.source.wake(now.mono)),
-            Part::Follower(follower) => metered(meter, cost, || follower.wake(now.mono)),
+            Part::Control(control) => metered(meter, cost, || control.source.wake(now.monotonic)),
+            Part::Follower(follower) => metered(meter, cost, || follower.wake(now.monotonic)),
         }
         self.settle(i, port);
     }
@@ -681,11 +681,11 @@
                             self.meters[i][part].memory -= room::<u8>(cost, bytes.capacity());
                             self.send(i, port, to, bytes);
                         }
-                        node::Effect::Perform(permit) => {
-                            if permit.holds(mono) {
+                        node::Effect::Perform(grant) => {
+                            if grant.is_valid(mono) {
                                 let after = self.random.random_range(0..=ACT);
                                 let boot = self.processes[i].boot;
-                                self.push(self.now + after, Event::Act(i as u32, boot, permit));
+                                self.push(self.now + after, Event::Act(i as u32, boot, grant));
                             }
                         }
                         node::Effect::News(entry) => {
@@ -754,7 +754,7 @@
     }
 
     /// What a follower holds after a change.
-    fn look(&mut self, i: usize, changed: Vec<Entry>) {
+    fn look(&mut self, i: usize, changed: Vec<GossipEntry>) {
         let (now, who) = (self.now, i - CONTROLS);
         let Part::Follower(follower) = &self.processes[i].part else {
             return;
@@ -839,25 +839,25 @@
     }
 
     /// The duty is this instance's for a period.
-    fn act(&mut self, i: usize, boot: u64, permit: Permit) {
+    fn act(&mut self, i: usize, boot: u64, grant: LeaseGrant) {
         let (was, mono, every) = (self.leads(i), self.mono(i), self.plan.every);
         let retell = self.plan.retell;
         let process = &mut self.processes[i];
         let Part::Control(control) = &mut process.part else {
             return;
         };
-        if process.boot != boot || permit.duty != DutyId::of(DUTY) {
+        if process.boot != boot || grant.lease != LeaseId::of(DUTY) {
             return;
         }
-        let in_time = permit.holds(mono);
-        control.node.performed(&permit, in_time);
+        let in_time = grant.is_valid(mono);
+        control.node.performed(&grant, in_time);
         if !in_time {
             return;
         }
         control.leads = Some(Lead {
-            period: permit.period,
+            period: grant.fencing_token,
             step: 0,
-            // As the list duty does: until the next permit comes, and until then nobody else can have one either.
+            // As the list duty does: until the next grant comes, and until then nobody else can have one either.
             until: mono + every + every / 8,
         });
         if !was {
@@ -869,7 +869,7 @@
         self.tell(i, true);
         self.push(
             self.now + HEAD_EVERY,
-            Event::Head(i as u32, boot, permit.period),
+            Event::Head(i as u32, boot, grant.fencing_token),
         );
     }
 
@@ -919,19 +919,19 @@
         let Some(lead) = &mut control.leads else {
             return;
         };
-        let mut entries: Vec<Entry> = Vec::new();
-        let head_key = DutyId::of(DUTY).0;
+        let mut entries: Vec<GossipEntry> = Vec::new();
+        let head_key = LeaseId::of(DUTY).0;
         let head = head.then(|| (head_key, vec![0; 17]));
         for (key, value) in rows.into_iter().chain(head) {
             lead.step = (lead.step + 1).min((1 << STEPS) - 1);
             let version = lead.period << STEPS | lead.step;
-            entries.push(Entry {
+            entries.push(GossipEntry {
                 key,
                 version,
                 value,
             });
         }
-        let rows: Vec<Entry> = entries
+        let rows: Vec<GossipEntry> = entries
             .iter()
             .filter(|e| e.key != head_key)
             .cloned()
@@ -941,7 +941,7 @@
         }
         let meter = &mut self.meters[i][1];
         // They are made out here, and kept or dropped in there.
-        meter.memory += room::<Entry>(cost, entries.capacity());
+        meter.memory += room::<GossipEntry>(cost, entries.capacity());
         let values = entries.iter().map(|e| room::<u8>(cost, e.value.capacity()));
         meter.memory += values.sum::<i64>();
         metered(meter, cost, || control.node.publish(now, entries));
@@ -950,11 +950,11 @@
     }
 
     /// What the board has goes to the source.
-    fn hand_over(&mut self, i: usize, rows: &[Entry], heard: bool) {
+    fn hand_over(&mut self, i: usize, rows: &[GossipEntry], heard: bool) {
         let (now, cost) = (self.mono(i), self.cost());
-        let kept: Vec<Entry> = match self.plan.planted {
+        let kept: Vec<GossipEntry> = match self.plan.planted {
             Planted::Forgets(share) => {
-                let keeps = |e: &&Entry| !e.version.is_multiple_of(share);
+                let keeps = |e: &&GossipEntry| !e.version.is_multiple_of(share);
                 rows.iter().filter(keeps).cloned().collect()
             }
             _ => rows.to_vec(),
@@ -973,9 +973,9 @@
         self.settle(i, DISTRIBUTION);
     }
 
-    fn take_news(&mut self, i: usize, news: &[Entry]) {
-        let head_key = DutyId::of(DUTY).0;
-        let rows: Vec<Entry> = news.iter().filter(|e| e.key != head_key).cloned().collect();
+    fn take_news(&mut self, i: usize, news: &[GossipEntry]) {
+        let head_key = LeaseId::of(DUTY).0;
+        let rows: Vec<GossipEntry> = news.iter().filter(|e| e.key != head_key).cloned().collect();
         let heard = rows.len() < news.len();
         if let Part::Control(control) = &mut self.processes[i].part
             && let Some(dirty) = &mut control.dirty
@@ -1025,7 +1025,7 @@
                     limits: Limits::default(),
                     seed,
                 };
-                Source::new(now.mono, setup)
+                Source::new(now.monotonic, setup)
             });
             Part::Control(Box::new(Control {
                 node,
@@ -1049,7 +1049,7 @@
                     pace: AskPace::default(),
                     seed,
                 };
-                Follower::new(now.mono, setup)
+                Follower::new(now.monotonic, setup)
             });
             self.checker.restarted(i - CONTROLS);
             Part::Follower(Box::new(follower))
--- a/crates/fleet-rig/src/lib.rs
+++ b/crates/fleet-rig/src/lib.rs
@@ -19,7 +19,7 @@
 pub use judge::{Act, Judge, Verdict};
 pub use world::{Fault, Plan, World};
 
-use spanspur_leases::division::Ranking;
+use spanspur_leases::ranking::Ranking;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// A ranking for rigs, of the form of the balancer's own: -1 / ln of a hash in (0, 1).
--- a/crates/fleet-rig/src/measure.rs
+++ b/crates/fleet-rig/src/measure.rs
@@ -5,7 +5,7 @@
 use crate::world::{Fault, Plan, World};
 use hdrhistogram::Histogram;
 use serde::Serialize;
-use spanspur_leases::{DutyId, InstanceId};
+use spanspur_leases::{InstanceId, LeaseId};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::path::Path;
@@ -90,7 +90,7 @@
         .collect();
     let mut share: BTreeMap<InstanceId, usize> = BTreeMap::new();
     for n in 0..duties {
-        let first = ranking.first(DutyId::of(&format!("duty-{n}")), &ids);
+        let first = ranking.preferred_instance(LeaseId::of(&format!("duty-{n}")), &ids);
         *share.entry(first.unwrap_or(ids[0])).or_default() += 1;
     }
     let busiest = share.values().max().copied().unwrap_or(0);
@@ -153,8 +153,9 @@
         .map(|i| InstanceId::of(&crate::world::name(i)))
         .collect();
     let differ = (0..10_000).filter(|n| {
-        let duty = DutyId::of(&format!("duty-{n}"));
-        ranking.first(duty, &ids[..instances]) != ranking.first(duty, &ids)
+        let duty = LeaseId::of(&format!("duty-{n}"));
+        ranking.preferred_instance(duty, &ids[..instances])
+            != ranking.preferred_instance(duty, &ids)
     });
     (
         instances,
--- a/crates/fleet-rig/src/meter.rs
+++ b/crates/fleet-rig/src/meter.rs
@@ -2,8 +2,8 @@
 
 use rustix::time::{ClockId, clock_gettime};
 use spanspur_cluster::node::Notice;
+use spanspur_leases::GossipEntry;
 use spanspur_leases::Millis;
-use spanspur_leases::board::Entry;
 use std::collections::BTreeMap;
 
 /// Readings behind the cost of one.
@@ -132,7 +132,7 @@
         self.downs += u64::from(!there);
     }
 
-    pub(crate) fn news(&mut self, now: Millis, entry: &Entry) {
+    pub(crate) fn news(&mut self, now: Millis, entry: &GossipEntry) {
         let told = self.told.entry(entry.key).or_default();
         *told = (told.0 + 1, now);
     }
--- a/crates/fleet-rig/src/scale.rs
+++ b/crates/fleet-rig/src/scale.rs
@@ -9,8 +9,8 @@
 use crate::world::{Plan, World, name};
 use clap::Args as Arguments;
 use serde::{Deserialize, Serialize};
-use spanspur_leases::board::{Entry, MAX_VALUE, News};
-use spanspur_leases::{Board, InstanceId};
+use spanspur_leases::InstanceId;
+use spanspur_leases::gossip_store::{GossipEntry, GossipMessage, GossipStore, MAX_VALUE_BYTES};
 use spanspur_membership::{Key, Keys, Sessions};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
@@ -125,8 +125,8 @@
 }
 
 /// Entries that stand on every board.
-pub fn standing(count: usize) -> Vec<Entry> {
-    let entry = |key| Entry {
+pub fn standing(count: usize) -> Vec<GossipEntry> {
+    let entry = |key| GossipEntry {
         key,
         version: 1,
         value: vec![7; VALUE],
@@ -203,7 +203,7 @@
     for n in 0..args.news {
         let (start, key) = (world.now, NEWS_KEY + n);
         let publisher = instances / 2 + n as usize;
-        let entry = Entry {
+        let entry = GossipEntry {
             key,
             version: 1,
             value: vec![9; VALUE],
@@ -501,7 +501,7 @@
         sessions_held(MOST - 1),
         MOST - 1
     )?;
-    for value in [VALUE, 200, MAX_VALUE] {
+    for value in [VALUE, 200, MAX_VALUE_BYTES] {
         let reached = |n: usize| news_reaches(n, value);
         writeln!(
             text,
@@ -598,18 +598,18 @@
     let id = |i: usize| InstanceId::of(&name(i));
     let mut others: Vec<InstanceId> = (1..instances).map(id).collect();
     others.sort();
-    let entry = Entry {
+    let entry = GossipEntry {
         key: NEWS_KEY,
         version: 1,
         value: vec![9; value],
     };
     let sessions = sessions(0);
     let mut reached = 0;
-    for (_, news) in Board::default().publish(vec![entry], &others) {
-        let News::Entries(_, on) = &news else {
+    for (_, news) in GossipStore::default().publish(vec![entry], &others) {
+        let GossipMessage::Entries { forward_to, .. } = &news else {
             continue;
         };
-        let part = 1 + on.len();
+        let part = 1 + forward_to.len();
         // What a node puts in front says in one byte that it is the board's.
         let body = [vec![2], postcard::to_stdvec(&news).unwrap_or_default()].concat();
         // An answer is as large as any other datagram and needs no session.
--- a/crates/fleet-rig/src/soak.rs
+++ b/crates/fleet-rig/src/soak.rs
@@ -107,7 +107,7 @@
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let (every, skew, size) = (plan.every, plan.skew, plan.instances);
     let ids: Vec<u64> = (0..plan.duties)
-        .map(|n| spanspur_leases::DutyId::of(&format!("duty-{n}")).0)
+        .map(|n| spanspur_leases::LeaseId::of(&format!("duty-{n}")).0)
         .collect();
     let mut world = World::new(plan, seed);
     world.watch = watch;
--- a/crates/fleet-rig/src/sockets.rs
+++ b/crates/fleet-rig/src/sockets.rs
@@ -7,7 +7,7 @@
 use crate::world::{name, pace};
 use spanspur_cluster::driver::{Cluster, Handle, Traffic};
 use spanspur_cluster::node::Setup;
-use spanspur_leases::board::Entry;
+use spanspur_leases::GossipEntry;
 use spanspur_membership::{Identity, Key, Keys};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -161,7 +161,7 @@
 
     for n in 0..args.news {
         let (start, key) = (Instant::now(), NEWS_KEY + n);
-        let entry = Entry {
+        let entry = GossipEntry {
             key,
             version: 1,
             value: vec![9; VALUE],
--- a/crates/fleet-rig/src/world.rs
+++ b/crates/fleet-rig/src/world.rs
@@ -7,8 +7,8 @@
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use spanspur_cluster::node::{Effect, Node, Notice, Setup};
-use spanspur_leases::board::Entry;
-use spanspur_leases::{Millis, Now, Permit};
+use spanspur_leases::GossipEntry;
+use spanspur_leases::{Clocks, LeaseGrant, Millis};
 use spanspur_membership::{Identity, Key, Keys, Pace};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
@@ -37,7 +37,7 @@
     pub twice: f64,
     /// Datagrams take from 1 ms to this.
     pub delay: Millis,
-    /// From looking at the permit to acting, at most.
+    /// From looking at the grant to acting, at most.
     pub act: Millis,
     /// Each instance claims alone: the rig's proof that the judge sees what must not be.
     pub without_votes: bool,
@@ -91,7 +91,7 @@
 enum Event {
     Datagram(usize, SocketAddr, Vec<u8>),
     Wake(usize),
-    Act(usize, u64, Permit, Millis, Millis),
+    Act(usize, u64, LeaseGrant, Millis, Millis),
     Fault(Fault),
 }
 
@@ -182,7 +182,7 @@
             .collect();
         let names = (0..plan.duties).map(|n| {
             let name = format!("duty-{n}");
-            let id = spanspur_leases::DutyId::of(&name).0;
+            let id = spanspur_leases::LeaseId::of(&name).0;
             (name, id)
         });
         let mut world = Self {
@@ -225,7 +225,7 @@
     }
 
     /// An instance that runs puts entries on the board.
-    pub fn publish(&mut self, i: usize, entries: Vec<Entry>) {
+    pub fn publish(&mut self, i: usize, entries: Vec<GossipEntry>) {
         let now = self.clocks(i);
         if let Some(node) = &mut self.processes[i].node {
             metered(&mut self.meter, i, || node.publish(now, entries));
@@ -244,10 +244,10 @@
     }
 
     /// The clocks of an instance.
-    pub fn clocks(&self, i: usize) -> Now {
+    pub fn clocks(&self, i: usize) -> Clocks {
         let process = &self.processes[i];
-        Now {
-            mono: self.now + process.mono,
+        Clocks {
+            monotonic: self.now + process.mono,
             wall: (START as i64 + self.now as i64 + process.wall) as Millis,
         }
     }
@@ -304,33 +304,33 @@
                 process.wake_at = Millis::MAX;
                 if let Some(node) = &mut process.node {
                     metered(&mut self.meter, i, || {
-                        if node.next_wake() <= now.mono {
+                        if node.next_wake() <= now.monotonic {
                             node.wake(now);
                         }
                     });
                     self.settle(i);
                 }
             }
-            Event::Act(i, boot, permit, won, until) => {
+            Event::Act(i, boot, grant, won, until) => {
                 let process = &mut self.processes[i];
                 // The process that was about to act has died.
                 if process.boot != boot || process.node.is_none() {
                     return;
                 }
                 if let Some(node) = &mut process.node {
-                    node.performed(&permit, true);
+                    node.performed(&grant, true);
                 }
                 let act = Act {
                     at: self.now,
                     won,
                     until,
-                    period: permit.period,
+                    period: grant.fencing_token,
                     by: i,
                 };
-                if self.watch == Some(permit.duty.0) {
+                if self.watch == Some(grant.lease.0) {
                     println!("{act:?}");
                 }
-                self.judge.act(permit.duty.0, act);
+                self.judge.act(grant.lease.0, act);
             }
             Event::Fault(fault) => self.fault(fault),
         }
@@ -366,7 +366,7 @@
         let mut born = now;
         if self.plan.without_memory {
             // As if it had run for a day: nothing to abstain for.
-            born.mono = born.mono.saturating_sub(86_400_000);
+            born.monotonic = born.monotonic.saturating_sub(86_400_000);
         }
         let mut node = Node::new(born, setup);
         let known = self.processes[i].duties;
@@ -459,14 +459,14 @@
         for effect in effects {
             match effect {
                 Effect::Datagram(to, bytes) => self.send(i, to, bytes),
-                Effect::Perform(permit) => {
-                    let mono = self.clocks(i).mono;
-                    if permit.holds(mono) {
+                Effect::Perform(grant) => {
+                    let mono = self.clocks(i).monotonic;
+                    if grant.is_valid(mono) {
                         // From here to the act the process may be frozen, or die.
                         let after = self.random.random_range(0..=self.plan.act);
-                        let until = permit.until.saturating_sub(self.processes[i].mono);
+                        let until = grant.valid_until.saturating_sub(self.processes[i].mono);
                         let boot = self.processes[i].boot;
-                        let act = Event::Act(i, boot, permit, self.now, until);
+                        let act = Event::Act(i, boot, grant, self.now, until);
                         self.push(self.now + after, act);
                     }
                 }
--- a/crates/fleet-rig/tests/capacity.rs
+++ b/crates/fleet-rig/tests/capacity.rs
@@ -378,7 +378,8 @@
         assert!(gone.is_missing(&book) && gone.carried(&book).contains("**missing**"));
     }
     assert_eq!(
-        book.code("crates/leases/src/board.rs", "FANOUT").value(),
+        book.code("crates/leases/src/gossip_store.rs", "FANOUT")
+            .value(),
         Some(8.0)
     );
     assert_eq!(
--- a/crates/fleet-rig/tests/virtual_time.rs
+++ b/crates/fleet-rig/tests/virtual_time.rs
@@ -198,7 +198,9 @@
     let said = [1, 3].iter().filter(|i| {
         let node = world.node(**i).expect("runs");
         let now = world.clocks(**i);
-        node.status(now).iter().any(|(_, status)| status.minority)
+        node.status(now)
+            .iter()
+            .any(|(_, status)| status.is_quorum_lost)
     });
     assert_eq!(said.count(), 2, "a minority says so");
     world.run_until(end);
--- a/crates/leases/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -1,31 +1,31 @@
-//! Every order of events of a small world, by stateright: three instances, one duty, two periods, a process that
-//! dies and starts again, and one that may stand still at any point, also between looking at its permit and acting.
-//! Voters and claimants are the real ones; questions may be lost, late and out of order, and answers may be lost. An
-//! answer that comes late is left out: until it comes the claimant does nothing that it could not do later as well,
-//! and what it asks meanwhile of the other voters may itself be late.
+//! Every order of events of a small world, by stateright: three instances, one lease, two terms, a process that
+//! dies and starts again, and one that may stand still at any point, also between checking its grant and acting.
+//! Acceptors and proposers are the real ones; requests may be lost, late and out of order, and responses may be lost.
+//! A response that comes late is left out: until it comes the proposer does nothing that it could not do later as
+//! well, and what it asks meanwhile of the other acceptors may itself be late.
 
-use spanspur_leases::claim::{Claim, Stage, Step};
-use spanspur_leases::vote::Voter;
-use spanspur_leases::{DutyId, Item, Now, Why};
+use spanspur_leases::acceptor::Acceptor;
+use spanspur_leases::proposer::{Phase, Progress, Proposer};
+use spanspur_leases::{Clocks, LeaseId, Message, RejectReason};
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 
-const DUTY: DutyId = DutyId(1);
-const EVERY: u64 = 1000;
-/// One step of time is enough for the next period, and for a restarted voter to vote again.
+const LEASE: LeaseId = LeaseId(1);
+const INTERVAL: u64 = 1000;
+/// One step of time is enough for the next term, and for a restarted acceptor to vote again.
 const STEP: u64 = 1300;
 const INSTANCES: usize = 3;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     step: u64,
-    voters: Vec<Voter>,
-    claims: Vec<Claim>,
-    boots: Vec<u64>,
-    /// Questions: from, to, what, in an order of no meaning; each is delivered once or never.
-    net: Vec<(usize, usize, Item)>,
-    /// How often each period was acted in. A period that is won is acted in at once: when does not matter to the
-    /// count, and no permit is looked at, as if each had been looked at long before.
+    acceptors: Vec<Acceptor>,
+    proposers: Vec<Proposer>,
+    incarnations: Vec<u64>,
+    /// Requests: from, to, what, in an order of no meaning; each is delivered once or never.
+    net: Vec<(usize, usize, Message)>,
+    /// How often each term was acted in. A term that is won is acted in at once: when does not matter to the
+    /// count, and no grant is checked, as if each had been checked long before.
     acts: BTreeMap<u64, u32>,
     prepares: u32,
     proposals: u32,
@@ -49,63 +49,63 @@
     steps: u64,
     /// A process may die and start again.
     restarts: bool,
-    /// A restarted voter votes at once, and time numbers nothing: what must be caught.
+    /// A restarted acceptor votes at once, and time numbers nothing: what must be caught.
     forgetful: bool,
 }
 
 impl World {
-    fn now(&self, state: &State) -> Now {
-        // The voters of the start are old: they abstain from nothing.
-        let mono = 100_000 + state.step * STEP;
-        let wall = if self.forgetful { 7 } else { mono };
-        Now { mono, wall }
+    fn now(&self, state: &State) -> Clocks {
+        // The acceptors of the start are old: they abstain from nothing.
+        let monotonic = 100_000 + state.step * STEP;
+        let wall = if self.forgetful { 7 } else { monotonic };
+        Clocks { monotonic, wall }
     }
 
-    fn ask(&self, state: &mut State, from: usize, to: usize, item: Item) {
+    fn ask(&self, state: &mut State, from: usize, to: usize, message: Message) {
         if from == to {
-            return self.take(state, from, to, &item, true);
+            return self.take(state, from, to, &message, true);
         }
-        let message = (from, to, item);
-        if !state.net.contains(&message) {
-            state.net.push(message);
+        let delivery = (from, to, message);
+        if !state.net.contains(&delivery) {
+            state.net.push(delivery);
             state.net.sort_unstable();
         }
     }
 
-    /// A voter takes a question, and the claimant its answer, unless it gets lost.
-    fn take(&self, state: &mut State, from: usize, to: usize, item: &Item, heard: bool) {
+    /// An acceptor handles a request, and the proposer its response, unless it gets lost.
+    fn take(&self, state: &mut State, from: usize, to: usize, message: &Message, heard: bool) {
         let now = self.now(state);
-        // Nobody is believed to be there: the fewest reasons to refuse.
-        let answer = state.voters[to].handle(now, item, &BTreeSet::new());
+        // Nobody is believed to be there: the fewest reasons to reject.
+        let answer = state.acceptors[to].handle_message(now, message, &BTreeSet::new());
         let Some(answer) = answer.filter(|_| heard) else {
             return;
         };
-        let claim = &mut state.claims[from];
-        if let Item::Refused { why, ballot, .. } = &answer
-            && *why == Why::Unknown
-            && *ballot == claim.ballot
+        let proposer = &mut state.proposers[from];
+        if let Message::Rejected { reason, ballot, .. } = &answer
+            && *reason == RejectReason::NoPromise
+            && *ballot == proposer.ballot
         {
-            let ask = prepare(claim);
+            let ask = prepare(proposer);
             return self.ask(state, from, to, ask);
         }
-        if claim.answer(to as u64, &answer, INSTANCES) == Step::Won {
-            *state.acts.entry(claim.period).or_default() += 1;
+        if proposer.handle_response(to as u64, &answer, INSTANCES) == Progress::TermWon {
+            *state.acts.entry(proposer.term).or_default() += 1;
         }
     }
 
-    fn ask_all(&self, state: &mut State, from: usize, item: &Item) {
+    fn ask_all(&self, state: &mut State, from: usize, message: &Message) {
         for voter in 0..INSTANCES {
-            self.ask(state, from, voter, item.clone());
+            self.ask(state, from, voter, message.clone());
         }
     }
 }
 
-fn prepare(claim: &Claim) -> Item {
-    Item::Prepare {
-        duty: DUTY,
-        ballot: claim.ballot,
-        every: EVERY,
-        trial: false,
+fn prepare(proposer: &Proposer) -> Message {
+    Message::Prepare {
+        lease: LEASE,
+        ballot: proposer.ballot,
+        interval: INTERVAL,
+        pre_vote: false,
     }
 }
 
@@ -114,12 +114,15 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let long_ago = Now { mono: 0, wall: 0 };
+        let long_ago = Clocks {
+            monotonic: 0,
+            wall: 0,
+        };
         vec![State {
             step: 0,
-            voters: vec![Voter::new(long_ago, 0); INSTANCES],
-            claims: vec![Claim::new(); INSTANCES],
-            boots: vec![1; INSTANCES],
+            acceptors: vec![Acceptor::new(long_ago, 0); INSTANCES],
+            proposers: vec![Proposer::new(); INSTANCES],
+            incarnations: vec![1; INSTANCES],
             net: Vec::new(),
             acts: BTreeMap::new(),
             prepares: 0,
@@ -132,16 +135,16 @@
         actions.extend((0..state.net.len()).map(Action::Deliver));
         actions.extend((0..state.net.len()).map(Action::Unheard));
         for i in 0..INSTANCES {
-            // Two of them claim, all three vote: a third claimant adds only names.
+            // Two of them propose, all three vote: a third proposer adds only names.
             let may = i < 2 && state.prepares < self.prepares;
-            // Also after a proposal that met a no: the same period may be proposed again then.
-            if may && state.claims[i].stage != Stage::Holding {
+            // Also after a proposal that met a rejection: the same term may be proposed again then.
+            if may && state.proposers[i].phase != Phase::Holding {
                 actions.push(Action::Prepare(i));
             }
-            if state.claims[i].stage == Stage::Holding && state.proposals < self.proposals {
+            if state.proposers[i].phase == Phase::Holding && state.proposals < self.proposals {
                 actions.push(Action::Propose(i));
             }
-            // The two claimants are alike: it is one of them, or the voter.
+            // The two proposers are alike: it is one of them, or the third acceptor.
             if self.restarts && !state.died && i != 1 {
                 actions.push(Action::Restart(i));
             }
@@ -156,28 +159,28 @@
         let now = self.now(&state);
         match action {
             Action::Deliver(n) => {
-                let (from, to, item) = state.net.remove(n);
-                self.take(&mut state, from, to, &item, true);
+                let (from, to, message) = state.net.remove(n);
+                self.take(&mut state, from, to, &message, true);
             }
             Action::Unheard(n) => {
-                let (from, to, item) = state.net.remove(n);
-                self.take(&mut state, from, to, &item, false);
+                let (from, to, message) = state.net.remove(n);
+                self.take(&mut state, from, to, &message, false);
             }
             Action::Prepare(i) => {
                 state.prepares += 1;
-                let boot = state.boots[i];
-                state.claims[i].prepare(now.mono, i as u64, boot);
-                let ask = prepare(&state.claims[i]);
+                let incarnation = state.incarnations[i];
+                state.proposers[i].start_prepare(now.monotonic, i as u64, incarnation);
+                let ask = prepare(&state.proposers[i]);
                 self.ask_all(&mut state, i, &ask);
             }
             Action::Propose(i) => {
                 state.proposals += 1;
-                state.claims[i].propose(now.mono);
-                let ask = Item::Accept {
-                    duty: DUTY,
-                    ballot: state.claims[i].ballot,
-                    period: state.claims[i].period,
-                    every: EVERY,
+                state.proposers[i].propose_term(now.monotonic);
+                let ask = Message::Accept {
+                    lease: LEASE,
+                    ballot: state.proposers[i].ballot,
+                    term: state.proposers[i].term,
+                    interval: INTERVAL,
                 };
                 self.ask_all(&mut state, i, &ask);
             }
@@ -185,26 +188,29 @@
                 state.died = true;
                 let mut born = now;
                 if self.forgetful {
-                    born.mono = 0;
+                    born.monotonic = 0;
                 }
-                state.voters[i] = Voter::new(born, 0);
-                state.claims[i] = Claim::new();
-                state.boots[i] += 1;
+                state.acceptors[i] = Acceptor::new(born, 0);
+                state.proposers[i] = Proposer::new();
+                state.incarnations[i] += 1;
             }
             Action::Pass => state.step += 1,
         }
         // The time of asking plays no part here.
-        state.claims.iter_mut().for_each(|claim| claim.sent = 0);
+        state
+            .proposers
+            .iter_mut()
+            .for_each(|proposer| proposer.started_at = 0);
         Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("at most one act a period", |_, state: &State| {
+            Property::always("at most one act a term", |_, state: &State| {
                 state.acts.values().all(|acts| *acts <= 1)
             }),
             Property::sometimes("an act", |_, state: &State| !state.acts.is_empty()),
-            Property::sometimes("two periods", |world: &World, state: &State| {
+            Property::sometimes("two terms", |world: &World, state: &State| {
                 state.acts.len() > 1 || world.steps == 0
             }),
         ]
@@ -218,7 +224,7 @@
 }
 
 #[test]
-fn at_most_one_act_a_period_with_a_restart() {
+fn at_most_one_act_a_term_with_a_restart() {
     check(World {
         prepares: 2,
         proposals: 2,
@@ -229,7 +235,7 @@
 }
 
 #[test]
-fn at_most_one_act_a_period_with_a_period_proposed_again() {
+fn at_most_one_act_a_term_with_a_term_proposed_again() {
     check(World {
         prepares: 3,
         proposals: 3,
@@ -240,7 +246,7 @@
 }
 
 #[test]
-fn a_voter_that_forgets_and_votes_at_once_is_caught() {
+fn an_acceptor_that_forgets_and_votes_at_once_is_caught() {
     let world = World {
         prepares: 2,
         proposals: 2,
@@ -249,7 +255,7 @@
         forgetful: true,
     };
     let checker = world.checker().threads(4).spawn_bfs().join();
-    let found = checker.discovery("at most one act a period");
+    let found = checker.discovery("at most one act a term");
     println!(
         "{:?}",
         found.as_ref().map(|path| path.clone().into_actions())
--- a/crates/leases/tests/seeded_run.rs
+++ b/crates/leases/tests/seeded_run.rs
@@ -1,4 +1,4 @@
-//! Several instances in virtual time, with losses, doubled messages, restarts and permits that run out: all that they
+//! Several instances in virtual time, with losses, doubled messages, restarts and grants that expire: all that they
 //! put out is hashed, second by second, and compared with a fixture file. Written by the tree at 71566bd; rewriting
 //! it (`WRITE_FIXTURES=1`) hides a change of behaviour between versions.
 
@@ -7,8 +7,10 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use spanspur_leases::division::Ranking;
-use spanspur_leases::{DutyId, Instance, InstanceId, Item, Millis, Now, Output, Settings, Why};
+use spanspur_leases::ranking::Ranking;
+use spanspur_leases::{
+    Clocks, InstanceId, LeaseConfig, LeaseId, LeaseManager, Message, Millis, Output, RejectReason,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use wire_fixtures::Record;
 use xxhash_rust::xxh3::xxh3_64;
@@ -29,8 +31,8 @@
 /// The Unix time at which the run starts.
 const WALL: Millis = 1_700_000_000_000;
 
-fn score(duty: u64, instance: u64) -> f64 {
-    let bytes = [duty.to_le_bytes(), instance.to_le_bytes()].concat();
+fn score(lease: u64, instance: u64) -> f64 {
+    let bytes = [lease.to_le_bytes(), instance.to_le_bytes()].concat();
     xxh3_64(&bytes) as f64
 }
 
@@ -42,29 +44,29 @@
     InstanceId::of(&name(at))
 }
 
-fn duties(names: &[(&str, Millis)]) -> BTreeMap<DutyId, Millis> {
+fn lease_intervals(names: &[(&str, Millis)]) -> BTreeMap<LeaseId, Millis> {
     names
         .iter()
-        .map(|(name, every)| (DutyId::of(name), *every))
+        .map(|(name, interval)| (LeaseId::of(name), *interval))
         .collect()
 }
 
 /// A message under way.
-struct Message {
+struct Envelope {
     from: usize,
     to: usize,
-    items: Vec<Item>,
+    messages: Vec<Message>,
 }
 
 struct World {
     now: Millis,
     random: ChaCha8Rng,
-    instances: Vec<Option<Instance>>,
+    instances: Vec<Option<LeaseManager>>,
     /// Instances that the others cannot reach.
     cut: BTreeSet<usize>,
-    queue: BTreeMap<(Millis, u64), Message>,
+    queue: BTreeMap<(Millis, u64), Envelope>,
     sent: u64,
-    duties: BTreeMap<DutyId, Millis>,
+    leases: BTreeMap<LeaseId, Millis>,
     /// All that was put out in this second.
     tape: Vec<u8>,
     /// Which kinds of messages and outputs were seen, so that a run that covers less shows.
@@ -80,7 +82,7 @@
             cut: BTreeSet::new(),
             queue: BTreeMap::new(),
             sent: 0,
-            duties: duties(&[("a", 1000), ("b", 700), ("c", 2500), ("list", 250)]),
+            leases: lease_intervals(&[("a", 1000), ("b", 700), ("c", 2500), ("list", 250)]),
             tape: Vec::new(),
             kinds: BTreeMap::new(),
         };
@@ -88,24 +90,24 @@
         world
     }
 
-    fn clocks(&self, at: usize) -> Now {
-        Now {
-            mono: self.now + CLOCK_STEP * at as u64,
+    fn clocks(&self, at: usize) -> Clocks {
+        Clocks {
+            monotonic: self.now + CLOCK_STEP * at as u64,
             wall: WALL + self.now + WALL_STEP * at as u64,
         }
     }
 
-    fn start(&mut self, at: usize, boot: u64) {
-        let settings = Settings {
-            me: id(at),
-            boot: boot + at as u64,
+    fn start(&mut self, at: usize, incarnation: u64) {
+        let config = LeaseConfig {
+            instance: id(at),
+            incarnation: incarnation + at as u64,
             voters: (0..VOTERS).map(id).collect(),
-            skew: 500,
+            max_clock_skew: 500,
             ranking: Ranking(score),
         };
         let now = self.clocks(at);
-        let mut instance = Instance::new(now, settings);
-        instance.configure(now, &self.duties);
+        let mut instance = LeaseManager::new(now, config);
+        instance.configure(now, &self.leases);
         self.instances[at] = Some(instance);
     }
 
@@ -117,22 +119,22 @@
         let alive: BTreeSet<InstanceId> = running.iter().map(|at| id(*at)).collect();
         for at in running {
             let now = self.clocks(at);
-            self.instance(at).view(now, &alive);
+            self.instance(at).update_alive(now, &alive);
         }
     }
 
     fn configure(&mut self, names: &[(&str, Millis)]) {
-        self.duties = duties(names);
+        self.leases = lease_intervals(names);
         for at in 0..INSTANCES {
             let now = self.clocks(at);
-            let duties = self.duties.clone();
+            let leases = self.leases.clone();
             if let Some(instance) = &mut self.instances[at] {
-                instance.configure(now, &duties);
+                instance.configure(now, &leases);
             }
         }
     }
 
-    fn instance(&mut self, at: usize) -> &mut Instance {
+    fn instance(&mut self, at: usize) -> &mut LeaseManager {
         self.instances[at].as_mut().expect("runs")
     }
 
@@ -145,10 +147,12 @@
         self.tape.extend(bytes);
     }
 
-    fn send(&mut self, from: usize, to: InstanceId, items: Vec<Item>) {
-        items.iter().for_each(|item| self.count(kind_of(item)));
+    fn send(&mut self, from: usize, to: InstanceId, messages: Vec<Message>) {
+        messages
+            .iter()
+            .for_each(|message| self.count(kind_of(message)));
         let to = (0..INSTANCES).find(|at| id(*at) == to).expect("known");
-        self.note(&(self.now, from, 0u8, to, &items));
+        self.note(&(self.now, from, 0u8, to, &messages));
         let cut = self.cut.contains(&from) || self.cut.contains(&to);
         let lost = self.random.random_bool(LOSS);
         let copies = 1 + u64::from(self.random.random_bool(DOUBLING));
@@ -157,42 +161,49 @@
         }
         for _ in 0..copies {
             let arrival = self.now + self.random.random_range(1..=40);
-            let items = items.clone();
+            let messages = messages.clone();
             self.sent += 1;
             let key = (arrival, self.sent);
-            self.queue.insert(key, Message { from, to, items });
+            self.queue.insert(key, Envelope { from, to, messages });
         }
     }
 
     fn carry_out(&mut self, at: usize, output: Output) {
         let now = self.now;
         match output {
-            Output::Send(to, items) => self.send(at, to, items),
-            Output::Perform(permit) => {
+            Output::Send(to, messages) => self.send(at, to, messages),
+            Output::Granted(grant) => {
                 self.count("perform");
-                self.note(&(now, at, 1u8, permit.duty, permit.period, permit.until));
+                self.note(&(
+                    now,
+                    at,
+                    1u8,
+                    grant.lease,
+                    grant.fencing_token,
+                    grant.valid_until,
+                ));
                 let late = self.random.random_bool(LATE_PERFORMER);
-                let in_time = !late && permit.holds(self.clocks(at).mono);
-                self.instance(at).performed(&permit, in_time);
+                let in_time = !late && grant.is_valid(self.clocks(at).monotonic);
+                self.instance(at).record_completion(&grant, in_time);
             }
-            Output::Missed(duty, periods) => {
+            Output::TermsMissed { lease, terms } => {
                 self.count("missed");
-                self.note(&(now, at, 2u8, duty, periods));
+                self.note(&(now, at, 2u8, lease, terms));
             }
-            Output::Minority(duty, lost) => {
+            Output::QuorumChanged { lease, is_lost } => {
                 self.count("minority");
-                self.note(&(now, at, 3u8, duty, lost));
+                self.note(&(now, at, 3u8, lease, is_lost));
             }
-            Output::Holds(duty, held) => {
+            Output::HoldingChanged { lease, is_held } => {
                 self.count("holds");
-                self.note(&(now, at, 4u8, duty, held));
+                self.note(&(now, at, 4u8, lease, is_held));
             }
         }
     }
 
     fn settle(&mut self) {
         for at in 0..INSTANCES {
-            let outputs = self.instances[at].as_mut().map(Instance::outputs);
+            let outputs = self.instances[at].as_mut().map(LeaseManager::take_outputs);
             for output in outputs.unwrap_or_default() {
                 self.carry_out(at, output);
             }
@@ -204,17 +215,19 @@
         while let Some(entry) = self.queue.first_entry()
             && entry.key().0 <= self.now
         {
-            let message = entry.remove();
-            let now = self.clocks(message.to);
-            if let Some(instance) = &mut self.instances[message.to] {
-                instance.receive(now, id(message.from), &message.items);
+            let envelope = entry.remove();
+            let now = self.clocks(envelope.to);
+            if let Some(instance) = &mut self.instances[envelope.to] {
+                instance.receive(now, id(envelope.from), &envelope.messages);
             }
             self.settle();
         }
         for at in 0..INSTANCES {
             let now = self.clocks(at);
             if let Some(instance) = &mut self.instances[at]
-                && instance.next_wake().is_some_and(|wake| wake <= now.mono)
+                && instance
+                    .next_wake()
+                    .is_some_and(|wake| wake <= now.monotonic)
             {
                 instance.wake(now);
                 self.settle();
@@ -222,7 +235,7 @@
         }
     }
 
-    /// Every instance's view of every duty.
+    /// Every instance's view of every lease.
     fn note_status(&mut self) {
         for at in 0..INSTANCES {
             let now = self.clocks(at);
@@ -230,9 +243,9 @@
                 continue;
             };
             let status: Vec<_> = instance.status(now).collect();
-            let abstains = instance.abstains(now, 1000);
+            let abstention = instance.remaining_abstention(now, 1000);
             let wake = instance.next_wake();
-            self.note(&(at, status, abstains, wake));
+            self.note(&(at, status, abstention, wake));
         }
     }
 
@@ -250,12 +263,12 @@
             23 => self.tell_alive(),
             26 => self.cut.clear(),
             27 => self.tell_alive(),
-            // A duty goes, one comes, one gets another period.
+            // A lease is removed, one is added, one gets another interval.
             30 => self.configure(&[("a", 1000), ("b", 900), ("d", 600), ("list", 250)]),
             // One leaves in order.
             35 => {
                 let now = self.clocks(2);
-                self.instance(2).leave(now);
+                self.instance(2).release_all(now);
                 self.settle();
                 self.instances[2] = None;
                 self.tell_alive();
@@ -286,27 +299,29 @@
     }
 }
 
-fn kind_of(item: &Item) -> &'static str {
-    match item {
-        Item::Prepare { trial: true, .. } => "prepare-trial",
-        Item::Prepare { trial: false, .. } => "prepare",
-        Item::Promise { .. } => "promise",
-        Item::Accept { .. } => "accept",
-        Item::Accepted { .. } => "accepted",
-        Item::Yield { .. } => "yield",
-        Item::Want { .. } => "want",
-        Item::Refused { why, .. } => match why {
-            Why::Abstains => "refused-abstains",
-            Why::Held => "refused-held",
-            Why::Outvoted => "refused-outvoted",
-            Why::Early => "refused-early",
-            Why::Full => "refused-full",
-            Why::Unknown => "refused-unknown",
+fn kind_of(message: &Message) -> &'static str {
+    match message {
+        Message::Prepare { pre_vote: true, .. } => "prepare-trial",
+        Message::Prepare {
+            pre_vote: false, ..
+        } => "prepare",
+        Message::Promise { .. } => "promise",
+        Message::Accept { .. } => "accept",
+        Message::Accepted { .. } => "accepted",
+        Message::Release { .. } => "yield",
+        Message::RequestHandover { .. } => "want",
+        Message::Rejected { reason, .. } => match reason {
+            RejectReason::Abstaining => "refused-abstains",
+            RejectReason::LeaseHeld => "refused-held",
+            RejectReason::BallotTooLow => "refused-outvoted",
+            RejectReason::TermTooEarly => "refused-early",
+            RejectReason::AtCapacity => "refused-full",
+            RejectReason::NoPromise => "refused-unknown",
         },
     }
 }
 
-/// What the run has to bring about; all there is but a voter that is full.
+/// What the run has to bring about; all there is but an acceptor at capacity.
 const EXPECTED_KINDS: [&str; 16] = [
     "accept",
     "accepted",
--- a/crates/leases/tests/wire_fixtures.rs
+++ b/crates/leases/tests/wire_fixtures.rs
@@ -1,21 +1,21 @@
-//! The bytes that instances exchange about duties and boards, compared with fixture files. Written by the tree at
-//! 71566bd; rewriting them (`WRITE_FIXTURES=1`) hides a change of the bytes between versions.
+//! The bytes that instances exchange about leases and gossiped entries, compared with fixture files. Written by the
+//! tree at 71566bd; rewriting them (`WRITE_FIXTURES=1`) hides a change of the bytes between versions.
 
 #[path = "../../../tests/common/wire_fixtures.rs"]
 mod wire_fixtures;
 
 use serde::{Serialize, de::DeserializeOwned};
-use spanspur_leases::board::{Board, Entry, MAX_VALUE, News};
-use spanspur_leases::{Ballot, DutyId, InstanceId, Item, Status, Why};
+use spanspur_leases::gossip_store::{GossipEntry, GossipMessage, GossipStore, MAX_VALUE_BYTES};
+use spanspur_leases::{Ballot, InstanceId, LeaseId, LeaseStatus, Message, RejectReason};
 use wire_fixtures::Record;
 
-const WHYS: [(&str, Why); 6] = [
-    ("abstains", Why::Abstains),
-    ("held", Why::Held),
-    ("outvoted", Why::Outvoted),
-    ("early", Why::Early),
-    ("full", Why::Full),
-    ("unknown", Why::Unknown),
+const REJECT_REASONS: [(&str, RejectReason); 6] = [
+    ("abstains", RejectReason::Abstaining),
+    ("held", RejectReason::LeaseHeld),
+    ("outvoted", RejectReason::BallotTooLow),
+    ("early", RejectReason::TermTooEarly),
+    ("full", RejectReason::AtCapacity),
+    ("unknown", RejectReason::NoPromise),
 ];
 
 /// Values of one size: no field shares its number with another, so that two fields that change places show.
@@ -49,15 +49,15 @@
         }
     }
 
-    fn duty(&mut self) -> DutyId {
-        DutyId(self.number())
+    fn lease(&mut self) -> LeaseId {
+        LeaseId(self.number())
     }
 
     fn ballot(&mut self) -> Ballot {
         Ballot {
-            count: self.number(),
-            by: self.number(),
-            boot: self.number(),
+            round: self.number(),
+            proposer: self.number(),
+            incarnation: self.number(),
         }
     }
 }
@@ -82,98 +82,102 @@
     }
 }
 
-fn items_of(mut sample: Sample) -> Vec<(String, Item)> {
+fn messages_of(mut sample: Sample) -> Vec<(String, Message)> {
     let s = &mut sample;
-    let mut items = vec![
+    let mut messages = vec![
         (
             "prepare".to_owned(),
-            Item::Prepare {
-                duty: s.duty(),
+            Message::Prepare {
+                lease: s.lease(),
                 ballot: s.ballot(),
-                every: s.number(),
-                trial: false,
+                interval: s.number(),
+                pre_vote: false,
             },
         ),
         (
             "prepare-trial".to_owned(),
-            Item::Prepare {
-                duty: s.duty(),
+            Message::Prepare {
+                lease: s.lease(),
                 ballot: s.ballot(),
-                every: s.number(),
-                trial: true,
+                interval: s.number(),
+                pre_vote: true,
             },
         ),
         (
             "promise".to_owned(),
-            Item::Promise {
-                duty: s.duty(),
+            Message::Promise {
+                lease: s.lease(),
                 ballot: s.ballot(),
-                floor: s.number(),
-                since: Some(s.number()),
-                last_by: s.ballot(),
-                held: s.ballot(),
+                highest_term: s.number(),
+                accepted_ago: Some(s.number()),
+                accepted_ballot: s.ballot(),
+                previous_promise: s.ballot(),
             },
         ),
         (
             "promise-without-vote".to_owned(),
-            Item::Promise {
-                duty: s.duty(),
+            Message::Promise {
+                lease: s.lease(),
                 ballot: s.ballot(),
-                floor: s.number(),
-                since: None,
-                last_by: s.ballot(),
-                held: s.ballot(),
+                highest_term: s.number(),
+                accepted_ago: None,
+                accepted_ballot: s.ballot(),
+                previous_promise: s.ballot(),
             },
         ),
         (
             "accept".to_owned(),
-            Item::Accept {
-                duty: s.duty(),
+            Message::Accept {
+                lease: s.lease(),
                 ballot: s.ballot(),
-                period: s.number(),
-                every: s.number(),
+                term: s.number(),
+                interval: s.number(),
             },
         ),
         (
             "accepted".to_owned(),
-            Item::Accepted {
-                duty: s.duty(),
+            Message::Accepted {
+                lease: s.lease(),
                 ballot: s.ballot(),
-                period: s.number(),
+                term: s.number(),
             },
         ),
         (
             "yield".to_owned(),
-            Item::Yield {
-                duty: s.duty(),
+            Message::Release {
+                lease: s.lease(),
                 ballot: s.ballot(),
             },
         ),
-        ("want".to_owned(), Item::Want { duty: s.duty() }),
+        (
+            "want".to_owned(),
+            Message::RequestHandover { lease: s.lease() },
+        ),
     ];
-    for (name, why) in WHYS {
-        let refused = Item::Refused {
-            duty: s.duty(),
+    for (name, reason) in REJECT_REASONS {
+        let rejected = Message::Rejected {
+            lease: s.lease(),
             ballot: s.ballot(),
-            why,
-            held: s.ballot(),
-            floor: s.number(),
-            wait: s.number(),
+            reason,
+            promised: s.ballot(),
+            highest_term: s.number(),
+            retry_after: s.number(),
         };
-        items.push((format!("refused-{name}"), refused));
+        messages.push((format!("refused-{name}"), rejected));
     }
     let size = sample.name;
-    items
+    messages
         .into_iter()
-        .map(|(name, item)| (format!("{name}-{size}"), item))
+        .map(|(name, message)| (format!("{name}-{size}"), message))
         .collect()
 }
 
 #[test]
-fn every_message_about_a_duty_keeps_its_bytes() {
-    let items: Vec<(String, Item)> = Sample::all().into_iter().flat_map(items_of).collect();
-    check_values("messages.txt", &items);
-    let together: Vec<Item> = items.into_iter().map(|(_, item)| item).collect();
+fn every_message_about_a_lease_keeps_its_bytes() {
+    let messages: Vec<(String, Message)> =
+        Sample::all().into_iter().flat_map(messages_of).collect();
+    check_values("messages.txt", &messages);
+    let together: Vec<Message> = messages.into_iter().map(|(_, message)| message).collect();
     let lists = [
         ("none".to_owned(), Vec::new()),
         ("all".to_owned(), together),
@@ -181,9 +185,9 @@
     check_values("message_lists.txt", &lists);
 }
 
-fn entry(key: u64, version: u64, length: usize) -> Entry {
+fn entry(key: u64, version: u64, length: usize) -> GossipEntry {
     let value = (0..length).map(|at| at as u8 ^ key as u8).collect();
-    Entry {
+    GossipEntry {
         key,
         version,
         value,
@@ -191,74 +195,83 @@
 }
 
 #[test]
-fn entries_and_news_of_a_board_keep_their_bytes() {
+fn gossip_entries_and_messages_keep_their_bytes() {
     let entries = vec![
         entry(0, 1, 0),
         entry(1, 127, 1),
         entry(0x0123_4567_89ab_cdef, 128, 90),
-        entry(u64::MAX, u64::MAX, MAX_VALUE),
+        entry(u64::MAX, u64::MAX, MAX_VALUE_BYTES),
     ];
     let named = entries.iter().enumerate();
-    let named: Vec<(String, Entry)> = named
+    let named: Vec<(String, GossipEntry)> = named
         .map(|(at, entry)| (format!("entry-{at}"), entry.clone()))
         .collect();
     check_values("board_entries.txt", &named);
     let instances = vec![InstanceId(0), InstanceId(300), InstanceId(u64::MAX)];
-    let mut board = Board::default();
-    let empty = board.compare();
-    board.publish(entries.clone(), &[]);
-    let news = [
+    let mut store = GossipStore::default();
+    let empty = store.digest();
+    store.publish(entries.clone(), &[]);
+    let messages = [
         (
             "entries-none".to_owned(),
-            News::Entries(Vec::new(), Vec::new()),
+            GossipMessage::Entries {
+                entries: Vec::new(),
+                forward_to: Vec::new(),
+            },
         ),
         (
             "entries-to-nobody".to_owned(),
-            News::Entries(entries.clone(), Vec::new()),
+            GossipMessage::Entries {
+                entries: entries.clone(),
+                forward_to: Vec::new(),
+            },
         ),
         (
             "entries-to-some".to_owned(),
-            News::Entries(entries, instances),
+            GossipMessage::Entries {
+                entries,
+                forward_to: instances,
+            },
         ),
         ("compare-empty-board".to_owned(), empty),
-        ("compare-board".to_owned(), board.compare()),
+        ("compare-board".to_owned(), store.digest()),
         (
             "compare-samples".to_owned(),
-            News::Compare(vec![0, 127, 128, u64::MAX]),
+            GossipMessage::Digest(vec![0, 127, 128, u64::MAX]),
         ),
     ];
-    check_values("board_news.txt", &news);
+    check_values("board_news.txt", &messages);
 }
 
-/// Adds what a board sends, in order.
-fn push_sends(records: &mut Vec<Record>, step: &str, sends: &[(InstanceId, News)]) {
+/// Adds what a store sends, in order.
+fn push_sends(records: &mut Vec<Record>, step: &str, sends: &[(InstanceId, GossipMessage)]) {
     records.push(Record::new(step, encode(&sends.len())));
-    for (at, (to, news)) in sends.iter().enumerate() {
-        records.push(Record::new(format!("{step}-{at}"), encode(&(to, news))));
+    for (at, (to, message)) in sends.iter().enumerate() {
+        records.push(Record::new(format!("{step}-{at}"), encode(&(to, message))));
     }
 }
 
 #[test]
-fn what_a_board_sends_keeps_its_bytes() {
+fn what_a_gossip_store_sends_keeps_its_bytes() {
     let mut records = Vec::new();
     let others: Vec<InstanceId> = (2..30).map(InstanceId).collect();
-    let mut first = Board::default();
+    let mut first = GossipStore::default();
     let sends = first.publish((0..3).map(|key| entry(key, 5, 8)).collect(), &others);
     push_sends(&mut records, "publish", &sends);
-    let mut second = Board::default();
-    let (to, news) = sends[0].clone();
-    let (fresh, sends) = second.receive(InstanceId(1), news);
-    records.push(Record::new("fresh", encode(&fresh)));
-    push_sends(&mut records, "pass-on", &sends);
+    let mut second = GossipStore::default();
+    let (to, message) = sends[0].clone();
+    let received = second.receive(InstanceId(1), message);
+    records.push(Record::new("fresh", encode(&received.updated)));
+    push_sends(&mut records, "pass-on", &received.outgoing);
     first.publish((0..600).map(|key| entry(key, 6, 4)).collect(), &[]);
     for round in 0..3 {
-        let (_, sends) = first.receive(to, second.compare());
+        let sends = first.receive(to, second.digest()).outgoing;
         push_sends(&mut records, &format!("answer-{round}"), &sends);
-        for (_, news) in sends {
-            second.receive(InstanceId(1), news);
+        for (_, message) in sends {
+            second.receive(InstanceId(1), message);
         }
     }
-    let held: Vec<&Entry> = second.iter().collect();
+    let held: Vec<&GossipEntry> = second.iter().collect();
     records.push(Record::new("held", encode(&held)));
     wire_fixtures::check(env!("CARGO_MANIFEST_DIR"), "board_exchange.txt", records);
 }
@@ -268,31 +281,31 @@
     let names = ["", "list", "list/head", "probe", "balancer-1", "é"];
     let mut records = Vec::new();
     for (at, name) in names.into_iter().enumerate() {
-        let duty = DutyId::of(name);
-        assert_eq!(duty.0, InstanceId::of(name).0);
+        let lease = LeaseId::of(name);
+        assert_eq!(lease.0, InstanceId::of(name).0);
         records.push(Record::new(
             format!("hash-{at}"),
-            duty.0.to_le_bytes().into(),
+            lease.0.to_le_bytes().into(),
         ));
-        records.push(Record::new(format!("duty-{at}"), encode(&duty)));
+        records.push(Record::new(format!("duty-{at}"), encode(&lease)));
         let instance = encode(&InstanceId::of(name));
         records.push(Record::new(format!("instance-{at}"), instance));
     }
     for mut sample in Sample::all() {
         let s = &mut sample;
-        let mut status = Status {
-            duty: s.duty(),
-            every: s.number(),
+        let mut status = LeaseStatus {
+            lease: s.lease(),
+            interval: s.number(),
             holder: Some(InstanceId(s.number())),
-            period: s.number(),
-            since: Some(s.number()),
-            done: s.number(),
+            term: s.number(),
+            term_age: Some(s.number()),
+            completed: s.number(),
             missed: s.number(),
-            minority: true,
+            is_quorum_lost: true,
         };
         let size = sample.name;
         records.push(Record::new(format!("status-{size}"), encode(&status)));
-        (status.holder, status.since, status.minority) = (None, None, false);
+        (status.holder, status.term_age, status.is_quorum_lost) = (None, None, false);
         records.push(Record::new(
             format!("status-unknown-{size}"),
             encode(&status),
@@ -302,7 +315,7 @@
         .iter()
         .filter(|record| record.name.starts_with("status"));
     for record in statuses {
-        let decoded: Status = postcard::from_bytes(&record.bytes).expect("decodes");
+        let decoded: LeaseStatus = postcard::from_bytes(&record.bytes).expect("decodes");
         assert_eq!(encode(&decoded), record.bytes, "{}", record.name);
     }
     wire_fixtures::check(env!("CARGO_MANIFEST_DIR"), "identifiers.txt", records);
--- a/src/cluster/distribution.rs
+++ b/src/cluster/distribution.rs
@@ -9,7 +9,7 @@
 use spanspur_cluster::distribution::{ChangesAnswer, Distributor, Following};
 use spanspur_distribution::wire::MAX_WINDOW;
 use spanspur_distribution::{AskPace, FollowerSetup, Limits, Place, SourceAt, SourceSetup};
-use spanspur_leases::board::Entry;
+use spanspur_leases::GossipEntry;
 use spanspur_membership::Identity;
 use spanspur_operator_config::{Distribute, Follow, Operator};
 use std::cell::RefCell;
@@ -65,7 +65,7 @@
 
     /// Takes an entry of the board. The duty's holder confirms the list several times a second: if that is what was
     /// passed on, followers may count on it as of now.
-    pub fn take(&self, entry: &Entry) {
+    pub fn take(&self, entry: &GossipEntry) {
         match Told::read(entry) {
             Some(Told::Beat(beat)) if self.view.borrow_mut().whole() == Some(beat) => {
                 self.distributor.heard();
@@ -122,7 +122,7 @@
         let news = Rc::new(ListNews::new(Box::new(|_| {}), false));
         news.configure(Some(follow.max_age_ms));
         let (list, of) = (news.clone(), runtime.clone());
-        let told = Box::new(move |entries: &[Entry], age| {
+        let told = Box::new(move |entries: &[GossipEntry], age| {
             if let Some(list) = list.follow(entries, age) {
                 of.update_from_distribution(list);
             }
--- a/src/cluster/endpoint_list.rs
+++ b/src/cluster/endpoint_list.rs
@@ -6,8 +6,8 @@
 use super::rows::{Head, NAME, Row, Told, View, hash};
 use crate::discovery::endpoint_list::EndpointList;
 use spanspur_cluster::hook::{Duty, Outcome, Work};
-use spanspur_leases::board::Entry;
-use spanspur_leases::{Millis, Permit};
+use spanspur_leases::GossipEntry;
+use spanspur_leases::{LeaseGrant, Millis};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -25,7 +25,7 @@
 const STEPS: u32 = 20;
 
 /// Where what this instance tells goes.
-pub type Publish = Box<dyn Fn(Vec<Entry>)>;
+pub type Publish = Box<dyn Fn(Vec<GossipEntry>)>;
 
 /// The list between instances. See the module's page.
 pub struct ListNews {
@@ -87,7 +87,7 @@
     }
 
     /// Whether an entry of the board is one of the list.
-    pub fn is_ours(&self, entry: &Entry) -> bool {
+    pub fn is_ours(&self, entry: &GossipEntry) -> bool {
         Told::read(entry).is_some()
     }
 
@@ -128,7 +128,7 @@
     }
 
     /// Takes an entry of the board: what of the list it changes here.
-    pub fn take(&self, entry: &Entry) -> Option<EndpointList> {
+    pub fn take(&self, entry: &GossipEntry) -> Option<EndpointList> {
         match Told::read(entry)? {
             Told::Beat(head) => {
                 self.head.set(Some((entry.version, head)));
@@ -155,7 +155,7 @@
     /// It is trusted while it is whole, young enough, and not behind what discovery itself has told this balancer:
     /// a source that was cut off for an hour must not undo what is known here. Where discovery has never answered
     /// and does not now, an old list is better than none.
-    pub fn follow(&self, entries: &[Entry], age: Option<Millis>) -> Option<EndpointList> {
+    pub fn follow(&self, entries: &[GossipEntry], age: Option<Millis>) -> Option<EndpointList> {
         let before = self.fresh_until().is_some();
         let mut view = self.view.borrow_mut();
         let came: Vec<Row> = entries.iter().filter_map(|e| view.take(e)).collect();
@@ -294,15 +294,15 @@
     }
 
     /// The duty is ours for a period: all rows are told at its start if it is new here, a head again and again.
-    async fn lead(self: Rc<Self>, permit: Permit, every: Millis) {
+    async fn lead(self: Rc<Self>, grant: LeaseGrant, every: Millis) {
         let was = self.leading();
         let step = match self.leads.get() {
-            Some((period, step, _)) if period == permit.period => step,
+            Some((period, step, _)) if period == grant.fencing_token => step,
             _ => 0,
         };
-        // The next permit comes when this one's period is over; until then nobody else can have one either.
+        // The next grant comes when this one's period is over; until then nobody else can have one either.
         let until = Instant::now() + Duration::from_millis(every + every / 8);
-        self.leads.set(Some((permit.period, step, until)));
+        self.leads.set(Some((grant.fencing_token, step, until)));
         self.changed.notify_waiters();
         // What was confirmed while another one watched counts from here on as seen here.
         self.own.set(
@@ -311,12 +311,12 @@
                 .max(self.confirmed.get().map(|(revision, _)| revision)),
         );
         if !was {
-            tracing::info!(period = permit.period, "watches discovery for all");
+            tracing::info!(period = grant.fencing_token, "watches discovery for all");
             let all = self.rows.borrow().values().cloned().collect();
             self.distributed.set(None);
             self.tell(all);
         }
-        let period = permit.period;
+        let period = grant.fencing_token;
         while let Some(age) = self.max_age.get() {
             sleep(Duration::from_millis(age / HEADS)).await;
             let current = self.leads.get().is_some_and(|(now, ..)| now == period);
@@ -345,13 +345,13 @@
         self.every_ms
     }
 
-    fn perform(&self, permit: Permit, work: Work) -> Outcome {
+    fn perform(&self, grant: LeaseGrant, work: Work) -> Outcome {
         let (news, every) = (self.news.clone(), self.every_ms);
         Box::pin(async move {
-            if work.holds(&permit) {
-                // It outlives the permit by design: reading changes nothing at discovery, and what is told carries
+            if work.holds(&grant) {
+                // It outlives the grant by design: reading changes nothing at discovery, and what is told carries
                 // the period's number, so that a later period's news goes before it.
-                spawn_local(news.lead(permit, every));
+                spawn_local(news.lead(grant, every));
             }
             Vec::new()
         })
--- a/src/cluster/endpoint_list/tests.rs
+++ b/src/cluster/endpoint_list/tests.rs
@@ -22,7 +22,7 @@
 }
 
 /// The entries that a writer tells: these rows, and the head over them under this revision of discovery's.
-fn told(rows: &[Row], revision: u64, version: u64) -> Vec<Entry> {
+fn told(rows: &[Row], revision: u64, version: u64) -> Vec<GossipEntry> {
     let head = Head {
         revision,
         hash: hash(rows.iter()),
--- a/src/cluster/health_check.rs
+++ b/src/cluster/health_check.rs
@@ -5,8 +5,8 @@
 use serde::{Deserialize, Serialize};
 use spanspur_cluster::Handle;
 use spanspur_cluster::hook::{Duty, Outcome, Work};
-use spanspur_leases::board::Entry;
-use spanspur_leases::{DutyId, Permit};
+use spanspur_leases::GossipEntry;
+use spanspur_leases::{LeaseGrant, LeaseId};
 use spanspur_operator_config::Probe;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -77,7 +77,7 @@
 impl ProbeDuty {
     /// Its key on the board.
     pub fn key(&self) -> u64 {
-        DutyId::of(&self.name()).0
+        LeaseId::of(&self.name()).0
     }
 }
 
@@ -90,11 +90,11 @@
         self.settings.every_ms
     }
 
-    fn perform(&self, permit: Permit, work: Work) -> Outcome {
+    fn perform(&self, grant: LeaseGrant, work: Work) -> Outcome {
         let (key, address, handle) = (self.key(), self.address, self.handle.clone());
         let (settings, instance) = (self.settings.clone(), self.instance.clone());
         Box::pin(async move {
-            let Some(found) = look(address, &settings, &instance, permit, work).await else {
+            let Some(found) = look(address, &settings, &instance, grant, work).await else {
                 return Vec::new();
             };
             let before = handle.with(|node, _| node.board().get(key).map(|e| e.value.clone()));
@@ -103,25 +103,25 @@
                 return Vec::new();
             }
             let value = postcard::to_stdvec(&found).unwrap_or_default();
-            vec![Entry {
+            vec![GossipEntry {
                 key,
-                version: permit.period,
+                version: grant.fencing_token,
                 value,
             }]
         })
     }
 }
 
-/// `None`: the permit ran out before anything was done.
+/// `None`: the grant ran out before anything was done.
 async fn look(
     address: SocketAddr,
     settings: &Probe,
     instance: &str,
-    permit: Permit,
+    grant: LeaseGrant,
     work: Work,
 ) -> Option<Probed> {
     let span = Duration::from_millis;
-    if !work.holds(&permit) {
+    if !work.holds(&grant) {
         return None;
     }
     let mut stream = match timeout(span(settings.connect_ms), TcpStream::connect(address)).await {
@@ -133,10 +133,10 @@
         return Some(Probed::Up);
     };
     let line = line
-        .replace("{period}", &permit.period.to_string())
+        .replace("{period}", &grant.fencing_token.to_string())
         .replace("{instance}", instance);
     // Connecting may have taken long, or the process may have stood still.
-    if !work.holds(&permit) {
+    if !work.holds(&grant) {
         return None;
     }
     let start = Instant::now();
--- a/src/cluster/health_check/tests.rs
+++ b/src/cluster/health_check/tests.rs
@@ -4,7 +4,7 @@
 use super::super::wire_fixtures::{self, Record};
 use super::*;
 use spanspur_cluster::{Cluster, Setup};
-use spanspur_leases::division::Ranking;
+use spanspur_leases::ranking::Ranking;
 use spanspur_membership::{Identity, Key, Keys, Pace};
 use tokio::task::LocalSet;
 
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -21,8 +21,8 @@
 use health_check::{ProbeDuty, Probed};
 use spanspur_cluster::control;
 use spanspur_cluster::{Cluster, Duty, Handle, Setup};
-use spanspur_leases::board::Entry;
-use spanspur_leases::division::Ranking;
+use spanspur_leases::GossipEntry;
+use spanspur_leases::ranking::Ranking;
 use spanspur_membership::{Identity, Key, Keys, Pace};
 use spanspur_operator_config::Operator;
 use std::cell::{Cell, RefCell};
@@ -107,7 +107,7 @@
         }
         tracing::info!(instance = name, address = %cluster.listen, "joins its cluster");
         let (board, passes_on) = (handle.clone(), distribution.clone());
-        let publish = Box::new(move |entries: Vec<Entry>| {
+        let publish = Box::new(move |entries: Vec<GossipEntry>| {
             if let Some(distribution) = &passes_on {
                 entries.iter().for_each(|entry| distribution.take(entry));
             }
@@ -201,7 +201,7 @@
     }
 
     /// What other instances have found, and this one itself, goes into the decisions.
-    async fn take_news(self: Rc<Self>, mut fresh: mpsc::Receiver<Entry>) {
+    async fn take_news(self: Rc<Self>, mut fresh: mpsc::Receiver<GossipEntry>) {
         while let Some(entry) = fresh.recv().await {
             if self.news.is_ours(&entry) {
                 self.distribute(&entry);
@@ -219,13 +219,13 @@
     }
 
     /// Passes an entry of the list on to balancers outside the cluster.
-    fn distribute(&self, entry: &Entry) {
+    fn distribute(&self, entry: &GossipEntry) {
         let Some(distribution) = &self.distribution else {
             return;
         };
         let dropped = self.handle.news_dropped();
         if self.dropped.replace(dropped) != dropped {
-            let board: Vec<Entry> = self
+            let board: Vec<GossipEntry> = self
                 .handle
                 .with(|node, _| node.board().iter().cloned().collect());
             board.iter().for_each(|entry| distribution.take(entry));
--- a/src/cluster/rows.rs
+++ b/src/cluster/rows.rs
@@ -2,8 +2,8 @@
 
 use crate::api::{Endpoint, EndpointState, ServerId};
 use serde::{Deserialize, Serialize};
-use spanspur_leases::DutyId;
-use spanspur_leases::board::Entry;
+use spanspur_leases::GossipEntry;
+use spanspur_leases::LeaseId;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -52,13 +52,13 @@
 
 impl Told {
     /// Reads an entry; `None` if it is none of the list's.
-    pub fn read(entry: &Entry) -> Option<Self> {
+    pub fn read(entry: &GossipEntry) -> Option<Self> {
         let (kind, value) = entry.value.split_first()?;
         match *kind {
-            HEAD if entry.key == DutyId::of(NAME).0 => {
+            HEAD if entry.key == LeaseId::of(NAME).0 => {
                 postcard::from_bytes(value).ok().map(Self::Beat)
             }
-            HEAD if entry.key == DutyId::of(DISTRIBUTED).0 => {
+            HEAD if entry.key == LeaseId::of(DISTRIBUTED).0 => {
                 postcard::from_bytes(value).ok().map(Self::Head)
             }
             SERVER => {
@@ -70,13 +70,13 @@
     }
 
     /// The entry that says this.
-    pub fn entry(&self, version: u64) -> Entry {
+    pub fn entry(&self, version: u64) -> GossipEntry {
         let (key, kind, bytes) = match self {
-            Self::Beat(head) => (DutyId::of(NAME).0, HEAD, postcard::to_stdvec(head)),
-            Self::Head(head) => (DutyId::of(DISTRIBUTED).0, HEAD, postcard::to_stdvec(head)),
+            Self::Beat(head) => (LeaseId::of(NAME).0, HEAD, postcard::to_stdvec(head)),
+            Self::Head(head) => (LeaseId::of(DISTRIBUTED).0, HEAD, postcard::to_stdvec(head)),
             Self::Row(row) => (row.key(), SERVER, postcard::to_stdvec(row)),
         };
-        Entry {
+        GossipEntry {
             key,
             version,
             value: [vec![kind], bytes.unwrap_or_default()].concat(),
@@ -122,7 +122,7 @@
     }
 
     fn key(&self) -> u64 {
-        DutyId::of(&format!("{NAME}/{:016x}", self.id)).0
+        LeaseId::of(&format!("{NAME}/{:016x}", self.id)).0
     }
 }
 
@@ -130,7 +130,7 @@
 pub fn hash<'a>(rows: impl Iterator<Item = &'a Row>) -> u64 {
     let here = rows.filter(|row| !row.is_gone());
     let bytes = here.flat_map(|row| postcard::to_stdvec(row).unwrap_or_default());
-    DutyId::of(&String::from_utf8_lossy(&bytes.collect::<Vec<u8>>())).0
+    LeaseId::of(&String::from_utf8_lossy(&bytes.collect::<Vec<u8>>())).0
 }
 
 /// The list as entries have brought it, and whether it is whole.
@@ -144,7 +144,7 @@
 
 impl View {
     /// Takes an entry unless a later one is here; a row that is new is given back.
-    pub fn take(&mut self, entry: &Entry) -> Option<Row> {
+    pub fn take(&mut self, entry: &GossipEntry) -> Option<Row> {
         let newer = |held: Option<u64>| held.is_none_or(|held| held < entry.version);
         match Told::read(entry)? {
             Told::Beat(_) => None,
--- a/src/cluster/rows/tests.rs
+++ b/src/cluster/rows/tests.rs
@@ -75,13 +75,13 @@
     assert_eq!((HEAD, SERVER), (0, 1));
     let states = STATES.map(|state| small(1, state).state);
     assert_eq!(states, [0, 1, 2]);
-    let name = DutyId::of("list/000000000000012c").0;
+    let name = LeaseId::of("list/000000000000012c").0;
     assert_eq!(small(300, EndpointState::Ready).key(), name);
     let records = [NAME, DISTRIBUTED, "list/000000000000012c"]
         .iter()
         .enumerate()
         .map(|(at, name)| {
-            let key = DutyId::of(name).0.to_le_bytes();
+            let key = LeaseId::of(name).0.to_le_bytes();
             Record::new(format!("key-{at}"), key.into())
         });
     check("list_keys.txt", records.collect());
@@ -104,7 +104,7 @@
     });
     let golden = check("list_entries.txt", records.collect());
     for ((at, (name, told)), golden) in told.iter().enumerate().zip(golden) {
-        let entry: Entry = postcard::from_bytes(&golden.bytes).expect("decodes");
+        let entry: GossipEntry = postcard::from_bytes(&golden.bytes).expect("decodes");
         let read = Told::read(&entry).expect("reads");
         assert_eq!(told_bytes(&read), told_bytes(told), "{name}");
         assert_eq!(read.entry(version(at)), entry, "{name}");
@@ -116,7 +116,7 @@
     let beat = Told::Beat(heads()[1]).entry(5);
     let row = Told::Row(small(1, EndpointState::Ready)).entry(5);
     for entry in [&beat, &row] {
-        let other_key = Entry {
+        let other_key = GossipEntry {
             key: entry.key + 1,
             ..entry.clone()
         };
