--- a/crates/cluster/src/control.rs
+++ b/crates/cluster/src/control.rs
@@ -1,181 +1,203 @@
-//! The control socket: a Unix socket that only its owner may open. A line is asked, a line of JSON comes back.
+//! The control socket: a Unix socket that only its owner may open. One line asks, one line of JSON answers. The
+//! fields of the answers carry their names in JSON, which staff and programs read.
 
-use crate::driver::Handle;
-use crate::node::Member;
+use crate::driver::ClusterHandle;
+use crate::node::{Member, Node};
 use serde::{Deserialize, Serialize};
+use spanspur_leases::LeaseStatus;
+use std::collections::BTreeMap;
 use std::io;
 use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
 use std::rc::Rc;
+use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{UnixListener, UnixStream};
+use tokio::sync::Semaphore;
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// The longest question, and how long one may take.
-const MAX_QUESTION: u64 = 1024;
-const PATIENCE: Duration = Duration::from_secs(2);
-/// Who asks at the same time; more wait.
-const MAX_ASKING: usize = 8;
+/// Bytes of a question at most.
+const MAX_QUESTION_BYTES: u64 = 1024;
+/// How long a question and its answer may take.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Connections served at the same time; further ones wait.
+const MAX_CONNECTIONS: usize = 8;
+/// The pause after a failure to accept a connection.
+const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(50);
+/// The mode of the socket: only its owner may connect.
+const OWNER_ONLY: u32 = 0o600;
 
-/// A duty as it stands, for people and programs.
+/// The status of a lease (`duty` in the answer).
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DutyRow {
-    /// Its name.
+    /// The lease's name.
     pub duty: String,
-    /// Its period.
+    /// Its interval in milliseconds.
     pub every_ms: u64,
-    /// Who has it, as far as the instance asked knows.
+    /// Its holder, as far as the instance asked knows.
     pub holder: Option<String>,
-    /// The last period known there.
+    /// The last term known there.
     pub period: u64,
-    /// How long ago that was.
+    /// How long ago that was, in milliseconds.
     pub since_ms: Option<u64>,
-    /// Done by the instance that was asked.
+    /// Terms in which the instance asked carried out the task.
     pub done: u64,
-    /// Periods that passed undone, as far as that instance found out.
+    /// Terms that passed without the task, as far as that instance knows.
     pub missed: u64,
-    /// That instance should do it and finds no majority.
+    /// Whether that instance should hold the lease and cannot reach a majority.
     pub minority: bool,
 }
 
-/// What `duties` answers.
+/// The answer to `duties`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DutiesAnswer {
-    /// Every duty.
+    /// Every lease.
     pub duties: Vec<DutyRow>,
-    /// How long this instance still abstains from votes on the slowest of them.
+    /// How long, in milliseconds, this instance still abstains from votes on the one with the longest interval.
     pub abstains_ms: u64,
 }
 
-/// What `members` answers.
+/// The answer to `members`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MembersAnswer {
-    /// Everyone.
+    /// Every instance that was ever known.
     pub members: Vec<Member>,
-    /// What was dropped or refused, and what went over the socket.
-    pub counters: std::collections::BTreeMap<String, u64>,
+    /// What was dropped or rejected, and what went over the socket.
+    pub counters: BTreeMap<String, u64>,
 }
 
-/// Answers a question with a line of JSON, see [`to_json`]; `None` where it is none.
-pub type Answers = Rc<dyn Fn(&str) -> Option<String>>;
+/// Answers a question with a line of JSON, see [`to_json`]; `None` for an unknown question.
+pub type QuestionHandler = Rc<dyn Fn(&str) -> Option<String>>;
 
-/// What an instance of a cluster answers.
-pub fn answers(handle: Handle) -> Answers {
+/// Answers the questions about a cluster's instance.
+pub fn answer_questions(handle: ClusterHandle) -> QuestionHandler {
     Rc::new(move |question| match question {
-        "duties" => Some(to_json(&duties(&handle))),
-        "members" => Some(to_json(&members(&handle))),
+        "duties" => Some(to_json(&describe_leases(&handle))),
+        "members" => Some(to_json(&describe_members(&handle))),
         _ => None,
     })
 }
 
-/// Opens the socket and answers on the current `LocalSet`. A socket that a process before left is replaced.
-pub fn serve(answers: Answers, path: &Path) -> io::Result<()> {
+/// Opens the socket and answers on the current `LocalSet`. A socket that an earlier process left is replaced.
+///
+/// # Errors
+///
+/// If another process answers there, or the socket cannot be opened.
+pub fn serve(handler: QuestionHandler, path: &Path) -> io::Result<()> {
+    remove_stale_socket(path)?;
+    let listener = UnixListener::bind(path)?;
+    std::fs::set_permissions(path, std::fs::Permissions::from_mode(OWNER_ONLY))?;
+    spawn_local(accept_connections(listener, handler));
+    Ok(())
+}
+
+fn remove_stale_socket(path: &Path) -> io::Result<()> {
     match std::os::unix::net::UnixStream::connect(path) {
-        Ok(_) => {
-            return Err(io::Error::new(
-                io::ErrorKind::AddrInUse,
-                "another process answers there",
-            ));
-        }
-        Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => std::fs::remove_file(path)?,
-        Err(_) => {}
+        Ok(_) => Err(io::Error::new(
+            io::ErrorKind::AddrInUse,
+            "another process answers there",
+        )),
+        Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => std::fs::remove_file(path),
+        Err(_) => Ok(()),
     }
-    let listener = UnixListener::bind(path)?;
-    std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o600))?;
-    let room = std::sync::Arc::new(tokio::sync::Semaphore::new(MAX_ASKING));
-    spawn_local(async move {
-        loop {
-            let Ok(place) = room.clone().acquire_owned().await else {
-                return;
-            };
-            match listener.accept().await {
-                Ok((asking, _)) => {
-                    let answers = answers.clone();
-                    spawn_local(async move {
-                        let _ = timeout(PATIENCE, answer(answers, asking)).await;
-                        drop(place);
-                    });
-                }
-                Err(_) => tokio::time::sleep(Duration::from_millis(50)).await,
+}
+
+async fn accept_connections(listener: UnixListener, handler: QuestionHandler) {
+    let connections = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+    loop {
+        let Ok(turn) = connections.clone().acquire_owned().await else {
+            return;
+        };
+        match listener.accept().await {
+            Ok((stream, _)) => {
+                let handler = handler.clone();
+                spawn_local(async move {
+                    let _ = timeout(ANSWER_TIMEOUT, answer_connection(handler, stream)).await;
+                    drop(turn);
+                });
             }
+            Err(_) => tokio::time::sleep(ACCEPT_ERROR_PAUSE).await,
         }
-    });
-    Ok(())
+    }
 }
 
-async fn answer(answers: Answers, asking: UnixStream) -> io::Result<()> {
-    let (read, mut write) = asking.into_split();
+async fn answer_connection(handler: QuestionHandler, stream: UnixStream) -> io::Result<()> {
+    let (read, mut write) = stream.into_split();
     let mut question = String::new();
-    BufReader::new(read.take(MAX_QUESTION))
+    BufReader::new(read.take(MAX_QUESTION_BYTES))
         .read_line(&mut question)
         .await?;
     let question = question.trim();
-    let nothing =
+    let unknown_question =
         || to_json(&serde_json::json!({"error": format!("'{question}' is no question here")}));
-    let answer = answers(question).unwrap_or_else(nothing);
+    let answer = handler(question).unwrap_or_else(unknown_question);
     write.write_all(answer.as_bytes()).await
 }
 
-/// An answer as its line.
+/// Formats an answer as a line of JSON.
 pub fn to_json(answer: &impl Serialize) -> String {
     serde_json::to_string(answer).unwrap_or_default() + "\n"
 }
 
-/// What is known of the duties.
-pub fn duties(handle: &Handle) -> DutiesAnswer {
-    handle.with(|node, now| {
+/// The status of every lease.
+pub fn describe_leases(handle: &ClusterHandle) -> DutiesAnswer {
+    handle.with_node(|node, now| {
         let status = node.status(now);
-        let slowest = status.iter().map(|(_, s)| s.interval).max();
-        let rows = status.into_iter().map(|(duty, s)| DutyRow {
-            duty,
-            every_ms: s.interval,
-            holder: s.holder.map(|id| match node.instance_name(id) {
-                Some(name) => name.to_owned(),
-                None => format!("{:016x}", id.0),
-            }),
-            period: s.term,
-            since_ms: s.term_age,
-            done: s.completed,
-            missed: s.missed,
-            minority: s.is_quorum_lost,
-        });
+        let longest_interval = status.iter().map(|(_, status)| status.interval).max();
         DutiesAnswer {
-            duties: rows.collect(),
-            abstains_ms: slowest.map_or(0, |every| node.abstains(now, every)),
+            duties: status
+                .into_iter()
+                .map(|(name, status)| describe_lease(node, name, status))
+                .collect(),
+            abstains_ms: longest_interval
+                .map_or(0, |interval| node.remaining_abstention(now, interval)),
         }
     })
 }
 
-/// What is known of the members.
-pub fn members(handle: &Handle) -> MembersAnswer {
-    let (traffic, dropped) = (handle.traffic(), handle.news_dropped());
-    handle.with(|node, _| {
-        let mut counters: std::collections::BTreeMap<String, u64> = node
-            .counters()
-            .into_iter()
-            .map(|(k, v)| (k.to_owned(), v))
-            .collect();
-        for (name, value) in traffic
-            .named()
-            .into_iter()
-            .chain([("news-dropped", dropped)])
-        {
-            counters.insert(name.into(), value);
-        }
+fn describe_lease(node: &Node, name: String, status: LeaseStatus) -> DutyRow {
+    let holder = status.holder.map(|id| match node.instance_name(id) {
+        Some(name) => name.to_owned(),
+        None => format!("{:016x}", id.0),
+    });
+    DutyRow {
+        duty: name,
+        every_ms: status.interval,
+        holder,
+        period: status.term,
+        since_ms: status.term_age,
+        done: status.completed,
+        missed: status.missed,
+        minority: status.is_quorum_lost,
+    }
+}
+
+/// The members, and the counters of the instance.
+pub fn describe_members(handle: &ClusterHandle) -> MembersAnswer {
+    let traffic = handle.traffic().named_counters();
+    let dropped = ("news-dropped", handle.dropped_updates());
+    handle.with_node(|node, _| {
+        let counters = node.counters().into_iter().chain(traffic).chain([dropped]);
         MembersAnswer {
             members: node.members(),
-            counters,
+            counters: counters
+                .map(|(name, count)| (name.to_owned(), count))
+                .collect(),
         }
     })
 }
 
-/// Asks a running process.
+/// Asks a running process a question and returns its answer.
+///
+/// # Errors
+///
+/// If no process listens there, or it does not answer in time.
 pub fn ask(path: &Path, question: &str) -> io::Result<String> {
     use std::io::{BufRead, BufReader, Write};
     let mut stream = std::os::unix::net::UnixStream::connect(path)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
+    stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
     stream.write_all(format!("{question}\n").as_bytes())?;
     let mut answer = String::new();
     BufReader::new(stream).read_line(&mut answer)?;
--- a/crates/cluster/src/distribution.rs
+++ b/crates/cluster/src/distribution.rs
@@ -1,6 +1,6 @@
 //! Carries out what both ends of the distribution say: a control instance's source, and a balancer's follower.
 
-use crate::port::{self, Endpoint, Port};
+use crate::udp_endpoint::{self, DatagramHandler, UdpEndpoint};
 use serde::{Deserialize, Serialize};
 use spanspur_distribution::{
     Effect, Entry, Follower, FollowerSetup, FollowerStatus, Millis, Notice, Source, SourceSetup,
@@ -47,7 +47,7 @@
 pub struct Distributor(Rc<Distributing>);
 
 struct Distributing {
-    port: Port,
+    endpoint: UdpEndpoint,
     rate: u32,
     source: RefCell<Source>,
 }
@@ -56,25 +56,25 @@
     /// Opens the socket at the setup's address and serves followers on the current `LocalSet`. Fails where the
     /// address is taken or not of this machine.
     pub async fn start(setup: SourceSetup) -> io::Result<Self> {
-        let port = Port::open(setup.me.address).await?;
+        let endpoint = UdpEndpoint::open(setup.me.address).await?;
         let distributor = Self(Rc::new(Distributing {
             rate: setup.limits.pieces_per_second,
-            source: RefCell::new(Source::new(port.now(), setup)),
-            port,
+            source: RefCell::new(Source::new(endpoint.now(), setup)),
+            endpoint,
         }));
-        spawn_local(port::run(distributor.clone()));
+        spawn_local(udp_endpoint::serve(distributor.clone()));
         Ok(distributor)
     }
 
     /// Takes what the cluster's board has; what is not newer changes nothing.
     pub fn publish(&self, entries: &[Entry]) {
-        let now = self.0.port.now();
+        let now = self.0.endpoint.now();
         self.0.source.borrow_mut().publish(now, entries);
     }
 
     /// All that was published is all that there is, as of now.
     pub fn heard(&self) {
-        self.0.source.borrow_mut().heard(self.0.port.now());
+        self.0.source.borrow_mut().heard(self.0.endpoint.now());
     }
 
     /// Takes other keys over.
@@ -87,21 +87,21 @@
         let source = self.0.source.borrow();
         ChangesAnswer {
             end: End::Source {
-                status: source.status(self.0.port.now()),
+                status: source.status(self.0.endpoint.now()),
                 rate: self.0.rate,
             },
-            counters: counters(source.counters(), &self.0.port),
+            counters: counters(source.counters(), &self.0.endpoint),
         }
     }
 }
 
-impl Endpoint for Distributor {
-    fn port(&self) -> &Port {
-        &self.0.port
+impl DatagramHandler for Distributor {
+    fn endpoint(&self) -> &UdpEndpoint {
+        &self.0.endpoint
     }
 
     fn receive(&self, from: SocketAddr, bytes: &[u8]) {
-        let now = self.0.port.now();
+        let now = self.0.endpoint.now();
         self.0.source.borrow_mut().receive(now, from, bytes);
     }
 
@@ -110,14 +110,14 @@
     }
 
     fn wake(&self) {
-        self.0.source.borrow_mut().wake(self.0.port.now());
+        self.0.source.borrow_mut().wake(self.0.endpoint.now());
     }
 
-    fn carry_out(&self) {
+    fn apply_effects(&self) {
         let effects = self.0.source.borrow_mut().effects();
         for effect in effects {
             match effect {
-                Effect::Datagram(to, bytes) => self.0.port.send(to, &bytes),
+                Effect::Datagram(to, bytes) => self.0.endpoint.send(to, &bytes),
                 Effect::Notice(notice) => log(notice),
                 // Only followers take entries.
                 Effect::Changed(_) => {}
@@ -134,7 +134,7 @@
 pub struct Following(Rc<FollowingAt>);
 
 struct FollowingAt {
-    port: Port,
+    endpoint: UdpEndpoint,
     follower: RefCell<Follower>,
     told: Told,
 }
@@ -143,14 +143,14 @@
     /// Opens the socket at the setup's address, port 0 for any, and follows the sources on the current `LocalSet`.
     /// Fails where the address is taken or not of this machine.
     pub async fn start(mut setup: FollowerSetup, told: Told) -> io::Result<Self> {
-        let port = Port::open(setup.me.address).await?;
-        setup.me.address = port.address()?;
+        let endpoint = UdpEndpoint::open(setup.me.address).await?;
+        setup.me.address = endpoint.address()?;
         let following = Self(Rc::new(FollowingAt {
-            follower: RefCell::new(Follower::new(port.now(), setup)),
-            port,
+            follower: RefCell::new(Follower::new(endpoint.now(), setup)),
+            endpoint,
             told,
         }));
-        spawn_local(port::run(following.clone()));
+        spawn_local(udp_endpoint::serve(following.clone()));
         Ok(following)
     }
 
@@ -164,20 +164,20 @@
         let follower = self.0.follower.borrow();
         ChangesAnswer {
             end: End::Follower {
-                status: follower.status(self.0.port.now()),
+                status: follower.status(self.0.endpoint.now()),
             },
-            counters: counters(follower.counters(), &self.0.port),
+            counters: counters(follower.counters(), &self.0.endpoint),
         }
     }
 }
 
-impl Endpoint for Following {
-    fn port(&self) -> &Port {
-        &self.0.port
+impl DatagramHandler for Following {
+    fn endpoint(&self) -> &UdpEndpoint {
+        &self.0.endpoint
     }
 
     fn receive(&self, from: SocketAddr, bytes: &[u8]) {
-        let now = self.0.port.now();
+        let now = self.0.endpoint.now();
         self.0.follower.borrow_mut().receive(now, from, bytes);
     }
 
@@ -186,26 +186,26 @@
     }
 
     fn wake(&self) {
-        self.0.follower.borrow_mut().wake(self.0.port.now());
+        self.0.follower.borrow_mut().wake(self.0.endpoint.now());
     }
 
-    fn carry_out(&self) {
+    fn apply_effects(&self) {
         let effects = self.0.follower.borrow_mut().effects();
         let mut changed = Vec::new();
         for effect in effects {
             match effect {
-                Effect::Datagram(to, bytes) => self.0.port.send(to, &bytes),
+                Effect::Datagram(to, bytes) => self.0.endpoint.send(to, &bytes),
                 Effect::Notice(notice) => log(notice),
                 Effect::Changed(entry) => changed.push(entry),
             }
         }
-        let age = self.0.follower.borrow().age(self.0.port.now());
+        let age = self.0.follower.borrow().age(self.0.endpoint.now());
         (self.0.told)(&changed, age);
     }
 }
 
-fn counters(own: BTreeMap<&'static str, u64>, port: &Port) -> BTreeMap<String, u64> {
-    let traffic = port.traffic().named();
+fn counters(own: BTreeMap<&'static str, u64>, endpoint: &UdpEndpoint) -> BTreeMap<String, u64> {
+    let traffic = endpoint.traffic().named_counters();
     let all = own.into_iter().chain(traffic);
     all.map(|(name, count)| (name.to_owned(), count)).collect()
 }
--- a/crates/cluster/src/driver.rs
+++ b/crates/cluster/src/driver.rs
@@ -1,11 +1,10 @@
-//! Carries a node's effects out: one datagram socket, one clock, one task for each duty under way.
-
-use crate::hook::{Duty, Work};
-use crate::node::{Effect, Node, Notice, Setup};
-pub use crate::port::Traffic;
-use crate::port::{self, Endpoint, Port};
-use spanspur_leases::GossipEntry;
-use spanspur_leases::{Clocks, LeaseGrant, Millis};
+//! Carries out a node's effects: one UDP socket, one clock, one asynchronous task for each grant in use.
+
+use crate::lease_task::{GrantClock, LeaseTask};
+use crate::node::{Effect, Node, NodeConfig, Notice};
+pub use crate::udp_endpoint::Traffic;
+use crate::udp_endpoint::{self, DatagramHandler, UdpEndpoint};
+use spanspur_leases::{Clocks, GossipEntry, LeaseGrant, Millis};
 use spanspur_membership::Keys;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -13,219 +12,242 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, SystemTime};
-use tokio::sync::{Semaphore, mpsc};
+use tokio::sync::{Semaphore, SemaphorePermit, mpsc};
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// Duties done at the same time. Each may hold a descriptor, and those come out of the few that the balancer keeps
-/// for itself; more wait, as long as their grants hold.
-const MAX_PERFORMING: usize = 16;
-/// News that waits for whoever is interested in it.
-const MAX_NEWS: usize = 16_384;
+/// Tasks that run at the same time. Each may hold a descriptor, and those come out of the few that the balancer keeps
+/// for itself; further ones wait while their grants are valid.
+const MAX_RUNNING_TASKS: usize = 16;
+/// Updated entries that wait for the receiver.
+const MAX_QUEUED_UPDATES: usize = 16_384;
 
-struct Shared {
+struct ClusterState {
     node: RefCell<Node>,
-    duties: RefCell<BTreeMap<String, Rc<dyn Duty>>>,
-    work: Work,
-    port: Port,
-    performing: Semaphore,
-    news: mpsc::Sender<GossipEntry>,
-    /// News that found no room.
-    news_dropped: Cell<u64>,
+    tasks: RefCell<BTreeMap<String, Rc<dyn LeaseTask>>>,
+    clock: GrantClock,
+    endpoint: UdpEndpoint,
+    running_tasks: Semaphore,
+    updates: mpsc::Sender<GossipEntry>,
+    dropped_updates: Cell<u64>,
 }
 
-/// A running instance of a cluster.
+/// Starts an instance of a cluster.
 pub struct Cluster;
 
-/// What the rest of the program holds of it.
+/// A running instance of a cluster.
 #[derive(Clone)]
-pub struct Handle(Rc<Shared>);
+pub struct ClusterHandle(Rc<ClusterState>);
 
 impl Cluster {
-    /// Opens the socket and starts the instance on the current `LocalSet`. News of other instances' results comes
-    /// out of the receiver.
-    pub async fn start(setup: Setup) -> io::Result<(Handle, mpsc::Receiver<GossipEntry>)> {
-        let port = Port::open(setup.me.address).await?;
-        let work = Work {
-            origin: port.origin(),
+    /// Opens the socket and starts the instance on the current `LocalSet`. The receiver gets every entry that is new
+    /// in the gossip store.
+    ///
+    /// # Errors
+    ///
+    /// If the address is taken or not of this machine.
+    pub async fn start(
+        config: NodeConfig,
+    ) -> io::Result<(ClusterHandle, mpsc::Receiver<GossipEntry>)> {
+        let endpoint = UdpEndpoint::open(config.identity.address).await?;
+        let clock = GrantClock {
+            origin: endpoint.origin(),
         };
-        let (news, fresh) = mpsc::channel(MAX_NEWS);
-        let shared = Rc::new(Shared {
-            node: RefCell::new(Node::new(now_of(work), setup)),
-            duties: RefCell::default(),
-            work,
-            port,
-            performing: Semaphore::new(MAX_PERFORMING),
-            news,
-            news_dropped: Cell::new(0),
+        let (updates, receiver) = mpsc::channel(MAX_QUEUED_UPDATES);
+        let state = Rc::new(ClusterState {
+            node: RefCell::new(Node::new(read_clocks(clock), config)),
+            tasks: RefCell::default(),
+            clock,
+            endpoint,
+            running_tasks: Semaphore::new(MAX_RUNNING_TASKS),
+            updates,
+            dropped_updates: Cell::new(0),
         });
-        let handle = Handle(shared);
-        spawn_local(port::run(handle.clone()));
-        Ok((handle, fresh))
+        let handle = ClusterHandle(state);
+        spawn_local(udp_endpoint::serve(handle.clone()));
+        Ok((handle, receiver))
     }
 }
 
-fn now_of(work: Work) -> Clocks {
+fn read_clocks(clock: GrantClock) -> Clocks {
     let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     Clocks {
-        monotonic: work.now(),
+        monotonic: clock.now(),
         wall: unix.unwrap_or_default().as_millis() as Millis,
     }
 }
 
-impl Handle {
-    /// Takes the duties over that are to be done from now on: new ones begin, missing ones are given back.
-    pub fn duties(&self, duties: Vec<Rc<dyn Duty>>) {
-        let named: BTreeMap<String, Rc<dyn Duty>> =
-            duties.into_iter().map(|duty| (duty.name(), duty)).collect();
-        let every = named.iter().map(|(n, duty)| (n.clone(), duty.every_ms()));
-        let every: BTreeMap<String, Millis> = every.collect();
-        self.0.duties.replace(named);
-        self.with(|node, now| node.configure(now, &every));
+/// How a task ended.
+struct TaskOutcome {
+    /// Whether it began before its grant expired.
+    in_time: bool,
+    entries: Vec<GossipEntry>,
+}
+
+impl ClusterHandle {
+    /// Replaces the tasks: the leases of new ones begin, those of missing ones are released.
+    pub fn set_tasks(&self, tasks: Vec<Rc<dyn LeaseTask>>) {
+        let tasks: BTreeMap<String, Rc<dyn LeaseTask>> =
+            tasks.into_iter().map(|task| (task.name(), task)).collect();
+        let intervals: BTreeMap<String, Millis> = tasks
+            .iter()
+            .map(|(name, task)| (name.clone(), task.interval_ms()))
+            .collect();
+        self.0.tasks.replace(tasks);
+        self.with_node(|node, now| node.configure(now, &intervals));
     }
 
-    /// Takes other keys and seeds over.
+    /// Replaces the keys and the seeds.
     pub fn rekey(&self, keys: Keys, seeds: Vec<SocketAddr>) {
-        self.with(|node, _| node.rekey(keys, seeds));
+        self.with_node(|node, _| node.rekey(keys, seeds));
     }
 
-    /// Puts results on the board.
+    /// Publishes entries to the gossip stores of all instances.
     pub fn publish(&self, entries: Vec<GossipEntry>) {
-        self.with(|node, now| node.publish(now, entries));
+        self.with_node(|node, now| node.publish(now, entries));
     }
 
-    /// Gives all duties back and says farewell to the others.
+    /// Releases all leases and leaves the cluster.
     pub fn leave(&self) {
-        self.with(|node, now| node.leave(now));
+        self.with_node(|node, now| node.leave(now));
     }
 
     /// The clock of the grants.
-    pub fn work(&self) -> Work {
-        self.0.work
+    pub fn clock(&self) -> GrantClock {
+        self.0.clock
     }
 
     /// What went over the socket.
     pub fn traffic(&self) -> Traffic {
-        self.0.port.traffic()
+        self.0.endpoint.traffic()
     }
 
-    /// News dropped since nobody took it; it is on the board all the same.
-    pub fn news_dropped(&self) -> u64 {
-        self.0.news_dropped.get()
+    /// Updates dropped because the receiver was full; the gossip store has them all the same.
+    pub fn dropped_updates(&self) -> u64 {
+        self.0.dropped_updates.get()
     }
 
-    /// Looks at the node, or changes it, and carries out what comes of that.
-    pub fn with<T>(&self, change: impl FnOnce(&mut Node, Clocks) -> T) -> T {
-        let now = now_of(self.0.work);
+    /// Reads or changes the node, and carries out the effects.
+    pub fn with_node<T>(&self, change: impl FnOnce(&mut Node, Clocks) -> T) -> T {
+        let now = read_clocks(self.0.clock);
         let result = change(&mut self.0.node.borrow_mut(), now);
-        self.carry_out();
-        self.0.port.touch();
+        self.apply_effects();
+        self.0.endpoint.reschedule();
         result
     }
 
-    fn tell(&self, entry: GossipEntry) {
-        if self.0.news.try_send(entry).is_err() {
-            self.0.news_dropped.set(self.0.news_dropped.get() + 1);
+    fn queue_update(&self, entry: GossipEntry) {
+        if self.0.updates.try_send(entry).is_err() {
+            self.0.dropped_updates.set(self.dropped_updates() + 1);
         }
     }
 
-    fn perform(&self, grant: LeaseGrant) {
-        let name = self.0.node.borrow().duty_name(grant.lease).to_owned();
-        let Some(duty) = self.0.duties.borrow().get(&name).cloned() else {
+    fn spawn_task(&self, grant: LeaseGrant) {
+        let name = self.0.node.borrow().lease_name(grant.lease).to_owned();
+        let Some(task) = self.0.tasks.borrow().get(&name).cloned() else {
             return;
         };
         let handle = self.clone();
         spawn_local(async move {
-            let work = handle.0.work;
-            let start = work.now();
-            let left = Duration::from_millis(grant.valid_until.saturating_sub(start));
-            let place = timeout(left, handle.0.performing.acquire()).await;
-            let in_time = matches!(place, Ok(Ok(_))) && work.holds(&grant);
-            let mut result = Vec::new();
-            if in_time {
-                tracing::debug!(duty = name, period = grant.fencing_token, "performs");
-                let left = Duration::from_millis(grant.valid_until.saturating_sub(work.now()));
-                match timeout(left, duty.perform(grant, work)).await {
-                    Ok(entries) => result = entries,
-                    Err(_) => {
-                        tracing::warn!(
-                            duty = name,
-                            period = grant.fencing_token,
-                            "cut off: not done within its period"
-                        );
-                    }
-                }
-            } else {
-                tracing::warn!(
-                    duty = name,
-                    period = grant.fencing_token,
-                    "not performed: the grant has run out"
-                );
-            }
-            let took = work.now() - start;
+            let started_at = handle.0.clock.now();
+            // Held until the results are published.
+            let turn = handle.await_turn(&grant).await;
+            let outcome = match &turn {
+                Some(_) => handle.run_task(&name, task.as_ref(), grant).await,
+                None => handle.skip_task(&name, grant),
+            };
             tracing::trace!(
-                duty = name,
-                period = grant.fencing_token,
-                took_ms = took,
-                "performed"
+                lease = name,
+                term = grant.fencing_token,
+                took_ms = handle.0.clock.now() - started_at,
+                "lease task ended"
             );
-            handle.with(|node, now| {
-                node.performed(&grant, in_time);
-                node.publish(now, result.clone());
+            handle.with_node(|node, now| {
+                node.record_completion(&grant, outcome.in_time);
+                node.publish(now, outcome.entries.clone());
             });
-            // What was found here counts here as well.
-            for entry in result {
-                handle.tell(entry);
+            // This instance's own results count here as well.
+            for entry in outcome.entries {
+                handle.queue_update(entry);
             }
         });
     }
 
-    fn log(&self, notice: Notice) {
+    /// Waits for its turn among the running tasks; `None` if the grant expires before.
+    async fn await_turn(&self, grant: &LeaseGrant) -> Option<SemaphorePermit<'_>> {
+        let turn = timeout(self.remaining(grant), self.0.running_tasks.acquire()).await;
+        let turn = turn.ok()?.ok()?;
+        self.0.clock.is_valid(grant).then_some(turn)
+    }
+
+    fn skip_task(&self, name: &str, grant: LeaseGrant) -> TaskOutcome {
+        tracing::warn!(
+            lease = name,
+            term = grant.fencing_token,
+            "lease task skipped: grant expired"
+        );
+        TaskOutcome {
+            in_time: false,
+            entries: Vec::new(),
+        }
+    }
+
+    /// Runs a task until it ends or its grant expires.
+    async fn run_task(&self, name: &str, task: &dyn LeaseTask, grant: LeaseGrant) -> TaskOutcome {
+        let term = grant.fencing_token;
+        tracing::debug!(lease = name, term, "lease task started");
+        let result = timeout(self.remaining(&grant), task.run(grant, self.0.clock)).await;
+        if result.is_err() {
+            tracing::warn!(lease = name, term, "lease task cancelled: grant expired");
+        }
+        TaskOutcome {
+            in_time: true,
+            entries: result.unwrap_or_default(),
+        }
+    }
+
+    fn remaining(&self, grant: &LeaseGrant) -> Duration {
+        Duration::from_millis(grant.valid_until.saturating_sub(self.0.clock.now()))
+    }
+
+    fn log_notice(&self, notice: Notice) {
         let node = self.0.node.borrow();
         match notice {
-            Notice::Up(who) => {
-                tracing::info!(instance = who.name, address = %who.address, "an instance is there");
-            }
-            Notice::Down(who) => {
-                tracing::warn!(instance = who.name, address = %who.address, "an instance is gone");
-            }
-            Notice::Renewed => tracing::warn!("the others held this instance for gone"),
-            Notice::Missed(duty, periods) => {
-                tracing::warn!(
-                    duty = node.duty_name(duty),
-                    periods,
-                    "periods passed undone"
-                );
+            Notice::MemberUp(member) => {
+                tracing::info!(instance = member.name, address = %member.address, "cluster member up");
             }
-            Notice::Minority(duty, true) => {
-                tracing::warn!(
-                    duty = node.duty_name(duty),
-                    "no majority of its voters: not performed here"
-                );
+            Notice::MemberDown(member) => {
+                tracing::warn!(instance = member.name, address = %member.address, "cluster member down");
             }
-            Notice::Minority(duty, false) => {
-                tracing::info!(
-                    duty = node.duty_name(duty),
-                    "a majority of its voters again"
-                );
+            Notice::DownRefuted => tracing::warn!("wrongly declared down by the cluster: refuted"),
+            Notice::TermsMissed { lease, terms } => {
+                tracing::warn!(lease = node.lease_name(lease), terms, "lease terms missed");
             }
-            Notice::Holds(duty, true) => {
-                tracing::info!(duty = node.duty_name(duty), "the duty comes here");
+            Notice::QuorumChanged { lease, is_lost } => {
+                let lease = node.lease_name(lease);
+                match is_lost {
+                    true => tracing::warn!(lease, "lease quorum lost"),
+                    false => tracing::info!(lease, "lease quorum restored"),
+                }
             }
-            Notice::Holds(duty, false) => {
-                tracing::debug!(duty = node.duty_name(duty), "the duty is not here");
+            Notice::HoldingChanged { lease, is_held } => {
+                let lease = node.lease_name(lease);
+                match is_held {
+                    true => tracing::info!(lease, "lease acquired"),
+                    false => tracing::debug!(lease, "lease released"),
+                }
             }
         }
     }
 }
 
-impl Endpoint for Handle {
-    fn port(&self) -> &Port {
-        &self.0.port
+impl DatagramHandler for ClusterHandle {
+    fn endpoint(&self) -> &UdpEndpoint {
+        &self.0.endpoint
     }
 
     fn receive(&self, from: SocketAddr, bytes: &[u8]) {
-        let now = now_of(self.0.work);
+        let now = read_clocks(self.0.clock);
         self.0.node.borrow_mut().receive(now, from, bytes);
     }
 
@@ -234,17 +256,18 @@
     }
 
     fn wake(&self) {
-        self.0.node.borrow_mut().wake(now_of(self.0.work));
+        let now = read_clocks(self.0.clock);
+        self.0.node.borrow_mut().wake(now);
     }
 
-    fn carry_out(&self) {
-        let effects = self.0.node.borrow_mut().effects();
+    fn apply_effects(&self) {
+        let effects = self.0.node.borrow_mut().take_effects();
         for effect in effects {
             match effect {
-                Effect::Datagram(to, bytes) => self.0.port.send(to, &bytes),
-                Effect::Perform(grant) => self.perform(grant),
-                Effect::News(entry) => self.tell(entry),
-                Effect::Notice(notice) => self.log(notice),
+                Effect::Datagram(to, bytes) => self.0.endpoint.send(to, &bytes),
+                Effect::Granted(grant) => self.spawn_task(grant),
+                Effect::EntryUpdated(entry) => self.queue_update(entry),
+                Effect::Notice(notice) => self.log_notice(notice),
             }
         }
     }
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,24 +1,24 @@
-//! A cluster of balancers: one datagram socket on which instances know of each other, divide duties and share what
-//! came of them, and a control socket for whoever asks how things stand.
+//! The driver of a cluster of balancers: one UDP socket on which instances find each other, divide leases and share
+//! results, and a control socket for the staff.
 //!
-//! | part | holds |
+//! | module | holds |
 //! | --- | --- |
-//! | [`node`] | membership, duties and board of one instance joined: datagrams in, datagrams and permits out; no I/O |
-//! | [`port`] | a datagram socket with a clock, and the loop that serves what lives on it |
-//! | [`driver`] | the performers and the news: carries out what the node says |
+//! | [`node`] | membership, leases and gossip store of one instance joined, without I/O: datagrams in, effects out |
+//! | [`udp_endpoint`] | a UDP socket with a clock, and the loop that serves what lives on it |
+//! | [`driver`] | carries out a node's effects: datagrams, tasks, updates, log |
+//! | [`lease_task`] | how a part of the program registers a task that one instance carries out per interval |
 //! | [`distribution`] | both ends of the distribution on their sockets |
-//! | [`control`] | one line asked, one line of JSON answered, over a Unix socket |
-//! | [`hook`] | how a part of the program registers a duty of its own |
+//! | [`control`] | the control socket: one line asked, one line of JSON answered |
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod control;
 pub mod distribution;
 pub mod driver;
-pub mod hook;
+pub mod lease_task;
 pub mod node;
-pub mod port;
+pub mod udp_endpoint;
 
-pub use driver::{Cluster, Handle};
-pub use hook::{Duty, Outcome};
-pub use node::{Effect, Node, Setup};
+pub use driver::{Cluster, ClusterHandle};
+pub use lease_task::{GrantClock, LeaseTask, TaskResult};
+pub use node::{Effect, Node, NodeConfig};
--- a/crates/cluster/src/port.rs
+++ b/crates/cluster/src/udp_endpoint.rs
@@ -1,4 +1,4 @@
-//! A datagram socket with a clock, and the loop that serves whatever lives on it without I/O of its own.
+//! A UDP socket with a clock, and the loop that serves a state machine without I/O of its own on it.
 
 use spanspur_leases::Millis;
 use spanspur_membership::authentication::MAX_DATAGRAM;
@@ -10,10 +10,12 @@
 use tokio::sync::Notify;
 use tokio::time::sleep_until;
 
-/// Datagrams taken in one turn, so that a flood of them leaves the balancer its own.
-const BATCH: usize = 64;
-/// The longest sleep; what has no timer of its own is looked at this often.
-const LONGEST_SLEEP: Millis = 60_000;
+/// Datagrams handled in one turn of the loop, so that a flood of them leaves time to the balancer.
+const MAX_BATCH: usize = 64;
+/// The longest sleep, also without a timer.
+const MAX_SLEEP_MS: Millis = 60_000;
+/// The pause after an error of the socket itself.
+const SOCKET_ERROR_PAUSE: Duration = Duration::from_millis(20);
 
 /// What went over a socket.
 #[derive(Clone, Copy, Debug, Default, serde::Serialize)]
@@ -26,13 +28,13 @@
     pub received: u64,
     /// Their bytes.
     pub received_bytes: u64,
-    /// Datagrams that the socket did not take.
+    /// Datagrams that the socket did not accept at once.
     pub unsent: u64,
 }
 
 impl Traffic {
-    /// Each figure with its name in counters.
-    pub fn named(self) -> [(&'static str, u64); 5] {
+    /// Each count with its counter's name.
+    pub fn named_counters(self) -> [(&'static str, u64); 5] {
         [
             ("sent", self.sent),
             ("sent-bytes", self.sent_bytes),
@@ -43,30 +45,34 @@
     }
 }
 
-/// A socket, and the clock of what lives on it.
-pub struct Port {
+/// A UDP socket, and the clock of what is served on it.
+pub struct UdpEndpoint {
     socket: UdpSocket,
     origin: Instant,
     changed: Notify,
     traffic: Cell<Traffic>,
 }
 
-/// What lives on a port: it is told of datagrams and of its timer, and carries out what comes of them.
-pub trait Endpoint {
-    /// Its port.
-    fn port(&self) -> &Port;
-    /// Takes a datagram.
+/// A state machine served on an endpoint: it handles datagrams and its timer, and applies the effects.
+pub trait DatagramHandler {
+    /// Its endpoint.
+    fn endpoint(&self) -> &UdpEndpoint;
+    /// Handles a datagram.
     fn receive(&self, from: SocketAddr, bytes: &[u8]);
-    /// When [`Endpoint::wake`] is due, on the port's clock.
+    /// When [`DatagramHandler::wake`] is due, on the endpoint's clock.
     fn next_wake(&self) -> Millis;
-    /// Carries out what has fallen due.
+    /// Handles what has fallen due.
     fn wake(&self);
-    /// Carries out what all this has brought about; called once a turn.
-    fn carry_out(&self);
+    /// Applies the effects of all this; called once a turn.
+    fn apply_effects(&self);
 }
 
-impl Port {
-    /// Opens a socket. Fails where the address is taken or not of this machine.
+impl UdpEndpoint {
+    /// Opens a socket.
+    ///
+    /// # Errors
+    ///
+    /// If the address is taken or not of this machine.
     pub async fn open(at: SocketAddr) -> io::Result<Self> {
         Ok(Self {
             socket: UdpSocket::bind(at).await?,
@@ -76,7 +82,11 @@
         })
     }
 
-    /// Where it takes datagrams.
+    /// The address at which it receives datagrams.
+    ///
+    /// # Errors
+    ///
+    /// If the system does not tell.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
@@ -86,7 +96,7 @@
         self.origin
     }
 
-    /// Milliseconds on a monotonic clock, which goes on while the process is frozen.
+    /// Milliseconds on a monotonic clock, which advances while the process is frozen.
     pub fn now(&self) -> Millis {
         self.origin.elapsed().as_millis() as Millis
     }
@@ -96,12 +106,12 @@
         self.traffic.get()
     }
 
-    /// Something was changed from outside, and with it the next timer.
-    pub fn touch(&self) {
+    /// Makes the loop look at the timer again, after a change from outside.
+    pub fn reschedule(&self) {
         self.changed.notify_one();
     }
 
-    /// Sends a datagram, if the socket takes it at once.
+    /// Sends a datagram, if the socket accepts it at once.
     pub fn send(&self, to: SocketAddr, bytes: &[u8]) {
         let sent = self.socket.try_send_to(bytes, to);
         self.count(|traffic| match sent {
@@ -109,7 +119,7 @@
                 traffic.sent += 1;
                 traffic.sent_bytes += n as u64;
             }
-            // Lost like any other: all that matters is asked again.
+            // Lost like any other datagram: the protocols repeat what matters.
             Err(_) => traffic.unsent += 1,
         });
     }
@@ -121,34 +131,34 @@
     }
 }
 
-/// Serves an endpoint for as long as the process runs.
-pub async fn run(endpoint: impl Endpoint) {
-    let port = endpoint.port();
+/// Serves a handler for as long as the process runs.
+pub async fn serve(handler: impl DatagramHandler) {
+    let endpoint = handler.endpoint();
     let mut buffer = [0; MAX_DATAGRAM + 1];
     loop {
-        let wake = endpoint.next_wake().min(port.now() + LONGEST_SLEEP);
-        let wake = port.origin + Duration::from_millis(wake);
+        let wake = handler.next_wake().min(endpoint.now() + MAX_SLEEP_MS);
+        let wake = endpoint.origin + Duration::from_millis(wake);
         tokio::select! {
-            ready = port.socket.readable() => if ready.is_err() {
-                tokio::time::sleep(Duration::from_millis(20)).await;
+            ready = endpoint.socket.readable() => if ready.is_err() {
+                tokio::time::sleep(SOCKET_ERROR_PAUSE).await;
             },
             () = sleep_until(wake.into()) => {}
-            () = port.changed.notified() => {}
+            () = endpoint.changed.notified() => {}
         }
-        for _ in 0..BATCH {
-            let Ok((size, from)) = port.socket.try_recv_from(&mut buffer) else {
+        for _ in 0..MAX_BATCH {
+            let Ok((size, from)) = endpoint.socket.try_recv_from(&mut buffer) else {
                 break;
             };
-            port.count(|traffic| {
+            endpoint.count(|traffic| {
                 traffic.received += 1;
                 traffic.received_bytes += size as u64;
             });
-            endpoint.receive(from, &buffer[..size]);
+            handler.receive(from, &buffer[..size]);
         }
-        if endpoint.next_wake() <= port.now() {
-            endpoint.wake();
+        if handler.next_wake() <= endpoint.now() {
+            handler.wake();
         }
-        endpoint.carry_out();
+        handler.apply_effects();
         tokio::task::yield_now().await;
     }
 }
--- a/crates/cluster/tests/control_answers.rs
+++ b/crates/cluster/tests/control_answers.rs
@@ -3,7 +3,7 @@
 use spanspur_cluster::control::{self, DutiesAnswer, DutyRow, MembersAnswer, to_json};
 use spanspur_cluster::distribution::{ChangesAnswer, End};
 use spanspur_cluster::node::Member;
-use spanspur_cluster::port::Traffic;
+use spanspur_cluster::udp_endpoint::Traffic;
 use spanspur_distribution::follower::LinkStatus;
 use spanspur_distribution::source::{Behind, InForce};
 use spanspur_distribution::{FollowerStatus, SourceStatus};
@@ -159,7 +159,7 @@
 
 #[test]
 fn the_names_of_the_sockets_counters_stay() {
-    let names = Traffic::default().named().map(|(name, _)| name);
+    let names = Traffic::default().named_counters().map(|(name, _)| name);
     let expected = ["sent", "sent-bytes", "received", "received-bytes", "unsent"];
     assert_eq!(names, expected);
 }
@@ -175,7 +175,7 @@
         .build()
         .expect("a runtime");
     let answers = LocalSet::new().block_on(&runtime, async {
-        let answers: control::Answers =
+        let answers: control::QuestionHandler =
             Rc::new(|question| (question == "known").then(|| to_json(&1)));
         control::serve(answers, &path).expect("a socket");
         let mut heard = Vec::new();
--- a/crates/cluster/tests/wire_fixtures.rs
+++ b/crates/cluster/tests/wire_fixtures.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 use spanspur_cluster::node::{Member, Notice};
-use spanspur_cluster::{Effect, Node, Setup};
+use spanspur_cluster::{Effect, Node, NodeConfig};
 use spanspur_leases::ranking::Ranking;
 use spanspur_leases::{Clocks, GossipEntry, GossipMessage, Message, Millis};
 use spanspur_membership::{Identity, Key, Keys, ProbeTiming};
@@ -101,8 +101,8 @@
     }
 
     fn start(&mut self, at: usize, boot: u64) {
-        let setup = Setup {
-            me: Identity {
+        let setup = NodeConfig {
+            identity: Identity {
                 name: name(at),
                 address: address(at),
                 incarnation: boot,
@@ -111,14 +111,14 @@
             keys: Keys(vec![Key::new(b"the secret of this test")]),
             seeds: (0..NODES).map(address).collect(),
             voters: (0..VOTERS).map(name).collect(),
-            skew: 500,
-            pace: ProbeTiming {
+            max_clock_skew: 500,
+            probe_timing: ProbeTiming {
                 probe_interval: Duration::from_millis(500),
                 ack_timeout: Duration::from_millis(150),
                 suspicion_timeout: Duration::from_millis(1000),
             },
             ranking: Ranking(score),
-            seed: SEED + at as u64 + boot,
+            random_seed: SEED + at as u64 + boot,
         };
         let mut node = Node::new(self.clocks(), setup);
         let duties = [("list", 500), ("probe/1", 1000), ("probe/2", 2000)];
@@ -191,27 +191,31 @@
     fn carry_out(&mut self, at: usize, effect: Effect) {
         match effect {
             Effect::Datagram(to, datagram) => self.send(at, to, datagram),
-            Effect::Perform(grant) => {
+            Effect::Granted(grant) => {
                 let values = (at, grant.lease, grant.fencing_token, grant.valid_until);
                 self.note("perform", &values);
                 let in_time = grant.is_valid(self.now);
                 let node = self.nodes[at].as_mut().expect("runs");
-                node.performed(&grant, in_time);
+                node.record_completion(&grant, in_time);
             }
-            Effect::News(entry) => self.note("news", &(at, entry)),
+            Effect::EntryUpdated(entry) => self.note("news", &(at, entry)),
             Effect::Notice(notice) => match notice {
-                Notice::Up(who) => self.note("up", &(at, who)),
-                Notice::Down(who) => self.note("down", &(at, who)),
-                Notice::Renewed => self.note("renewed", &at),
-                Notice::Missed(duty, periods) => self.note("missed", &(at, duty, periods)),
-                Notice::Minority(duty, lost) => self.note("minority", &(at, duty, lost)),
-                Notice::Holds(duty, held) => self.note("holds", &(at, duty, held)),
+                Notice::MemberUp(who) => self.note("up", &(at, who)),
+                Notice::MemberDown(who) => self.note("down", &(at, who)),
+                Notice::DownRefuted => self.note("renewed", &at),
+                Notice::TermsMissed { lease, terms } => self.note("missed", &(at, lease, terms)),
+                Notice::QuorumChanged { lease, is_lost } => {
+                    self.note("minority", &(at, lease, is_lost))
+                }
+                Notice::HoldingChanged { lease, is_held } => {
+                    self.note("holds", &(at, lease, is_held))
+                }
             },
         }
     }
 
     fn settle(&mut self, at: usize) {
-        let effects = self.nodes[at].as_mut().map(Node::effects);
+        let effects = self.nodes[at].as_mut().map(Node::take_effects);
         for effect in effects.unwrap_or_default() {
             self.carry_out(at, effect);
         }
@@ -271,7 +275,7 @@
     fn note_status(&mut self) {
         let now = self.clocks();
         for node in self.nodes.iter().flatten() {
-            let board: Vec<&GossipEntry> = node.board().iter().collect();
+            let board: Vec<&GossipEntry> = node.gossip_store().iter().collect();
             let stands = (
                 node.status(now),
                 node.members(),
--- a/crates/fleet-rig/src/capacity/edges.rs
+++ b/crates/fleet-rig/src/capacity/edges.rs
@@ -313,7 +313,7 @@
             "outs::MAX_ENTRIES",
         )
     };
-    let members = Mechanism::Is("crates/cluster/src/control.rs", "MAX_ASKING");
+    let members = Mechanism::Is("crates/cluster/src/control.rs", "MAX_CONNECTIONS");
     vec![
         Row::new(
             "calls to take one server out everywhere",
--- a/crates/fleet-rig/src/distribution/sockets.rs
+++ b/crates/fleet-rig/src/distribution/sockets.rs
@@ -10,8 +10,8 @@
 use crate::ranking;
 use serde::{Deserialize, Serialize};
 use spanspur_cluster::distribution::{ChangesAnswer, Distributor, End, Following};
-use spanspur_cluster::driver::{Cluster, Handle};
-use spanspur_cluster::node::Setup;
+use spanspur_cluster::driver::{Cluster, ClusterHandle};
+use spanspur_cluster::node::NodeConfig;
 use spanspur_distribution::{AskPace, Entry, FollowerSetup, Limits, SourceAt, SourceSetup};
 use spanspur_leases::LeaseId;
 use spanspur_membership::{Identity, Key, Keys};
@@ -300,20 +300,20 @@
 }
 
 /// A control instance: its node and its source.
-type Control = (Handle, Distributor);
+type Control = (ClusterHandle, Distributor);
 
 async fn start(cluster: &[SocketAddr], sources: &[SocketAddr]) -> Result<Vec<Control>, String> {
     let mut controls = Vec::new();
     for (i, (at, source)) in cluster.iter().zip(sources).enumerate() {
-        let setup = Setup {
-            me: identity(i, *at),
+        let setup = NodeConfig {
+            identity: identity(i, *at),
             keys: keys(),
             seeds: cluster.iter().take(3).copied().collect(),
             voters: (0..CONTROLS).map(name).collect(),
-            skew: 1000,
-            pace: PACE,
+            max_clock_skew: 1000,
+            probe_timing: PACE,
             ranking: ranking(),
-            seed: i as u64,
+            random_seed: i as u64,
         };
         let (node, mut fresh) = Cluster::start(setup)
             .await
--- a/crates/fleet-rig/src/distribution/world.rs
+++ b/crates/fleet-rig/src/distribution/world.rs
@@ -498,7 +498,7 @@
         // The board has no list of its keys: all keys ever written are asked for.
         let mut right = BTreeMap::new();
         for key in self.checker.keys() {
-            if let Some(entry) = control.node.board().get(key) {
+            if let Some(entry) = control.node.gossip_store().get(key) {
                 right.insert(key, entry.clone());
             }
         }
@@ -671,7 +671,7 @@
         let (next, news) = match &mut self.processes[i].part {
             Part::Down => return,
             Part::Control(control) if port == CLUSTER => {
-                let effects = metered(meter, cost, || control.node.effects());
+                let effects = metered(meter, cost, || control.node.take_effects());
                 meter.memory -= room::<node::Effect>(cost, effects.capacity());
                 let next = control.node.next_wake();
                 let mut news = Vec::new();
@@ -681,14 +681,14 @@
                             self.meters[i][part].memory -= room::<u8>(cost, bytes.capacity());
                             self.send(i, port, to, bytes);
                         }
-                        node::Effect::Perform(grant) => {
+                        node::Effect::Granted(grant) => {
                             if grant.is_valid(mono) {
                                 let after = self.random.random_range(0..=ACT);
                                 let boot = self.processes[i].boot;
                                 self.push(self.now + after, Event::Act(i as u32, boot, grant));
                             }
                         }
-                        node::Effect::News(entry) => {
+                        node::Effect::EntryUpdated(entry) => {
                             let value = room::<u8>(cost, entry.value.capacity());
                             self.meters[i][part].memory -= value;
                             news.push(entry);
@@ -850,7 +850,7 @@
             return;
         }
         let in_time = grant.is_valid(mono);
-        control.node.performed(&grant, in_time);
+        control.node.record_completion(&grant, in_time);
         if !in_time {
             return;
         }
@@ -895,7 +895,7 @@
         };
         let mut rows = Vec::new();
         for key in keys {
-            let on_board = control.node.board().get(key);
+            let on_board = control.node.gossip_store().get(key);
             match (self.truth.get(&key), on_board) {
                 (Some(value), Some(entry)) if entry.value == *value => {}
                 (Some(value), _) => rows.push((key, value.clone())),
@@ -1004,15 +1004,15 @@
             let node = metered(&mut meters[1], cost, || {
                 let mut node = Node::new(
                     now,
-                    node::Setup {
-                        me: identity(CLUSTER),
+                    node::NodeConfig {
+                        identity: identity(CLUSTER),
                         keys: keys(),
                         seeds: (0..3).map(|i| address(i, CLUSTER)).collect(),
                         voters: (0..CONTROLS).map(name).collect(),
-                        skew: 1000,
-                        pace: PACE,
+                        max_clock_skew: 1000,
+                        probe_timing: PACE,
                         ranking: ranking(),
-                        seed,
+                        random_seed: seed,
                     },
                 );
                 node.configure(now, &BTreeMap::from([(DUTY.to_owned(), self.plan.every)]));
--- a/crates/fleet-rig/src/meter.rs
+++ b/crates/fleet-rig/src/meter.rs
@@ -104,9 +104,9 @@
 
     pub(crate) fn notice(&mut self, now: Millis, i: usize, notice: &Notice) {
         let (who, there) = match notice {
-            Notice::Up(who) => (who, true),
-            Notice::Down(who) => (who, false),
-            Notice::Renewed => {
+            Notice::MemberUp(who) => (who, true),
+            Notice::MemberDown(who) => (who, false),
+            Notice::DownRefuted => {
                 self.renewed += 1;
                 return;
             }
--- a/crates/fleet-rig/src/sockets.rs
+++ b/crates/fleet-rig/src/sockets.rs
@@ -5,8 +5,8 @@
 use crate::ranking;
 use crate::scale::{Args, NEWS_KEY, Point, VALUE, standing};
 use crate::world::{name, pace};
-use spanspur_cluster::driver::{Cluster, Handle, Traffic};
-use spanspur_cluster::node::Setup;
+use spanspur_cluster::driver::{Cluster, ClusterHandle, Traffic};
+use spanspur_cluster::node::NodeConfig;
 use spanspur_leases::GossipEntry;
 use spanspur_membership::{Identity, Key, Keys};
 use std::cell::RefCell;
@@ -46,13 +46,13 @@
     addresses: &[SocketAddr],
     seed: u64,
     told: &Told,
-) -> Result<Vec<Handle>, String> {
+) -> Result<Vec<ClusterHandle>, String> {
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     let boot = unix.unwrap_or_default().as_millis() as u64;
     let mut handles = Vec::new();
     for (i, address) in addresses.iter().enumerate() {
-        let setup = Setup {
-            me: Identity {
+        let setup = NodeConfig {
+            identity: Identity {
                 name: name(i),
                 address: *address,
                 incarnation: boot,
@@ -61,10 +61,10 @@
             keys: Keys(vec![Key::new(b"a secret of the rig")]),
             seeds: addresses.iter().take(3).copied().collect(),
             voters: (0..addresses.len().min(9)).map(name).collect(),
-            skew: 1000,
-            pace: pace(args.probe * 10),
+            max_clock_skew: 1000,
+            probe_timing: pace(args.probe * 10),
             ranking: ranking(),
-            seed: seed.wrapping_mul(1_000_003) + i as u64,
+            random_seed: seed.wrapping_mul(1_000_003) + i as u64,
         };
         let (handle, mut fresh) = Cluster::start(setup)
             .await
@@ -84,25 +84,25 @@
 }
 
 /// Of all ordered pairs, those of which the one sees the other.
-fn pairs(handles: &[Handle]) -> usize {
-    let alive = |handle: &Handle| {
-        let members = handle.with(|node, _| node.members());
+fn pairs(handles: &[ClusterHandle]) -> usize {
+    let alive = |handle: &ClusterHandle| {
+        let members = handle.with_node(|node, _| node.members());
         members.iter().filter(|m| m.alive && !m.me).count()
     };
     handles.iter().map(alive).sum()
 }
 
-fn counters(handles: &[Handle]) -> BTreeMap<String, u64> {
+fn counters(handles: &[ClusterHandle]) -> BTreeMap<String, u64> {
     let mut all = BTreeMap::new();
     for handle in handles {
-        for (name, n) in handle.with(|node, _| node.counters()) {
+        for (name, n) in handle.with_node(|node, _| node.counters()) {
             *all.entry(name.to_owned()).or_default() += n;
         }
     }
     all
 }
 
-fn traffic(handles: &[Handle]) -> Traffic {
+fn traffic(handles: &[ClusterHandle]) -> Traffic {
     handles.iter().fold(Traffic::default(), |mut sum, handle| {
         let one = handle.traffic();
         sum.sent += one.sent;
@@ -120,7 +120,7 @@
     let (began, cpu) = (Instant::now(), thread_ns());
     let handles = start(args, &addresses, seed, &told).await?;
     let (per, all) = (instances as f64, instances * (instances - 1));
-    let off = |handles: &[Handle]| counters(handles).get("no-session").copied().unwrap_or(0);
+    let off = |handles: &[ClusterHandle]| counters(handles).get("no-session").copied().unwrap_or(0);
     let mut point = Point {
         instances,
         seed,
--- a/crates/fleet-rig/src/world.rs
+++ b/crates/fleet-rig/src/world.rs
@@ -6,7 +6,7 @@
 use crate::ranking;
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use spanspur_cluster::node::{Effect, Node, Notice, Setup};
+use spanspur_cluster::node::{Effect, Node, NodeConfig, Notice};
 use spanspur_leases::GossipEntry;
 use spanspur_leases::{Clocks, LeaseGrant, Millis};
 use spanspur_membership::{Identity, Key, Keys, ProbeTiming};
@@ -318,7 +318,7 @@
                     return;
                 }
                 if let Some(node) = &mut process.node {
-                    node.performed(&grant, true);
+                    node.record_completion(&grant, true);
                 }
                 let act = Act {
                     at: self.now,
@@ -348,8 +348,8 @@
         };
         let boot = now.wall.max(self.processes[i].boot + 1);
         let keys = self.keys.iter().map(|secret| Key::new(secret)).collect();
-        let setup = Setup {
-            me: Identity {
+        let setup = NodeConfig {
+            identity: Identity {
                 name: name(i),
                 address: address(i),
                 incarnation: boot,
@@ -358,10 +358,10 @@
             keys: Keys(keys),
             seeds: (0..self.plan.instances.min(3)).map(address).collect(),
             voters,
-            skew: self.plan.skew,
-            pace: pace(self.plan.every),
+            max_clock_skew: self.plan.skew,
+            probe_timing: pace(self.plan.every),
             ranking: ranking(),
-            seed: self.random.next_u64(),
+            random_seed: self.random.next_u64(),
         };
         let mut born = now;
         if self.plan.without_memory {
@@ -455,11 +455,13 @@
         let Some(node) = &mut self.processes[i].node else {
             return;
         };
-        let (effects, next) = metered(&mut self.meter, i, || (node.effects(), node.next_wake()));
+        let (effects, next) = metered(&mut self.meter, i, || {
+            (node.take_effects(), node.next_wake())
+        });
         for effect in effects {
             match effect {
                 Effect::Datagram(to, bytes) => self.send(i, to, bytes),
-                Effect::Perform(grant) => {
+                Effect::Granted(grant) => {
                     let mono = self.clocks(i).monotonic;
                     if grant.is_valid(mono) {
                         // From here to the act the process may be frozen, or die.
@@ -475,16 +477,16 @@
                         meter.notice(self.now, i, &notice);
                     }
                     let about = match &notice {
-                        Notice::Missed(d, _) | Notice::Minority(d, _) | Notice::Holds(d, _) => {
-                            Some(d.0)
-                        }
+                        Notice::TermsMissed { lease, .. }
+                        | Notice::QuorumChanged { lease, .. }
+                        | Notice::HoldingChanged { lease, .. } => Some(lease.0),
                         _ => None,
                     };
                     if about.is_some() && about == self.watch {
                         println!("{} n{i} {notice:?}", self.now);
                     }
                 }
-                Effect::News(entry) => {
+                Effect::EntryUpdated(entry) => {
                     if let Some(meter) = &mut self.meter {
                         meter.news(self.now, &entry);
                     }
--- a/src/cluster/endpoint_list.rs
+++ b/src/cluster/endpoint_list.rs
@@ -5,7 +5,7 @@
 
 use super::rows::{Head, NAME, Row, Told, View, hash};
 use crate::discovery::endpoint_list::EndpointList;
-use spanspur_cluster::hook::{Duty, Outcome, Work};
+use spanspur_cluster::lease_task::{GrantClock, LeaseTask, TaskResult};
 use spanspur_leases::GossipEntry;
 use spanspur_leases::{LeaseGrant, Millis};
 use std::cell::{Cell, RefCell};
@@ -336,19 +336,19 @@
     pub news: Rc<ListNews>,
 }
 
-impl Duty for ListDuty {
+impl LeaseTask for ListDuty {
     fn name(&self) -> String {
         NAME.into()
     }
 
-    fn every_ms(&self) -> u64 {
+    fn interval_ms(&self) -> u64 {
         self.every_ms
     }
 
-    fn perform(&self, grant: LeaseGrant, work: Work) -> Outcome {
+    fn run(&self, grant: LeaseGrant, clock: GrantClock) -> TaskResult {
         let (news, every) = (self.news.clone(), self.every_ms);
         Box::pin(async move {
-            if work.holds(&grant) {
+            if clock.is_valid(&grant) {
                 // It outlives the grant by design: reading changes nothing at discovery, and what is told carries
                 // the period's number, so that a later period's news goes before it.
                 spawn_local(news.lead(grant, every));
--- a/src/cluster/health_check.rs
+++ b/src/cluster/health_check.rs
@@ -3,8 +3,8 @@
 
 use crate::api::ServerId;
 use serde::{Deserialize, Serialize};
-use spanspur_cluster::Handle;
-use spanspur_cluster::hook::{Duty, Outcome, Work};
+use spanspur_cluster::ClusterHandle;
+use spanspur_cluster::lease_task::{GrantClock, LeaseTask, TaskResult};
 use spanspur_leases::GossipEntry;
 use spanspur_leases::{LeaseGrant, LeaseId};
 use spanspur_operator_config::Probe;
@@ -71,7 +71,7 @@
     /// This instance's name.
     pub instance: Rc<str>,
     /// The board, for what was found before.
-    pub handle: Handle,
+    pub handle: ClusterHandle,
 }
 
 impl ProbeDuty {
@@ -81,23 +81,24 @@
     }
 }
 
-impl Duty for ProbeDuty {
+impl LeaseTask for ProbeDuty {
     fn name(&self) -> String {
         format!("probe/{}", self.server)
     }
 
-    fn every_ms(&self) -> u64 {
+    fn interval_ms(&self) -> u64 {
         self.settings.every_ms
     }
 
-    fn perform(&self, grant: LeaseGrant, work: Work) -> Outcome {
+    fn run(&self, grant: LeaseGrant, clock: GrantClock) -> TaskResult {
         let (key, address, handle) = (self.key(), self.address, self.handle.clone());
         let (settings, instance) = (self.settings.clone(), self.instance.clone());
         Box::pin(async move {
-            let Some(found) = look(address, &settings, &instance, grant, work).await else {
+            let Some(found) = look(address, &settings, &instance, grant, clock).await else {
                 return Vec::new();
             };
-            let before = handle.with(|node, _| node.board().get(key).map(|e| e.value.clone()));
+            let before =
+                handle.with_node(|node, _| node.gossip_store().get(key).map(|e| e.value.clone()));
             let before = before.and_then(|value| Probed::read(&value).ok());
             if before.is_some_and(|before| found.confirms(before)) {
                 return Vec::new();
@@ -118,10 +119,10 @@
     settings: &Probe,
     instance: &str,
     grant: LeaseGrant,
-    work: Work,
+    clock: GrantClock,
 ) -> Option<Probed> {
     let span = Duration::from_millis;
-    if !work.holds(&grant) {
+    if !clock.is_valid(&grant) {
         return None;
     }
     let mut stream = match timeout(span(settings.connect_ms), TcpStream::connect(address)).await {
@@ -136,7 +137,7 @@
         .replace("{period}", &grant.fencing_token.to_string())
         .replace("{instance}", instance);
     // Connecting may have taken long, or the process may have stood still.
-    if !work.holds(&grant) {
+    if !clock.is_valid(&grant) {
         return None;
     }
     let start = Instant::now();
--- a/src/cluster/health_check/tests.rs
+++ b/src/cluster/health_check/tests.rs
@@ -3,7 +3,7 @@
 
 use super::super::wire_fixtures::{self, Record};
 use super::*;
-use spanspur_cluster::{Cluster, Setup};
+use spanspur_cluster::{Cluster, NodeConfig};
 use spanspur_leases::ranking::Ranking;
 use spanspur_membership::{Identity, Key, Keys, ProbeTiming};
 use tokio::task::LocalSet;
@@ -32,9 +32,9 @@
     }
 }
 
-fn setup() -> Setup {
-    Setup {
-        me: Identity {
+fn setup() -> NodeConfig {
+    NodeConfig {
+        identity: Identity {
             name: "balancer-1".into(),
             address: "127.0.0.1:0".parse().expect("an address"),
             incarnation: 1,
@@ -43,14 +43,14 @@
         keys: Keys(vec![Key::new(b"the secret of this test")]),
         seeds: Vec::new(),
         voters: vec!["balancer-1".into()],
-        skew: 500,
-        pace: ProbeTiming {
+        max_clock_skew: 500,
+        probe_timing: ProbeTiming {
             probe_interval: Duration::from_millis(500),
             ack_timeout: Duration::from_millis(150),
             suspicion_timeout: Duration::from_millis(1000),
         },
         ranking: Ranking(|_, _| 0.0),
-        seed: 1,
+        random_seed: 1,
     }
 }
 
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -20,7 +20,7 @@
 use endpoint_list::ListDuty;
 use health_check::{ProbeDuty, Probed};
 use spanspur_cluster::control;
-use spanspur_cluster::{Cluster, Duty, Handle, Setup};
+use spanspur_cluster::{Cluster, ClusterHandle, LeaseTask, NodeConfig};
 use spanspur_leases::GossipEntry;
 use spanspur_leases::ranking::Ranking;
 use spanspur_membership::{Identity, Key, Keys, ProbeTiming};
@@ -38,7 +38,7 @@
 /// This instance's part in the cluster.
 pub struct Shared {
     runtime: Rc<Runtime>,
-    handle: Handle,
+    handle: ClusterHandle,
     name: Rc<str>,
     operator: RefCell<Operator>,
     news: Rc<ListNews>,
@@ -70,8 +70,8 @@
             );
         }
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
-        let setup = Setup {
-            me: Identity {
+        let setup = NodeConfig {
+            identity: Identity {
                 name: name.clone(),
                 address: cluster.listen,
                 incarnation: unix.unwrap_or_default().as_millis() as u64,
@@ -80,14 +80,14 @@
             keys: keys(&cluster.keys),
             seeds: cluster.seeds.clone(),
             voters: cluster.voters.clone(),
-            skew: cluster.clock_skew_ms,
-            pace: ProbeTiming {
+            max_clock_skew: cluster.clock_skew_ms,
+            probe_timing: ProbeTiming {
                 probe_interval: Duration::from_millis(cluster.pace.probe_ms),
                 ack_timeout: Duration::from_millis(cluster.pace.answer_ms),
                 suspicion_timeout: Duration::from_millis(cluster.pace.suspicion_ms),
             },
             ranking: Ranking(score_of),
-            seed: node.seed ^ api::Key::of("cluster").0,
+            random_seed: node.seed ^ api::Key::of("cluster").0,
         };
         let started = Cluster::start(setup).await;
         let (handle, fresh) =
@@ -97,7 +97,10 @@
             None => None,
         };
         if let Some(control) = &operator.control {
-            let (of_cluster, of_changes) = (control::answers(handle.clone()), distribution.clone());
+            let (of_cluster, of_changes) = (
+                control::answer_questions(handle.clone()),
+                distribution.clone(),
+            );
             let answers = Rc::new(move |question: &str| match (question, &of_changes) {
                 ("changes", Some(distribution)) => Some(control::to_json(&distribution.answer())),
                 _ => of_cluster(question),
@@ -166,7 +169,7 @@
             return;
         }
         let operator = self.operator.borrow();
-        let mut duties: Vec<Rc<dyn Duty>> = Vec::new();
+        let mut duties: Vec<Rc<dyn LeaseTask>> = Vec::new();
         let mut probed = BTreeMap::new();
         if let Some(settings) = &operator.duties.probe {
             for (server, address) in self.runtime.endpoint_addresses() {
@@ -191,13 +194,13 @@
         }
         // Servers that are gone leave nothing behind.
         let news = &self.news;
-        self.handle.with(|node, _| {
-            node.board_mut()
+        self.handle.with_node(|node, _| {
+            node.gossip_store_mut()
                 .retain(|e| probed.contains_key(&e.key) || news.is_ours(e));
         });
         self.probed.replace(probed);
         drop(operator);
-        self.handle.duties(duties);
+        self.handle.set_tasks(duties);
     }
 
     /// What other instances have found, and this one itself, goes into the decisions.
@@ -223,11 +226,11 @@
         let Some(distribution) = &self.distribution else {
             return;
         };
-        let dropped = self.handle.news_dropped();
+        let dropped = self.handle.dropped_updates();
         if self.dropped.replace(dropped) != dropped {
             let board: Vec<GossipEntry> = self
                 .handle
-                .with(|node, _| node.board().iter().cloned().collect());
+                .with_node(|node, _| node.gossip_store().iter().cloned().collect());
             board.iter().for_each(|entry| distribution.take(entry));
         }
         distribution.take(entry);
