--- a/crates/fleet-rig/src/capacity/control.rs
+++ b/crates/fleet-rig/src/capacity/control.rs
@@ -541,7 +541,7 @@
             all() * copies / nine() * book.given("servers") * book.given("entry-bytes") / budget(),
         )
         .limit(in_force(book))
-        .by(Mechanism::Is("src/cluster/endpoint_list.rs", "async fn lead"))
+        .by(Mechanism::Is("src/cluster/endpoint_list/publisher.rs", "async fn lead_term"))
         .answer("a new holder that tells only what differs: missing"),
     );
     let asks = all();
--- a/crates/fleet-rig/src/capacity/edges.rs
+++ b/crates/fleet-rig/src/capacity/edges.rs
@@ -8,7 +8,10 @@
 use std::fmt::Write;
 
 const WATCH: Mechanism = Mechanism::Is("src/discovery/watcher.rs", "async fn follow");
-const ONE_WATCH: Mechanism = Mechanism::Is("src/cluster/endpoint_list.rs", "pub struct ListNews");
+const ONE_WATCH: Mechanism = Mechanism::Is(
+    "src/cluster/endpoint_list.rs",
+    "pub struct SharedEndpointList",
+);
 const OUTS: Mechanism = Mechanism::Is("crates/admin/src/outs.rs", "pub struct Outs");
 const OUTS_SHARED: &str = "what is out as entries of the distribution: missing";
 
--- a/src/cluster/health_check.rs
+++ b/src/cluster/health_check.rs
@@ -1,13 +1,13 @@
-//! One look at one stream server, for all instances: connect, and send a line and wait for its answer where the
+//! The health check of one server, for all instances: connects, and sends a line and waits for its answer where the
 //! operator gives one.
 
 use crate::api::ServerId;
 use serde::{Deserialize, Serialize};
 use spanspur_cluster::ClusterHandle;
 use spanspur_cluster::lease_task::{GrantClock, LeaseTask, TaskResult};
-use spanspur_leases::GossipEntry;
-use spanspur_leases::{LeaseGrant, LeaseId};
+use spanspur_leases::{GossipEntry, LeaseGrant, LeaseId};
 use spanspur_operator_config::Probe;
+use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -18,70 +18,77 @@
 #[cfg(test)]
 mod tests;
 
-/// The longest answer that is read.
-const MAX_ANSWER: u64 = 4096;
+/// Bytes of an answer at most.
+const MAX_ANSWER_BYTES: u64 = 4096;
 
-/// What a probe has found.
+/// What a health check has found. It is gossiped as postcard: variants keep their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Probed {
-    /// It takes connections.
-    Up,
+pub enum HealthCheckResult {
+    /// The server accepts connections.
+    Connected,
     /// It answers.
     Answered {
-        /// After so many milliseconds.
+        /// The time until the answer, in milliseconds.
         ms: u32,
     },
     /// It answers, slower than the operator wants.
     Slow {
-        /// After so many milliseconds.
+        /// The time until the answer, in milliseconds.
         ms: u32,
     },
     /// It refuses connections, or answers something else than it should.
     Refused,
     /// Nothing comes back in time.
-    Silent,
+    TimedOut,
 }
 
-impl Probed {
-    /// Reads an entry's value.
-    pub fn read(value: &[u8]) -> Result<Self, postcard::Error> {
+impl HealthCheckResult {
+    /// Decodes an entry's value.
+    ///
+    /// # Errors
+    ///
+    /// If the value is no result.
+    pub fn decode(value: &[u8]) -> Result<Self, postcard::Error> {
         postcard::from_bytes(value)
     }
 
-    /// Nothing new should go there.
-    pub fn is_down(self) -> bool {
-        matches!(self, Self::Refused | Self::Silent)
+    /// Whether the server should get nothing new.
+    pub fn is_unhealthy(self) -> bool {
+        matches!(self, Self::Refused | Self::TimedOut)
     }
 
-    /// Not news after `before`: nobody has to be told again that all is well.
-    fn confirms(self, before: Self) -> bool {
-        let well = |p: Self| matches!(p, Self::Up | Self::Answered { .. });
-        well(self) && well(before)
+    fn is_healthy(self) -> bool {
+        matches!(self, Self::Connected | Self::Answered { .. })
+    }
+
+    /// Whether this result only confirms that the server is healthy, so that it need not be published.
+    fn confirms(self, previous: Self) -> bool {
+        self.is_healthy() && previous.is_healthy()
     }
 }
 
-/// The duty to probe one server.
-pub struct ProbeDuty {
-    /// Which.
+/// The lease task to check one server.
+pub struct HealthCheckTask {
+    /// The server.
     pub server: ServerId,
-    /// Where.
+    /// Where it takes connections.
     pub address: SocketAddr,
-    /// How.
+    /// The operator's settings.
     pub settings: Probe,
     /// This instance's name.
     pub instance: Rc<str>,
-    /// The board, for what was found before.
+    /// The cluster, for the previous result.
     pub handle: ClusterHandle,
 }
 
-impl ProbeDuty {
-    /// Its key on the board.
-    pub fn key(&self) -> u64 {
+impl HealthCheckTask {
+    /// The key of the result in the gossip store.
+    pub fn result_key(&self) -> u64 {
         LeaseId::of(&self.name()).0
     }
 }
 
-impl LeaseTask for ProbeDuty {
+impl LeaseTask for HealthCheckTask {
     fn name(&self) -> String {
         format!("probe/{}", self.server)
     }
@@ -91,75 +98,104 @@
     }
 
     fn run(&self, grant: LeaseGrant, clock: GrantClock) -> TaskResult {
-        let (key, address, handle) = (self.key(), self.address, self.handle.clone());
-        let (settings, instance) = (self.settings.clone(), self.instance.clone());
+        let (key, handle) = (self.result_key(), self.handle.clone());
+        let check = HealthCheck {
+            address: self.address,
+            settings: self.settings.clone(),
+            instance: self.instance.clone(),
+            grant,
+            clock,
+        };
         Box::pin(async move {
-            let Some(found) = look(address, &settings, &instance, grant, clock).await else {
+            let Some(result) = check.run().await else {
                 return Vec::new();
             };
-            let before =
-                handle.with_node(|node, _| node.gossip_store().get(key).map(|e| e.value.clone()));
-            let before = before.and_then(|value| Probed::read(&value).ok());
-            if before.is_some_and(|before| found.confirms(before)) {
+            let previous = previous_result(&handle, key);
+            if previous.is_some_and(|previous| result.confirms(previous)) {
                 return Vec::new();
             }
-            let value = postcard::to_stdvec(&found).unwrap_or_default();
             vec![GossipEntry {
                 key,
                 version: grant.fencing_token,
-                value,
+                // Encoding into memory does not fail for this type.
+                value: postcard::to_stdvec(&result).unwrap_or_default(),
             }]
         })
     }
 }
 
-/// `None`: the grant ran out before anything was done.
-async fn look(
+fn previous_result(handle: &ClusterHandle, key: u64) -> Option<HealthCheckResult> {
+    let value = handle.with_node(|node, _| {
+        let entry = node.gossip_store().get(key);
+        entry.map(|entry| entry.value.clone())
+    });
+    HealthCheckResult::decode(&value?).ok()
+}
+
+/// One check.
+struct HealthCheck {
     address: SocketAddr,
-    settings: &Probe,
-    instance: &str,
+    settings: Probe,
+    instance: Rc<str>,
     grant: LeaseGrant,
     clock: GrantClock,
-) -> Option<Probed> {
-    let span = Duration::from_millis;
-    if !clock.is_valid(&grant) {
-        return None;
+}
+
+impl HealthCheck {
+    /// Checks the server; `None` if the grant expired before anything was done.
+    async fn run(&self) -> Option<HealthCheckResult> {
+        if !self.clock.is_valid(&self.grant) {
+            return None;
+        }
+        let connect_timeout = Duration::from_millis(self.settings.connect_ms);
+        let stream = match timeout(connect_timeout, TcpStream::connect(self.address)).await {
+            Ok(Ok(stream)) => stream,
+            Ok(Err(_)) => return Some(HealthCheckResult::Refused),
+            Err(_) => return Some(HealthCheckResult::TimedOut),
+        };
+        let Some(template) = &self.settings.line else {
+            return Some(HealthCheckResult::Connected);
+        };
+        // Connecting may have taken long, or the process may have been frozen.
+        if !self.clock.is_valid(&self.grant) {
+            return None;
+        }
+        Some(
+            self.check_answer(stream, &self.fill_template(template))
+                .await,
+        )
     }
-    let mut stream = match timeout(span(settings.connect_ms), TcpStream::connect(address)).await {
-        Ok(Ok(stream)) => stream,
-        Ok(Err(_)) => return Some(Probed::Refused),
-        Err(_) => return Some(Probed::Silent),
-    };
-    let Some(line) = &settings.line else {
-        return Some(Probed::Up);
-    };
-    let line = line
-        .replace("{period}", &grant.fencing_token.to_string())
-        .replace("{instance}", instance);
-    // Connecting may have taken long, or the process may have stood still.
-    if !clock.is_valid(&grant) {
-        return None;
+
+    fn fill_template(&self, template: &str) -> String {
+        template
+            .replace("{period}", &self.grant.fencing_token.to_string())
+            .replace("{instance}", &self.instance)
+    }
+
+    async fn check_answer(&self, stream: TcpStream, line: &str) -> HealthCheckResult {
+        let started_at = Instant::now();
+        let answer_timeout = Duration::from_millis(self.settings.answer_ms);
+        let answer = match timeout(answer_timeout, exchange_line(stream, line)).await {
+            Ok(Ok(answer)) => answer,
+            Ok(Err(_)) => return HealthCheckResult::Refused,
+            Err(_) => return HealthCheckResult::TimedOut,
+        };
+        let ms = started_at.elapsed().as_millis() as u32;
+        let expected = self.settings.expect.as_deref().unwrap_or("");
+        if !answer.ends_with('\n') || !answer.starts_with(expected) {
+            return HealthCheckResult::Refused;
+        }
+        match u64::from(ms) >= self.settings.slow_ms {
+            true => HealthCheckResult::Slow { ms },
+            false => HealthCheckResult::Answered { ms },
+        }
     }
-    let start = Instant::now();
-    let asked = async {
-        stream.write_all(format!("{line}\r\n").as_bytes()).await?;
-        let mut answer = String::new();
-        let mut lines = BufReader::new((&mut stream).take(MAX_ANSWER));
-        lines.read_line(&mut answer).await?;
-        std::io::Result::Ok(answer)
-    };
-    let answer = match timeout(span(settings.answer_ms), asked).await {
-        Ok(Ok(answer)) => answer,
-        Ok(Err(_)) => return Some(Probed::Refused),
-        Err(_) => return Some(Probed::Silent),
-    };
-    let ms = start.elapsed().as_millis() as u32;
-    let expected = settings.expect.as_deref().unwrap_or("");
-    Some(
-        match answer.ends_with('\n') && answer.starts_with(expected) {
-            false => Probed::Refused,
-            true if u64::from(ms) >= settings.slow_ms => Probed::Slow { ms },
-            true => Probed::Answered { ms },
-        },
-    )
+}
+
+async fn exchange_line(mut stream: TcpStream, line: &str) -> io::Result<String> {
+    stream.write_all(format!("{line}\r\n").as_bytes()).await?;
+    let mut answer = String::new();
+    let mut reader = BufReader::new(stream.take(MAX_ANSWER_BYTES));
+    reader.read_line(&mut answer).await?;
+    Ok(answer)
 }
--- a/src/cluster/health_check/tests.rs
+++ b/src/cluster/health_check/tests.rs
@@ -1,5 +1,5 @@
-//! What probes find, in its bytes, compared with a fixture file. Written by the tree at 71566bd; rewriting it
-//! (`WRITE_FIXTURES=1`) hides a change of the bytes between versions.
+//! The results of health checks in their bytes, compared with a fixture file. Written by the tree at 71566bd;
+//! rewriting it (`WRITE_FIXTURES=1`) hides a change of the bytes between versions.
 
 use super::super::wire_fixtures::{self, Record};
 use super::*;
@@ -9,17 +9,17 @@
 use tokio::task::LocalSet;
 
 #[test]
-fn what_a_probe_finds_keeps_its_bytes() {
+fn health_check_results_keep_their_bytes() {
     let found = [
-        Probed::Up,
-        Probed::Answered { ms: 0 },
-        Probed::Answered { ms: 300 },
-        Probed::Answered { ms: u32::MAX },
-        Probed::Slow { ms: 0 },
-        Probed::Slow { ms: 300 },
-        Probed::Slow { ms: u32::MAX },
-        Probed::Refused,
-        Probed::Silent,
+        HealthCheckResult::Connected,
+        HealthCheckResult::Answered { ms: 0 },
+        HealthCheckResult::Answered { ms: 300 },
+        HealthCheckResult::Answered { ms: u32::MAX },
+        HealthCheckResult::Slow { ms: 0 },
+        HealthCheckResult::Slow { ms: 300 },
+        HealthCheckResult::Slow { ms: u32::MAX },
+        HealthCheckResult::Refused,
+        HealthCheckResult::TimedOut,
     ];
     let records = found.iter().enumerate().map(|(at, found)| {
         let bytes = postcard::to_stdvec(found).expect("encodes");
@@ -28,7 +28,7 @@
     let directory = env!("CARGO_MANIFEST_DIR");
     let golden = wire_fixtures::check(directory, "probe_results.txt", records.collect());
     for (found, golden) in found.iter().zip(golden) {
-        assert_eq!(Probed::read(&golden.bytes).as_ref(), Ok(found));
+        assert_eq!(HealthCheckResult::decode(&golden.bytes).as_ref(), Ok(found));
     }
 }
 
@@ -54,10 +54,10 @@
     }
 }
 
-/// The duty to probe a server, of an instance without others.
-async fn probe_of(server: u64) -> ProbeDuty {
+/// The task to check a server, of an instance without others.
+async fn health_check_of(server: u64) -> HealthCheckTask {
     let (handle, _news) = Cluster::start(setup()).await.expect("a free port");
-    ProbeDuty {
+    HealthCheckTask {
         server: ServerId(server),
         address: "127.0.0.1:9".parse().expect("an address"),
         settings: serde_json::from_str(r#"{"every_ms": 1000}"#).expect("settings"),
@@ -66,29 +66,29 @@
     }
 }
 
-/// The name is hashed: into the duty's id and into the key on the board.
+/// The name is hashed: into the lease's id and into the key of the result.
 #[test]
-fn the_names_and_keys_of_probes_stay() {
+fn the_names_and_keys_of_health_checks_stay() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("a runtime");
-    let probes = LocalSet::new().block_on(&runtime, async {
+    let tasks = LocalSet::new().block_on(&runtime, async {
         [
-            probe_of(0).await,
-            probe_of(300).await,
-            probe_of(u64::MAX).await,
+            health_check_of(0).await,
+            health_check_of(300).await,
+            health_check_of(u64::MAX).await,
         ]
     });
-    let names = probes.each_ref().map(|probe| probe.name());
+    let names = tasks.each_ref().map(|task| task.name());
     let expected = [
         "probe/0000000000000000",
         "probe/000000000000012c",
         "probe/ffffffffffffffff",
     ];
     assert_eq!(names, expected);
-    let records = probes.iter().enumerate().map(|(at, probe)| {
-        let key = probe.key().to_le_bytes();
+    let records = tasks.iter().enumerate().map(|(at, task)| {
+        let key = task.result_key().to_le_bytes();
         Record::new(format!("key-{at}"), key.into())
     });
     wire_fixtures::check(
--- /dev/null
+++ b/src/cluster/list_follower.rs
@@ -0,0 +1,105 @@
+//! A balancer's end of the distribution: follows the endpoint list of a cluster that it is not part of.
+
+use super::endpoint_list::SharedEndpointList;
+use super::error::ClusterError;
+use super::{derive_keys, new_identity, score_instance, serve_control_socket};
+use crate::api;
+use crate::runtime::Runtime;
+use spanspur_cluster::control;
+use spanspur_cluster::distribution::Following;
+use spanspur_distribution::{AskPace, FollowerSetup, Place, SourceAt};
+use spanspur_leases::GossipEntry;
+use spanspur_operator_config::{Follow, Operator};
+use std::rc::Rc;
+
+/// Follows the list.
+pub struct ListFollower {
+    following: Following,
+    endpoint_list: Rc<SharedEndpointList>,
+}
+
+impl ListFollower {
+    /// Follows the sources that the operator's file names; `None` if it names none.
+    ///
+    /// # Errors
+    ///
+    /// If the balancer has no name, or a socket cannot be opened.
+    pub async fn start(
+        runtime: &Rc<Runtime>,
+        operator: &Operator,
+    ) -> Result<Option<Rc<Self>>, ClusterError> {
+        let Some(follow) = &operator.follow else {
+            return Ok(None);
+        };
+        let setup = follower_setup(runtime, follow)?;
+        let name = setup.me.name.clone();
+        let endpoint_list = Rc::new(SharedEndpointList::read_only());
+        endpoint_list.configure(Some(follow.max_age_ms));
+        let (list, balancer) = (endpoint_list.clone(), runtime.clone());
+        let apply = move |entries: &[GossipEntry], age| {
+            if let Some(update) = list.apply_followed(entries, age) {
+                balancer.update_from_distribution(update);
+            }
+        };
+        let following = Following::start(setup, Box::new(apply)).await;
+        let following = following.map_err(|source| ClusterError::Listen {
+            section: "follow",
+            address: follow.listen,
+            source,
+        })?;
+        let sources = follow.sources.len();
+        tracing::info!(instance = name, sources, "distribution followed");
+        if let Some(control) = &operator.control {
+            let asked = following.clone();
+            let handler = Rc::new(move |question: &str| {
+                (question == "changes").then(|| control::to_json(&asked.answer()))
+            });
+            serve_control_socket(handler, &control.socket)?;
+        }
+        Ok(Some(Rc::new(Self {
+            following,
+            endpoint_list,
+        })))
+    }
+
+    /// Discovery's list, as it comes from the sources.
+    pub fn endpoint_list(&self) -> Rc<SharedEndpointList> {
+        self.endpoint_list.clone()
+    }
+
+    /// Applies the operator's settings, which were validated before.
+    pub fn configure(&self, follow: &Follow) {
+        self.following.rekey(derive_keys(&follow.keys));
+        self.endpoint_list.configure(Some(follow.max_age_ms));
+    }
+}
+
+fn follower_setup(runtime: &Runtime, follow: &Follow) -> Result<FollowerSetup, ClusterError> {
+    let process = runtime.process_config();
+    let name = follow.name.clone().unwrap_or_else(|| process.name.clone());
+    if name.is_empty() {
+        return Err(ClusterError::NameMissing { section: "follow" });
+    }
+    let sources = follow.sources.iter().map(|source| SourceAt {
+        name: source.name.clone(),
+        address: source.address,
+        place: hash_place(&source.zone, &source.region),
+    });
+    Ok(FollowerSetup {
+        me: new_identity(&name, follow.listen),
+        place: hash_place(&follow.zone, &follow.region),
+        sources: sources.collect(),
+        keys: derive_keys(&follow.keys),
+        score: score_instance,
+        pace: AskPace::default(),
+        seed: process.seed ^ api::Key::of("follow").0,
+    })
+}
+
+/// Zones and regions are only compared, so their hashes suffice.
+fn hash_place(zone: &str, region: &str) -> Place {
+    Place {
+        zone: api::Key::of(zone).0 as u32,
+        region: api::Key::of(region).0 as u32,
+    }
+}
--- a/src/discovery/watcher.rs
+++ b/src/discovery/watcher.rs
@@ -1,7 +1,7 @@
 //! The director: discovery's list, watched call by call on one kept-alive connection.
 
 use crate::api::{Event, UpdateKind};
-use crate::cluster::ListNews;
+use crate::cluster::SharedEndpointList;
 use crate::discovery::endpoint_list::EndpointList;
 use crate::discovery::http::{Connection, Response};
 use crate::invariants;
@@ -39,7 +39,7 @@
     runtime: Rc<Runtime>,
     mut discovery: watch::Receiver<SocketAddr>,
     mut listed: Option<u64>,
-    news: Option<Rc<ListNews>>,
+    news: Option<Rc<SharedEndpointList>>,
 ) {
     let mut at = *discovery.borrow_and_update();
     loop {
@@ -52,7 +52,7 @@
             if std::mem::replace(&mut at, place) != place {
                 listed = None;
                 if let Some(news) = &news {
-                    news.moved();
+                    news.reset_discovery_revision();
                 }
             }
             tokio::select! {
@@ -72,7 +72,7 @@
                     }
                     tracing::info!(what, discovery = %at, "the watch on discovery ends");
                     if let Some(news) = &news {
-                        news.failed();
+                        news.record_discovery_failure();
                     }
                     // A wish from before was met by the call that has failed: the pause from here on is the module's.
                     pin!(runtime.poll_requested.notified()).enable();
@@ -85,17 +85,17 @@
 }
 
 /// Waits until another instance's news makes our own watch needless.
-async fn relieved(news: Option<&ListNews>) {
+async fn relieved(news: Option<&SharedEndpointList>) {
     match news {
-        Some(news) => news.relieved().await,
+        Some(news) => news.wait_until_confirmed().await,
         None => std::future::pending().await,
     }
 }
 
 /// Waits until that news is too old: the revision to go on from.
-async fn outsourced(news: Option<&ListNews>) -> Option<u64> {
+async fn outsourced(news: Option<&SharedEndpointList>) -> Option<u64> {
     tracing::info!("another instance watches discovery for this one");
-    let since = news?.stale().await;
+    let since = news?.wait_until_stale().await;
     tracing::info!("this instance watches discovery itself");
     since
 }
@@ -105,7 +105,7 @@
     runtime: &Rc<Runtime>,
     at: SocketAddr,
     listed: &mut Option<u64>,
-    news: Option<&ListNews>,
+    news: Option<&SharedEndpointList>,
 ) -> String {
     let mut kept = None;
     loop {
@@ -152,7 +152,7 @@
             UpdateKind::Delta
         };
         if let Some(news) = news {
-            news.watched(&list);
+            news.record_discovered(&list);
         }
         runtime.notify_peer_processes(|| hot_restart::news(&list));
         runtime.update_endpoints(kind, list);
--- a/src/lifecycle/signals.rs
+++ b/src/lifecycle/signals.rs
@@ -1,7 +1,7 @@
 //! The signals of the process: SIGHUP takes over the configuration as it is now, SIGTERM ends it.
 
 use crate::cli::Serve;
-use crate::cluster::{Followed, Shared};
+use crate::cluster::{ClusterMember, ListFollower};
 use crate::config::{LoadReason, ProcessConfig};
 use crate::lifecycle::startup::read_operator;
 use crate::runtime::Runtime;
@@ -44,8 +44,8 @@
     discovery: watch::Sender<SocketAddr>,
     serve: Serve,
     operator: Operator,
-    shared: Option<Rc<Shared>>,
-    followed: Option<Rc<Followed>>,
+    shared: Option<Rc<ClusterMember>>,
+    followed: Option<Rc<ListFollower>>,
 }
 
 impl Reload {
@@ -55,8 +55,8 @@
         discovery: watch::Sender<SocketAddr>,
         serve: Serve,
         operator: Operator,
-        shared: Option<Rc<Shared>>,
-        followed: Option<Rc<Followed>>,
+        shared: Option<Rc<ClusterMember>>,
+        followed: Option<Rc<ListFollower>>,
     ) -> Self {
         Self {
             runtime,
--- a/src/lifecycle/startup.rs
+++ b/src/lifecycle/startup.rs
@@ -3,7 +3,7 @@
 use crate::admin::Service;
 use crate::api::UpdateKind;
 use crate::cli::{Cli, Serve};
-use crate::cluster::{Followed, Shared};
+use crate::cluster::{ClusterMember, ListFollower};
 use crate::config::{LoadReason, ProcessConfig};
 use crate::discovery::watcher;
 use crate::invariants;
@@ -127,10 +127,12 @@
             listed
         }
     };
-    let shared = Shared::start(&runtime, &operator).await?;
-    let followed = Followed::start(&runtime, &operator).await?;
-    let news = shared.as_ref().map(|shared| shared.news());
-    let news = news.or(followed.as_ref().map(|followed| followed.news()));
+    let shared = ClusterMember::start(&runtime, &operator).await;
+    let shared = shared.map_err(|e| e.to_string())?;
+    let followed = ListFollower::start(&runtime, &operator).await;
+    let followed = followed.map_err(|e| e.to_string())?;
+    let news = shared.as_ref().map(|shared| shared.endpoint_list());
+    let news = news.or(followed.as_ref().map(|followed| followed.endpoint_list()));
     spawn_local(watcher::run(runtime.clone(), watched, listed, news));
     spawn_local(accept(runtime.clone(), listener));
     service.takes_clients(&runtime).await;
