--- a/crates/leases/src/proposer.rs
+++ b/crates/leases/src/proposer.rs
@@ -301,7 +301,8 @@
         progress
     }
 
-    /// When a majority may grant again: the wait of the last of the majority that would be ready first.
+    /// When a majority may grant again: the longest wait among the acceptors that are ready first. Called with one
+    /// rejection at least: without any, a majority is still in reach.
     fn retry_after_majority(&self, majority: usize) -> Millis {
         let mut waits: Vec<Millis> = self.votes.values().filter_map(Vote::retry_after).collect();
         waits.sort_unstable();
--- a/src/cluster/list_distributor.rs
+++ b/src/cluster/list_distributor.rs
@@ -1,7 +1,7 @@
 //! A control instance's end of the distribution: passes the cluster's endpoint list on to balancers outside it.
 
 use super::error::ClusterError;
-use super::gossip_entries::{ListEntry, ReplicatedList};
+use super::gossip_entries::{ListEntry, ListSummary, ReplicatedList};
 use super::{derive_keys, new_identity};
 use crate::api;
 use spanspur_cluster::distribution::{ChangesAnswer, Distributor};
@@ -62,15 +62,10 @@
         self.distributor.rekey(keys);
     }
 
-    /// Passes an entry of the gossip store on. A heartbeat that matches what was passed on tells the followers that
-    /// it is up to date.
+    /// Passes an entry of the gossip store on.
     pub fn publish(&self, entry: &GossipEntry) {
         match ListEntry::decode(entry) {
-            Some(ListEntry::Heartbeat(summary)) => {
-                if self.distributed.borrow_mut().complete_summary() == Some(summary) {
-                    self.distributor.heard();
-                }
-            }
+            Some(ListEntry::Heartbeat(summary)) => self.confirm(summary),
             Some(ListEntry::Summary(_) | ListEntry::Endpoint(_)) => {
                 self.distributed.borrow_mut().apply_entry(entry);
                 self.distributor.publish(std::slice::from_ref(entry));
@@ -79,6 +74,13 @@
         }
     }
 
+    /// Tells the followers that the list is up to date, if the holder's summary matches what was passed on.
+    fn confirm(&self, summary: ListSummary) {
+        if self.distributed.borrow_mut().complete_summary() == Some(summary) {
+            self.distributor.heard();
+        }
+    }
+
     /// The answer to `changes`.
     pub fn status(&self) -> ChangesAnswer {
         self.distributor.answer()
