--- a/crates/fleet-rig/src/capacity/edges.rs
+++ b/crates/fleet-rig/src/capacity/edges.rs
@@ -8,7 +8,10 @@
 use std::fmt::Write;
 
 const WATCH: Mechanism = Mechanism::Is("src/discovery/watcher.rs", "async fn watch");
-const ONE_WATCH: Mechanism = Mechanism::Is("src/cluster/endpoint_list.rs", "pub struct ListNews");
+const ONE_WATCH: Mechanism = Mechanism::Is(
+    "src/cluster/endpoint_list.rs",
+    "pub struct SharedEndpointList",
+);
 const OUTS: Mechanism = Mechanism::Is(
     "crates/admin/src/maintenance.rs",
     "pub struct MaintenanceSet",
@@ -316,7 +319,7 @@
             "maintenance::MAX_ENTRIES",
         )
     };
-    let members = Mechanism::Is("crates/cluster/src/control.rs", "MAX_ASKING");
+    let members = Mechanism::Is("crates/cluster/src/control.rs", "MAX_CONNECTIONS");
     vec![
         Row::new(
             "calls to take one server out everywhere",
--- a/crates/fleet-rig/src/meter.rs
+++ b/crates/fleet-rig/src/meter.rs
@@ -2,8 +2,8 @@
 
 use rustix::time::{ClockId, clock_gettime};
 use spanspur_cluster::node::Notice;
+use spanspur_leases::GossipEntry;
 use spanspur_leases::Millis;
-use spanspur_leases::board::Entry;
 use std::collections::BTreeMap;
 
 /// Readings behind the cost of one.
@@ -104,9 +104,9 @@
 
     pub(crate) fn notice(&mut self, now: Millis, i: usize, notice: &Notice) {
         let (who, there) = match notice {
-            Notice::Up(who) => (who, true),
-            Notice::Down(who) => (who, false),
-            Notice::Renewed => {
+            Notice::MemberUp(who) => (who, true),
+            Notice::MemberDown(who) => (who, false),
+            Notice::DownRefuted => {
                 self.renewed += 1;
                 return;
             }
@@ -132,7 +132,7 @@
         self.downs += u64::from(!there);
     }
 
-    pub(crate) fn news(&mut self, now: Millis, entry: &Entry) {
+    pub(crate) fn news(&mut self, now: Millis, entry: &GossipEntry) {
         let told = self.told.entry(entry.key).or_default();
         *told = (told.0 + 1, now);
     }
--- a/src/discovery/watcher.rs
+++ b/src/discovery/watcher.rs
@@ -1,7 +1,7 @@
 //! Watches the endpoint list at discovery, poll by poll on one kept-alive connection.
 
 use crate::api::{Event, UpdateKind};
-use crate::cluster::ListNews;
+use crate::cluster::SharedEndpointList;
 use crate::discovery::endpoint_list::{EndpointList, EndpointListError};
 use crate::discovery::http::{Connection, HttpError, Response};
 use crate::invariants;
@@ -86,7 +86,7 @@
     runtime: Rc<Runtime>,
     mut discovery: watch::Receiver<SocketAddr>,
     revision: Option<u64>,
-    shared_list: Option<Rc<ListNews>>,
+    shared_list: Option<Rc<SharedEndpointList>>,
 ) {
     let address = *discovery.borrow_and_update();
     let mut watcher = Watcher {
@@ -109,7 +109,7 @@
     address: SocketAddr,
     /// Revision of the last list; `None` to poll for the full list.
     revision: Option<u64>,
-    shared_list: Option<Rc<ListNews>>,
+    shared_list: Option<Rc<SharedEndpointList>>,
 }
 
 impl Watcher {
@@ -145,7 +145,7 @@
         }
         self.revision = None;
         if let Some(shared_list) = &self.shared_list {
-            shared_list.moved();
+            shared_list.reset_discovery_revision();
         }
     }
 
@@ -153,7 +153,7 @@
     async fn follow_shared_list(&mut self) {
         tracing::info!("endpoint list followed through another instance");
         let revision = match &self.shared_list {
-            Some(shared_list) => shared_list.stale().await,
+            Some(shared_list) => shared_list.wait_until_stale().await,
             None => None,
         };
         tracing::info!("endpoint list watched by this instance");
@@ -163,7 +163,7 @@
     fn report_failure(&self, error: &WatchError) {
         tracing::info!(%error, discovery = %self.address, "endpoint list watch failed");
         if let Some(shared_list) = &self.shared_list {
-            shared_list.failed();
+            shared_list.record_discovery_failure();
         }
         // A request from before was met by the poll that has failed: the backoff from here on is the balancer's.
         pin!(self.runtime.poll_requested.notified()).enable();
@@ -254,7 +254,7 @@
             false => UpdateKind::Delta,
         };
         if let Some(shared_list) = &self.shared_list {
-            shared_list.watched(&list);
+            shared_list.record_discovered(&list);
         }
         let processes = &self.runtime.peer_processes;
         processes.broadcast(|| list_update_frame(&list));
@@ -263,9 +263,9 @@
 }
 
 /// Waits until another instance's list makes a watch of our own needless.
-async fn wait_for_shared_list(shared_list: Option<&ListNews>) {
+async fn wait_for_shared_list(shared_list: Option<&SharedEndpointList>) {
     match shared_list {
-        Some(shared_list) => shared_list.relieved().await,
+        Some(shared_list) => shared_list.wait_until_confirmed().await,
         None => std::future::pending().await,
     }
 }
--- a/src/lifecycle/error.rs
+++ b/src/lifecycle/error.rs
@@ -1,5 +1,6 @@
 //! Errors that end the process at its start, or keep a reload from being carried out. Their texts go to the log.
 
+use crate::cluster::ClusterError;
 use crate::config::ConfigError;
 use spanspur_operator_config::Faults;
 use spanspur_socket_activation::InheritedSocketError;
@@ -62,8 +63,8 @@
     #[error("no signals: {0}")]
     Signals(#[source] io::Error),
     /// The cluster or the distribution of lists cannot be started.
-    #[error("{0}")]
-    Cluster(String),
+    #[error(transparent)]
+    Cluster(#[from] ClusterError),
 }
 
 /// Why a reload is not carried out.
--- a/src/lifecycle/reload.rs
+++ b/src/lifecycle/reload.rs
@@ -3,7 +3,7 @@
 use super::error::ReloadError;
 use super::operator_file;
 use crate::cli::Serve;
-use crate::cluster::{Followed, Shared};
+use crate::cluster::{ClusterMember, ListFollower};
 use crate::config::{LoadReason, ProcessConfig};
 use crate::runtime::Runtime;
 use spanspur_operator_config::OperatorConfig;
@@ -22,9 +22,9 @@
     /// The operator's file as it is in effect.
     pub operator: OperatorConfig,
     /// The membership of this process in a cluster.
-    pub shared: Option<Rc<Shared>>,
+    pub cluster_member: Option<Rc<ClusterMember>>,
     /// The control instances that this process follows.
-    pub followed: Option<Rc<Followed>>,
+    pub list_follower: Option<Rc<ListFollower>>,
 }
 
 impl Reload {
@@ -54,11 +54,11 @@
         self.discovery
             .send_if_modified(|address| std::mem::replace(address, discovery) != discovery);
         self.runtime.apply_config(config);
-        if let Some(shared) = &self.shared {
-            shared.configure(operator.clone());
+        if let Some(member) = &self.cluster_member {
+            member.configure(operator.clone());
         }
-        if let (Some(followed), Some(follow)) = (&self.followed, &operator.follow) {
-            followed.configure(follow);
+        if let (Some(follower), Some(follow)) = (&self.list_follower, &operator.follow) {
+            follower.configure(follow);
         }
         self.operator = operator;
     }
--- a/src/lifecycle/startup.rs
+++ b/src/lifecycle/startup.rs
@@ -9,7 +9,7 @@
 use crate::admin::{self, MaintenanceStore};
 use crate::api::UpdateKind;
 use crate::cli::{Cli, Invocation, Serve};
-use crate::cluster::{Followed, ListNews, Shared};
+use crate::cluster::{ClusterMember, ListFollower, SharedEndpointList};
 use crate::config::{LoadReason, ProcessConfig};
 use crate::discovery::endpoint_list::EndpointList;
 use crate::discovery::watcher;
@@ -98,12 +98,12 @@
         discovery,
         options,
         operator,
-        shared: cluster.shared.clone(),
-        followed: cluster.followed,
+        cluster_member: cluster.member.clone(),
+        list_follower: cluster.list_follower,
     };
     signals.reload_until_terminated(reload).await;
-    if let Some(shared) = cluster.shared {
-        shared.leave();
+    if let Some(member) = cluster.member {
+        member.leave();
     }
     graceful_shutdown::run(runtime, hot_restart.as_deref()).await;
     Ok(())
@@ -163,22 +163,22 @@
 
 /// The part of this process in a cluster, or as a follower of one.
 struct ClusterTasks {
-    shared: Option<Rc<Shared>>,
-    followed: Option<Rc<Followed>>,
+    member: Option<Rc<ClusterMember>>,
+    list_follower: Option<Rc<ListFollower>>,
 }
 
 impl ClusterTasks {
     async fn start(runtime: &Rc<Runtime>, operator: &OperatorConfig) -> Result<Self, StartupError> {
-        let shared = Shared::start(runtime, operator).await;
-        let shared = shared.map_err(StartupError::Cluster)?;
-        let followed = Followed::start(runtime, operator).await;
-        let followed = followed.map_err(StartupError::Cluster)?;
-        Ok(Self { shared, followed })
+        Ok(Self {
+            member: ClusterMember::start(runtime, operator).await?,
+            list_follower: ListFollower::start(runtime, operator).await?,
+        })
     }
 
     /// The endpoint list that other instances watch for this one, if any do.
-    fn shared_list(&self) -> Option<Rc<ListNews>> {
-        let of_cluster = self.shared.as_ref().map(|shared| shared.news());
-        of_cluster.or(self.followed.as_ref().map(|followed| followed.news()))
+    fn shared_list(&self) -> Option<Rc<SharedEndpointList>> {
+        let of_member = self.member.as_ref().map(|member| member.endpoint_list());
+        let follower = self.list_follower.as_ref();
+        of_member.or(follower.map(|follower| follower.endpoint_list()))
     }
 }
