--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -57,7 +57,6 @@
 }
 
 /// An eligible server with its rank for the key.
-#[derive(Clone, Copy)]
 struct Candidate {
     server: ServerId,
     load_level: f64,
@@ -73,25 +72,30 @@
 }
 
 impl Ranking {
-    fn offer(&mut self, server: &Server, eligible: &Eligible) {
+    fn offer(&mut self, server: &Server, eligible: Eligible) {
         let load_level = eligible.load_level;
-        if self.best.is_some_and(|best| load_level > best.load_level) {
+        if let Some(best) = &self.best
+            && load_level > best.load_level
+        {
             return;
         }
         let id = server.endpoint.id;
         let weight = server.endpoint.weight * eligible.capacity_share;
         let hash = rendezvous::hash(self.key, id);
         // Skips the logarithm, the costliest part of a placement, where the score cannot be the higher one.
-        if self.best.is_some_and(|best| {
-            load_level == best.load_level && weight <= best.weight && hash <= best.hash
-        }) {
+        if let Some(best) = &self.best
+            && load_level == best.load_level
+            && weight <= best.weight
+            && hash <= best.hash
+        {
             return;
         }
         let score = rendezvous::score_of_hash(hash, weight);
-        if self
-            .best
-            .is_none_or(|best| load_level < best.load_level || score > best.score)
-        {
+        let is_better = match &self.best {
+            Some(best) => load_level < best.load_level || score > best.score,
+            None => true,
+        };
+        if is_better {
             self.best = Some(Candidate {
                 server: id,
                 load_level,
@@ -136,7 +140,7 @@
         };
         for server in &self.servers {
             if let Ok(eligible) = self.check_eligibility(&selection, server) {
-                ranking.offer(server, &eligible);
+                ranking.offer(server, eligible);
             }
         }
         ranking.best
