--- a/tests/sockets/endings.rs
+++ b/tests/sockets/endings.rs
@@ -113,11 +113,11 @@
     };
     let (local, remote) = (form(local), form(remote));
     let table = std::fs::read_to_string("/proc/net/tcp").expect("the kernel's table");
-    let states = table.lines().filter_map(|line| {
+    let mut states = table.lines().filter_map(|line| {
         let columns: Vec<&str> = line.split_whitespace().collect();
         (columns.get(1..3)? == [&local, &remote]).then(|| columns[3].to_owned())
     });
-    states.last().is_none_or(|state| state == CLOSE_WAIT)
+    states.next().is_none_or(|state| state == CLOSE_WAIT)
 }
 
 #[test]
