--- a/crates/cluster/src/distribution.rs
+++ b/crates/cluster/src/distribution.rs
@@ -1,9 +1,9 @@
-//! Carries out what both ends of the distribution say: a control instance's source, and a balancer's follower.
+//! Drives both sides of the replication over sockets: a control instance's source, and a balancer's follower.
 
 use crate::port::{self, Endpoint, Port};
 use serde::{Deserialize, Serialize};
 use spanspur_distribution::{
-    Effect, Entry, Follower, FollowerSetup, FollowerStatus, Millis, Notice, Source, SourceSetup,
+    Entry, Event, Follower, FollowerConfig, FollowerStatus, Millis, Output, Source, SourceConfig,
     SourceStatus,
 };
 use spanspur_membership::Keys;
@@ -14,88 +14,92 @@
 use std::rc::Rc;
 use tokio::task::spawn_local;
 
-/// What `changes` answers.
+/// The answer to the control request `changes`. The JSON names are read by tools and stay.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ChangesAnswer {
-    /// Which end was asked, and how it stands.
+    /// The status of the side that was asked.
     #[serde(flatten)]
-    pub end: End,
-    /// What was dropped or refused, what was spent, and what went over the socket.
+    pub status: ReplicationStatus,
+    /// What was dropped, rejected and spent, and the traffic of the socket.
     pub counters: BTreeMap<String, u64>,
 }
 
-/// An end of the distribution.
+/// The status of one side of the replication.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum End {
-    /// A control instance, and the pieces a second that it gives at most.
+pub enum ReplicationStatus {
+    /// A control instance.
     Source {
-        /// How it stands.
+        /// Its status.
         status: SourceStatus,
-        /// See `distribute.rate` of the operator's file.
-        rate: u32,
+        /// The most datagrams with rows that it sends in a second: `distribute.rate` of the operator's file.
+        #[serde(rename = "rate")]
+        datagrams_per_second: u32,
     },
-    /// A balancer that follows.
+    /// A balancer.
     Follower {
-        /// How it stands.
+        /// Its status.
         status: FollowerStatus,
     },
 }
 
-/// A control instance's end, running.
+/// A running source. Clones refer to the same source.
 #[derive(Clone)]
-pub struct Distributor(Rc<Distributing>);
+pub struct SourceDriver(Rc<SourceTask>);
 
-struct Distributing {
+struct SourceTask {
     port: Port,
-    rate: u32,
+    datagrams_per_second: u32,
     source: RefCell<Source>,
 }
 
-impl Distributor {
-    /// Opens the socket at the setup's address and serves followers on the current `LocalSet`. Fails where the
-    /// address is taken or not of this machine.
-    pub async fn start(setup: SourceSetup) -> io::Result<Self> {
-        let port = Port::open(setup.me.address).await?;
-        let distributor = Self(Rc::new(Distributing {
-            rate: setup.limits.pieces_per_second,
-            source: RefCell::new(Source::new(port.now(), setup)),
+impl SourceDriver {
+    /// Binds the socket at the configured address and serves followers on the current `LocalSet`.
+    ///
+    /// # Errors
+    /// The address can't be bound.
+    pub async fn start(config: SourceConfig) -> io::Result<Self> {
+        let port = Port::open(config.identity.address).await?;
+        let driver = Self(Rc::new(SourceTask {
+            datagrams_per_second: config.limits.datagrams_per_second,
+            source: RefCell::new(Source::new(port.now(), config)),
             port,
         }));
-        spawn_local(port::run(distributor.clone()));
-        Ok(distributor)
+        spawn_local(port::run(driver.clone()));
+        Ok(driver)
     }
 
-    /// Takes what the cluster's board has; what is not newer changes nothing.
+    /// Takes entries from the cluster's gossip store; those that are not newer change nothing.
     pub fn publish(&self, entries: &[Entry]) {
         let now = self.0.port.now();
         self.0.source.borrow_mut().publish(now, entries);
     }
 
-    /// All that was published is all that there is, as of now.
-    pub fn heard(&self) {
-        self.0.source.borrow_mut().heard(self.0.port.now());
+    /// All that was published is all that exists, as of now.
+    pub fn confirm_complete(&self) {
+        let now = self.0.port.now();
+        self.0.source.borrow_mut().confirm_complete(now);
     }
 
-    /// Takes other keys over.
+    /// Replaces the cluster's keys.
     pub fn rekey(&self, keys: Keys) {
         self.0.source.borrow_mut().rekey(keys);
     }
 
-    /// How it stands.
+    /// The answer to the control request `changes`.
     pub fn answer(&self) -> ChangesAnswer {
         let source = self.0.source.borrow();
         ChangesAnswer {
-            end: End::Source {
+            status: ReplicationStatus::Source {
                 status: source.status(self.0.port.now()),
-                rate: self.0.rate,
+                datagrams_per_second: self.0.datagrams_per_second,
             },
-            counters: counters(source.counters(), &self.0.port),
+            counters: all_counters(source.counters(), &self.0.port),
         }
     }
 }
 
-impl Endpoint for Distributor {
+impl Endpoint for SourceDriver {
     fn port(&self) -> &Port {
         &self.0.port
     }
@@ -114,64 +118,67 @@
     }
 
     fn carry_out(&self) {
-        let effects = self.0.source.borrow_mut().effects();
-        for effect in effects {
-            match effect {
-                Effect::Datagram(to, bytes) => self.0.port.send(to, &bytes),
-                Effect::Notice(notice) => log(notice),
-                // Only followers take entries.
-                Effect::Changed(_) => {}
+        let outputs = self.0.source.borrow_mut().take_outputs();
+        for output in outputs {
+            match output {
+                Output::Datagram(to, bytes) => self.0.port.send(to, &bytes),
+                Output::Event(event) => log_event(event),
+                // Only followers emit updates.
+                Output::EntryUpdated(_) => {}
             }
         }
     }
 }
 
-/// Told after each turn: the entries that are new here, none of them often, and how old what is held is at most.
-pub type Told = Box<dyn Fn(&[Entry], Option<Millis>)>;
+/// Called after each turn with the entries that were updated, of most turns none, and the age of the data in
+/// milliseconds, if it is known.
+pub type UpdateHandler = Box<dyn Fn(&[Entry], Option<Millis>)>;
 
-/// A balancer's end, running.
+/// A running follower. Clones refer to the same follower.
 #[derive(Clone)]
-pub struct Following(Rc<FollowingAt>);
+pub struct FollowerDriver(Rc<FollowerTask>);
 
-struct FollowingAt {
+struct FollowerTask {
     port: Port,
     follower: RefCell<Follower>,
-    told: Told,
+    on_update: UpdateHandler,
 }
 
-impl Following {
-    /// Opens the socket at the setup's address, port 0 for any, and follows the sources on the current `LocalSet`.
-    /// Fails where the address is taken or not of this machine.
-    pub async fn start(mut setup: FollowerSetup, told: Told) -> io::Result<Self> {
-        let port = Port::open(setup.me.address).await?;
-        setup.me.address = port.address()?;
-        let following = Self(Rc::new(FollowingAt {
-            follower: RefCell::new(Follower::new(port.now(), setup)),
+impl FollowerDriver {
+    /// Binds the socket at the configured address, port 0 for any, and polls the sources on the current `LocalSet`.
+    ///
+    /// # Errors
+    /// The address can't be bound.
+    pub async fn start(mut config: FollowerConfig, on_update: UpdateHandler) -> io::Result<Self> {
+        let port = Port::open(config.identity.address).await?;
+        config.identity.address = port.address()?;
+        let driver = Self(Rc::new(FollowerTask {
+            follower: RefCell::new(Follower::new(port.now(), config)),
             port,
-            told,
+            on_update,
         }));
-        spawn_local(port::run(following.clone()));
-        Ok(following)
+        spawn_local(port::run(driver.clone()));
+        Ok(driver)
     }
 
-    /// Takes other keys over.
+    /// Replaces the cluster's keys.
     pub fn rekey(&self, keys: Keys) {
         self.0.follower.borrow_mut().rekey(keys);
     }
 
-    /// How it stands.
+    /// The answer to the control request `changes`.
     pub fn answer(&self) -> ChangesAnswer {
         let follower = self.0.follower.borrow();
         ChangesAnswer {
-            end: End::Follower {
+            status: ReplicationStatus::Follower {
                 status: follower.status(self.0.port.now()),
             },
-            counters: counters(follower.counters(), &self.0.port),
+            counters: all_counters(follower.counters(), &self.0.port),
         }
     }
 }
 
-impl Endpoint for Following {
+impl Endpoint for FollowerDriver {
     fn port(&self) -> &Port {
         &self.0.port
     }
@@ -190,34 +197,35 @@
     }
 
     fn carry_out(&self) {
-        let effects = self.0.follower.borrow_mut().effects();
-        let mut changed = Vec::new();
-        for effect in effects {
-            match effect {
-                Effect::Datagram(to, bytes) => self.0.port.send(to, &bytes),
-                Effect::Notice(notice) => log(notice),
-                Effect::Changed(entry) => changed.push(entry),
+        let outputs = self.0.follower.borrow_mut().take_outputs();
+        let mut updated = Vec::new();
+        for output in outputs {
+            match output {
+                Output::Datagram(to, bytes) => self.0.port.send(to, &bytes),
+                Output::Event(event) => log_event(event),
+                Output::EntryUpdated(entry) => updated.push(entry),
             }
         }
-        let age = self.0.follower.borrow().age(self.0.port.now());
-        (self.0.told)(&changed, age);
+        let data_age = self.0.follower.borrow().data_age(self.0.port.now());
+        (self.0.on_update)(&updated, data_age);
     }
 }
 
-fn counters(own: BTreeMap<&'static str, u64>, port: &Port) -> BTreeMap<String, u64> {
+/// The counters of one side, and those of its socket.
+fn all_counters(own: BTreeMap<&'static str, u64>, port: &Port) -> BTreeMap<String, u64> {
     let traffic = port.traffic().named();
     let all = own.into_iter().chain(traffic);
     all.map(|(name, count)| (name.to_owned(), count)).collect()
 }
 
-fn log(notice: Notice) {
-    match notice {
-        Notice::Silent(source) => tracing::warn!(source, "a followed source does not answer"),
-        Notice::Back(source) => tracing::info!(source, "a followed source answers again"),
-        Notice::Dark(true) => {
-            tracing::warn!("no followed source answers: goes on with what is known");
+fn log_event(event: Event) {
+    match event {
+        Event::SourceDisconnected(source) => tracing::warn!(source, "source disconnected"),
+        Event::SourceReconnected(source) => tracing::info!(source, "source reconnected"),
+        Event::Disconnected(true) => {
+            tracing::warn!("all sources disconnected, serving last known entries");
         }
-        Notice::Dark(false) => tracing::info!("a followed source answers again after the dark"),
-        Notice::Full => tracing::info!("has all that a followed source has"),
+        Event::Disconnected(false) => tracing::info!("reconnected to a source"),
+        Event::Synchronized => tracing::info!("entries synchronized with a source"),
     }
 }
--- a/crates/cluster/tests/control_answer_files.rs
+++ b/crates/cluster/tests/control_answer_files.rs
@@ -7,10 +7,10 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use spanspur_cluster::control::{self, DutiesAnswer, DutyRow, MembersAnswer, to_json};
-use spanspur_cluster::distribution::{ChangesAnswer, End};
+use spanspur_cluster::distribution::{ChangesAnswer, ReplicationStatus};
 use spanspur_cluster::node::Member;
-use spanspur_distribution::follower::{FollowerStatus, LinkStatus};
-use spanspur_distribution::source::{Behind, InForce, SourceStatus};
+use spanspur_distribution::follower::{FollowedSourceStatus, FollowerStatus};
+use spanspur_distribution::source::{ChangeStatus, FollowerDelay, SourceStatus};
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::rc::Rc;
@@ -80,67 +80,82 @@
 
 #[test]
 fn what_a_source_says_of_changes_has_the_text_of_the_fixture() {
-    let change = |key, after| InForce {
+    let change = |key, after| ChangeStatus {
         key,
         version: 41,
-        ago: 9000,
-        after,
-        of: 512,
+        age: 9000,
+        propagated_after: after,
+        followers: 512,
     };
-    let behind = |name: &str, since| Behind {
+    let behind = |name: &str, since| FollowerDelay {
         name: name.into(),
-        since,
+        delay: since,
     };
     let status = SourceStatus {
         name: "n1".into(),
-        run: 1 << 60,
+        incarnation: 1 << 60,
         head: 900,
         floor: 12,
         entries: 300,
-        newest: 41,
-        root: 0x0123_4567_89ab_cdef,
-        age: Some(250),
+        newest_version: 41,
+        root_hash: 0x0123_4567_89ab_cdef,
+        data_age: Some(250),
         followers: 1000,
-        first: 512,
+        primary_followers: 512,
         settled: true,
         changes: vec![change(u64::MAX, Some(380)), change(7, None)],
         lagging: 3,
-        laggards: vec![behind("b-1", 800), behind("", 400)],
-        dark: 1,
-        darkened: vec![behind("b-2", 60_000)],
-        ahead: 15,
+        lagging_followers: vec![behind("b-1", 800), behind("", 400)],
+        disconnected: 1,
+        disconnected_followers: vec![behind("b-2", 60_000)],
+        backlog: 15,
+    };
+    let end = ReplicationStatus::Source {
+        status,
+        datagrams_per_second: 4000,
     };
-    let end = End::Source { status, rate: 4000 };
     let counters = counters();
-    assert_answer("changes_source", &ChangesAnswer { end, counters });
+    assert_answer(
+        "changes_source",
+        &ChangesAnswer {
+            status: end,
+            counters,
+        },
+    );
 }
 
 #[test]
 fn what_a_follower_says_of_changes_has_the_text_of_the_fixture() {
-    let link = |name: &str, role, silent, age| LinkStatus {
+    let link = |name: &str, role, silent, age| FollowedSourceStatus {
         name: name.into(),
         role,
-        silent,
-        age,
+        disconnected: silent,
+        data_age: age,
     };
     let status = FollowerStatus {
         name: "b-1".into(),
         entries: 300,
-        newest: 41,
-        root: 0x0123_4567_89ab_cdef,
-        age: None,
-        full: true,
-        dark: false,
-        catching_up: true,
+        newest_version: 41,
+        root_hash: 0x0123_4567_89ab_cdef,
+        data_age: None,
+        synchronized: true,
+        disconnected: false,
+        resyncing: true,
         sources: vec![
             link("n1", 1, false, Some(120)),
             link("n2", 2, true, None),
             link("n3", 0, false, Some(90_000)),
         ],
     };
-    let end = End::Follower { status };
+    let end = ReplicationStatus::Follower { status };
     let counters = counters();
-    assert_answer("changes_follower", &ChangesAnswer { end, counters });
+    assert_answer(
+        "changes_follower",
+        &ChangesAnswer {
+            status: end,
+            counters,
+        },
+    );
 }
 
 #[test]
--- a/crates/cluster/tests/control_answers.rs
+++ b/crates/cluster/tests/control_answers.rs
@@ -1,11 +1,11 @@
 //! The control socket's answers keep their names and forms: staff and programs read them.
 
 use spanspur_cluster::control::{self, DutiesAnswer, DutyRow, MembersAnswer, to_json};
-use spanspur_cluster::distribution::{ChangesAnswer, End};
+use spanspur_cluster::distribution::{ChangesAnswer, ReplicationStatus};
 use spanspur_cluster::node::Member;
 use spanspur_cluster::port::Traffic;
-use spanspur_distribution::follower::LinkStatus;
-use spanspur_distribution::source::{Behind, InForce};
+use spanspur_distribution::follower::FollowedSourceStatus;
+use spanspur_distribution::source::{ChangeStatus, FollowerDelay};
 use spanspur_distribution::{FollowerStatus, SourceStatus};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -84,34 +84,37 @@
 fn a_sources_answer_about_changes_keeps_its_form() {
     let status = SourceStatus {
         name: "control-1".into(),
-        run: 1,
+        incarnation: 1,
         head: 2,
         floor: 3,
         entries: 4,
-        newest: 5,
-        root: 6,
-        age: Some(7),
+        newest_version: 5,
+        root_hash: 6,
+        data_age: Some(7),
         followers: 8,
-        first: 9,
+        primary_followers: 9,
         settled: true,
-        changes: vec![InForce {
+        changes: vec![ChangeStatus {
             key: 10,
             version: 11,
-            ago: 12,
-            after: None,
-            of: 13,
+            age: 12,
+            propagated_after: None,
+            followers: 13,
         }],
         lagging: 14,
-        laggards: vec![Behind {
+        lagging_followers: vec![FollowerDelay {
             name: "balancer-1".into(),
-            since: 15,
+            delay: 15,
         }],
-        dark: 16,
-        darkened: Vec::new(),
-        ahead: 17,
+        disconnected: 16,
+        disconnected_followers: Vec::new(),
+        backlog: 17,
     };
     let answer = ChangesAnswer {
-        end: End::Source { status, rate: 18 },
+        status: ReplicationStatus::Source {
+            status,
+            datagrams_per_second: 18,
+        },
         counters: counters(),
     };
     check(
@@ -130,21 +133,21 @@
     let status = FollowerStatus {
         name: "balancer-1".into(),
         entries: 1,
-        newest: 2,
-        root: 3,
-        age: None,
-        full: true,
-        dark: false,
-        catching_up: true,
-        sources: vec![LinkStatus {
+        newest_version: 2,
+        root_hash: 3,
+        data_age: None,
+        synchronized: true,
+        disconnected: false,
+        resyncing: true,
+        sources: vec![FollowedSourceStatus {
             name: "control-1".into(),
             role: 2,
-            silent: true,
-            age: Some(4),
+            disconnected: true,
+            data_age: Some(4),
         }],
     };
     let answer = ChangesAnswer {
-        end: End::Follower { status },
+        status: ReplicationStatus::Follower { status },
         counters: BTreeMap::new(),
     };
     check(
--- /dev/null
+++ b/crates/distribution/src/channel.rs
@@ -0,0 +1,141 @@
+//! What sources and followers share: the handshake with peers, authenticated sessions, counters and the queue of
+//! outputs.
+
+use crate::{Event, MAX_NAME, Millis, Output};
+use spanspur_membership::seal::{Kind, Opened, Refusal};
+use spanspur_membership::{Greetings, Identity, Keys, Sessions, greet};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+/// Authenticated datagrams to and from peers, with what is counted and what is to be sent.
+pub(crate) struct Channel {
+    identity: Identity,
+    sessions: Sessions,
+    handshakes: Greetings,
+    outputs: Vec<Output>,
+    counters: BTreeMap<&'static str, u64>,
+}
+
+impl Channel {
+    /// A channel without sessions that answers at most `handshakes_per_second`.
+    pub(crate) fn new(identity: Identity, keys: Keys, handshakes_per_second: u32) -> Self {
+        let id = greet::id_of(&identity.name);
+        Self {
+            sessions: Sessions::new(id, identity.boot, keys),
+            handshakes: Greetings::new(handshakes_per_second),
+            outputs: Vec::new(),
+            counters: BTreeMap::new(),
+            identity,
+        }
+    }
+
+    /// This instance's name.
+    pub(crate) fn name(&self) -> &str {
+        &self.identity.name
+    }
+
+    /// This instance's incarnation.
+    pub(crate) fn incarnation(&self) -> u64 {
+        self.identity.boot
+    }
+
+    /// Replaces the cluster's keys.
+    pub(crate) fn rekey(&mut self, keys: Keys) {
+        self.sessions.rekey(keys);
+    }
+
+    /// Whether a session with this peer is established.
+    pub(crate) fn has_session(&self, peer: u64) -> bool {
+        self.sessions.run_of(peer).is_some()
+    }
+
+    /// Drops the session with a peer.
+    pub(crate) fn forget(&mut self, peer: u64) {
+        self.sessions.forget(peer);
+    }
+
+    /// Authenticates a datagram; a rejected one is counted by its reason.
+    pub(crate) fn open<'a>(&mut self, bytes: &'a [u8]) -> Result<Opened<'a>, Refusal> {
+        let opened = self.sessions.open(bytes);
+        if let Err(refusal) = &opened {
+            self.count(refusal.name());
+        }
+        opened
+    }
+
+    /// The identity in a handshake; an invalid one is counted by its reason.
+    pub(crate) fn peer_identity(&mut self, opened: &Opened<'_>) -> Option<Identity> {
+        match greet::identity(opened, &self.identity.name) {
+            Ok(identity) if identity.name.len() <= MAX_NAME => Some(identity),
+            Ok(_) => {
+                self.count("name-too-long");
+                None
+            }
+            Err(reason) => {
+                self.count(reason);
+                None
+            }
+        }
+    }
+
+    /// Starts a handshake with an address, unless one was started a moment ago.
+    pub(crate) fn start_handshake(&mut self, now: Millis, to: SocketAddr) {
+        let greeting = self
+            .handshakes
+            .greet(now, &self.sessions, &self.identity, to);
+        if let Some(bytes) = greeting {
+            self.outputs.push(Output::Datagram(to, bytes));
+        }
+    }
+
+    /// Answers a handshake of a peer's incarnation, within the rate limit.
+    pub(crate) fn answer_handshake(&mut self, now: Millis, to: SocketAddr, incarnation: u64) {
+        let answer = self
+            .handshakes
+            .answer(now, &self.sessions, &self.identity, incarnation);
+        match answer {
+            Some(bytes) => self.outputs.push(Output::Datagram(to, bytes)),
+            None => self.count("greetings-unanswered"),
+        }
+    }
+
+    /// Authenticates and sends a message; `false` if there is no session with the peer.
+    pub(crate) fn send(&mut self, peer: u64, to: SocketAddr, body: &[u8]) -> bool {
+        let Some(bytes) = self.sessions.seal(peer, Kind::Data, body) else {
+            return false;
+        };
+        self.add("bytes", bytes.len() as u64);
+        self.outputs.push(Output::Datagram(to, bytes));
+        true
+    }
+
+    /// Queues an output.
+    pub(crate) fn push(&mut self, output: Output) {
+        self.outputs.push(output);
+    }
+
+    /// Queues an event for the log.
+    pub(crate) fn emit(&mut self, event: Event) {
+        self.push(Output::Event(event));
+    }
+
+    /// Takes the queued outputs, in order.
+    pub(crate) fn take_outputs(&mut self) -> Vec<Output> {
+        std::mem::take(&mut self.outputs)
+    }
+
+    /// Increments a counter.
+    pub(crate) fn count(&mut self, counter: &'static str) {
+        self.add(counter, 1);
+    }
+
+    /// Adds to a counter.
+    pub(crate) fn add(&mut self, counter: &'static str, amount: u64) {
+        *self.counters.entry(counter).or_default() += amount;
+    }
+
+    /// All counters.
+    pub(crate) fn counters(&self) -> BTreeMap<&'static str, u64> {
+        self.counters.clone()
+    }
+}
--- /dev/null
+++ b/crates/distribution/src/follower/responses.rs
@@ -0,0 +1,153 @@
+//! What a response changes.
+
+use super::Follower;
+use super::polling::MAX_TIMEOUT_FACTOR;
+use super::source_state::{Cursor, PendingRequest, SequenceRange};
+use crate::messages::{Payload, PollResponse, ResponseBody};
+use crate::source_selection::SourceIndex;
+use crate::{Entry, Event, Millis, Output};
+
+/// A follower resynchronizes with a source whose cursor is at the head although the contents differ for this long.
+pub const RESYNC_IF_DIVERGED_FOR: Millis = 600_000;
+
+impl Follower {
+    /// Applies a response of a source's incarnation.
+    pub(super) fn handle_response(
+        &mut self,
+        now: Millis,
+        source: SourceIndex,
+        incarnation: u64,
+        response: &PollResponse,
+        mut payload: Payload,
+    ) {
+        // An entry is valid whatever was requested.
+        if let Payload::Entries(entries) = &mut payload {
+            for entry in std::mem::take(entries) {
+                self.apply_entry(entry);
+            }
+        }
+        self.mark_responsive(now, source);
+        let Some(request) = self.states[source].pending_with_nonce(response.nonce) else {
+            return self.handle_late_response(source, response.nonce);
+        };
+        let head = Cursor {
+            incarnation,
+            sequence: response.head,
+        };
+        let as_of = synced_as_of(request, response.data_age);
+        match &response.body {
+            ResponseBody::UpToDate { same_content } => {
+                if self.states[source].cursor != head {
+                    return self.channel.count("stale-answer");
+                }
+                self.record_synchronized(now, source, as_of);
+                self.check_divergence(now, source, head, *same_content);
+            }
+            ResponseBody::AdoptHead => {
+                self.states[source].set_cursor(head);
+                self.cancel_resync(source);
+                self.record_synchronized(now, source, as_of);
+            }
+            ResponseBody::ContentDiffers => {
+                self.finish_request(now, source);
+                self.start_resync(now, source, head);
+            }
+            ResponseBody::RetryAfter { wait } => {
+                self.retry_after(now, source, Millis::from(*wait));
+            }
+            ResponseBody::Changes { after, up_to, last } => {
+                if self.states[source].cursor.incarnation != incarnation {
+                    return self.channel.count("stale-answer");
+                }
+                let (after, up_to) = (*after, *up_to);
+                self.states[source].advance_cursor(SequenceRange { after, up_to });
+                let last_sequence = request.last_sequence.or(last.then_some(up_to));
+                self.continue_changes(now, source, head, last_sequence, as_of);
+            }
+            ResponseBody::BranchHashes
+            | ResponseBody::LeafHashes { .. }
+            | ResponseBody::Entries { .. } => {
+                self.handle_resync_response(now, source, incarnation, response, payload);
+            }
+        }
+    }
+
+    fn apply_entry(&mut self, entry: Entry) {
+        match self.store.insert_if_newer(&entry) {
+            Ok(true) => self.channel.push(Output::EntryUpdated(entry)),
+            Ok(false) => self.channel.count("not-newer"),
+            Err(error) => self.channel.count(error.counter()),
+        }
+    }
+
+    /// A response to a request that was given up: the next ones get more time.
+    fn handle_late_response(&mut self, source: SourceIndex, nonce: u32) {
+        let state = &mut self.states[source];
+        if state.pending_request.is_some() && nonce != state.last_late_nonce {
+            state.last_late_nonce = nonce;
+            state.timeout_factor = (state.timeout_factor * 2).min(MAX_TIMEOUT_FACTOR);
+        }
+        self.channel.count("stale-answer");
+    }
+
+    /// Waits for the rest of the changes, requests more of them, or is done.
+    fn continue_changes(
+        &mut self,
+        now: Millis,
+        source: SourceIndex,
+        head: Cursor,
+        last_sequence: Option<u64>,
+        as_of: Option<i64>,
+    ) {
+        let sequence = self.states[source].cursor.sequence;
+        let is_complete = last_sequence.is_some_and(|last| sequence >= last);
+        if !is_complete {
+            self.extend_deadline(now, source, last_sequence);
+        } else if sequence >= head.sequence {
+            self.record_synchronized(now, source, as_of);
+        } else {
+            self.poll_immediately(now, source);
+        }
+    }
+
+    /// All that a source had when it responded is held here.
+    fn record_synchronized(&mut self, now: Millis, source: SourceIndex, as_of: Option<i64>) {
+        self.finish_request(now, source);
+        let state = &mut self.states[source];
+        state.clear_out_of_order();
+        let Some(as_of) = as_of else {
+            return;
+        };
+        state.record_sync(as_of);
+        if !std::mem::replace(&mut self.synchronized, true) {
+            self.channel.emit(Event::Synchronized);
+        }
+    }
+
+    /// Verifies the cursors: resynchronizes with a source that has no changes for us and yet other content for long.
+    fn check_divergence(
+        &mut self,
+        now: Millis,
+        source: SourceIndex,
+        head: Cursor,
+        same_content: bool,
+    ) {
+        let state = &mut self.states[source];
+        if same_content {
+            state.diverged_since = None;
+            return;
+        }
+        let since = *state.diverged_since.get_or_insert(now);
+        if now >= since + RESYNC_IF_DIVERGED_FOR {
+            state.diverged_since = None;
+            self.start_resync(now, source, head);
+        }
+    }
+}
+
+/// The time on our clock up to which a complete response has everything: the source's data can't be newer than when
+/// the request was sent.
+fn synced_as_of(request: PendingRequest, data_age: Option<u64>) -> Option<i64> {
+    let data_age = i64::try_from(data_age?).ok()?;
+    Some((request.sent_at as i64).saturating_sub(data_age))
+}
--- /dev/null
+++ b/crates/distribution/src/follower/resync_driver.rs
@@ -0,0 +1,89 @@
+//! When a resynchronization starts, what it requests, and what follows from its responses.
+
+use super::Follower;
+use super::resync::Resync;
+use super::source_state::Cursor;
+use crate::Millis;
+use crate::messages::{LeafVersions, Payload, PollResponse, Query, ResponseBody};
+use crate::source_selection::SourceIndex;
+
+impl Follower {
+    /// Starts a resynchronization with a source that is polled, unless one is under way.
+    pub(super) fn start_resync(&mut self, now: Millis, source: SourceIndex, head: Cursor) {
+        if self.resync.is_some() || !self.assignment.contains(source) {
+            return;
+        }
+        let resync = Resync::new(source, head, &self.store);
+        self.channel.count(resync.counter());
+        self.resync = Some(resync);
+        self.poll_immediately(now, source);
+    }
+
+    /// Drops the resynchronization, if it is with this source.
+    pub(super) fn cancel_resync(&mut self, source: SourceIndex) {
+        self.resync.take_if(|resync| resync.source == source);
+    }
+
+    /// What is requested of a source next.
+    pub(super) fn next_query(&mut self, source: SourceIndex) -> (Query, Vec<LeafVersions>) {
+        let resync = self.resync.as_mut();
+        match resync.filter(|resync| resync.source == source) {
+            Some(resync) => resync.next_query(&self.store),
+            None => (Query::Changes, Vec::new()),
+        }
+    }
+
+    /// Applies a response in a resynchronization.
+    pub(super) fn handle_resync_response(
+        &mut self,
+        now: Millis,
+        source: SourceIndex,
+        incarnation: u64,
+        response: &PollResponse,
+        payload: Payload,
+    ) {
+        let current = self.resync.take_if(|resync| resync.source == source);
+        let Some(mut resync) = current else {
+            return self.channel.count("stale-answer");
+        };
+        // The source has restarted meanwhile: its hashes and positions do not belong to this resynchronization.
+        if resync.start.incarnation != incarnation {
+            self.channel.count("stale-answer");
+            return self.poll_immediately(now, source);
+        }
+        let seen_last = self.has_seen_last(source, &response.body);
+        let progress = resync.apply(
+            &self.store,
+            &mut self.rng,
+            &response.body,
+            &payload,
+            seen_last,
+        );
+        let Some(progress) = progress else {
+            self.resync = Some(resync);
+            return self.channel.count("stale-answer");
+        };
+        if progress.is_finished {
+            self.channel.count("caught-up");
+            self.states[source].set_cursor(resync.start);
+            return self.poll_immediately(now, source);
+        }
+        if resync.is_stalled(progress) {
+            self.channel.count("given-up");
+            return self.finish_request(now, source);
+        }
+        self.resync = Some(resync);
+        match progress.is_response_complete {
+            true => self.poll_immediately(now, source),
+            // The positions of a resynchronization do not depend on the sequence number.
+            false => self.extend_deadline(now, source, seen_last.then_some(0)),
+        }
+    }
+
+    /// Whether the last datagram of the response has arrived, now or before.
+    fn has_seen_last(&self, source: SourceIndex, body: &ResponseBody) -> bool {
+        let pending = self.states[source].pending_request;
+        pending.is_some_and(|request| request.last_sequence.is_some())
+            || matches!(body, ResponseBody::Entries { last: true, .. })
+    }
+}
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -1,85 +1,88 @@
-//! How what a few control instances know reaches all balancers: a map of versioned entries, pulled by each balancer
-//! from two of them. No socket, clock or random source of its own: bytes, time and a seed come in, bytes and changes
-//! come out, so that thousands of followers run in virtual time. Start reading at [`Follower`].
+//! Pull replication of a versioned key-value map from a few control instances (sources) to all balancers (followers).
+//! Sans-I/O: bytes, the time and a seed come in, [`Output`]s come out, so that thousands of followers run in virtual
+//! time. Start reading at [`Follower`].
 //!
-//! A follower asks each of its two sources once a second what has come since its cursor there. The cursor is of use
-//! at that source and in that run of it alone, so no numbering is shared; the answer is complete by construction.
-//! A cursor that is of no use is replaced by a comparison of hashes, over which only what differs travels. An
-//! entry is taken only over a lower version of its key, whoever brings it: sources need not be trusted to be up to
-//! date, only to be of the cluster.
+//! A follower polls each of its two sources once a second for what has changed since its cursor there. A cursor is
+//! valid only at that source and in that incarnation of it, so sources share no numbering, and a response is complete
+//! by construction. An invalid cursor is replaced by anti-entropy: hash trees are compared, and only entries that
+//! differ are transferred. An entry replaces only a lower version of its key, whichever source sends it: sources need
+//! not be up to date, only be members of the cluster.
 //!
-//! | part | holds |
+//! | module | contents |
 //! | --- | --- |
-//! | [`store`] | the entries, the hash tree over them, a source's log of arrivals |
-//! | [`wire`] | what is said, and what of it is refused |
-//! | [`source`] | a control instance's end: answers, its budget, what is in force where |
-//! | [`follower`] | a balancer's end: cursors, comparisons, silent sources, the age of what it has |
-//! | [`ranking`] | which sources a follower follows |
-//! | [`pace`] | a source's budget and its schedule |
+//! | [`store`] | the versioned entries, the hash tree over them, a source's change log |
+//! | [`messages`] | poll requests and responses, their encoding and validation |
+//! | [`source`] | a control instance's side: responses, their rate limit, propagation of changes |
+//! | [`follower`] | a balancer's side: cursors, resynchronization, failover, staleness |
+//! | [`rate_limiter`] | the generic cell rate algorithm with reservations |
+//! | `source_selection` | which sources a follower polls |
+//! | `channel` | handshakes, sessions, counters and outputs, the same on both sides |
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod channel;
 pub mod follower;
-pub mod pace;
-pub mod ranking;
+pub mod messages;
+pub mod rate_limiter;
 pub mod source;
+mod source_selection;
 pub mod store;
-pub mod wire;
 
-pub use follower::{AskPace, Follower, FollowerSetup, FollowerStatus};
-pub use source::{Limits, Source, SourceSetup, SourceStatus};
+pub use follower::{Follower, FollowerConfig, FollowerStatus, PollSchedule};
+pub use source::{Limits, Source, SourceConfig, SourceStatus};
 pub use spanspur_leases::board::Entry;
-pub use store::Store;
+pub use store::EntryStore;
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Milliseconds on the monotonic clock of this process, which goes on while the process is frozen; or a span.
+/// Milliseconds on this process's monotonic clock, which also advances while the process is suspended; or a duration
+/// in milliseconds.
 pub type Millis = u64;
 
-/// The longest name of an instance, in bytes.
+/// The longest accepted instance name, in bytes.
 pub const MAX_NAME: usize = 128;
 
-/// Where an instance stands.
+/// The topology location of an instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Place {
-    /// Its zone, among those of its region or of all.
+pub struct Location {
+    /// The zone, unique within the region.
     pub zone: u32,
-    /// Its region.
+    /// The region.
     pub region: u32,
 }
 
-/// A source as followers are told of it.
+/// A source as configured at a follower.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SourceAt {
-    /// Its name.
+pub struct SourceEndpoint {
+    /// The instance's name.
     pub name: String,
-    /// Where it takes asks.
+    /// The address at which it accepts poll requests.
     pub address: SocketAddr,
-    /// Where it stands.
-    pub place: Place,
+    /// Its location.
+    pub location: Location,
 }
 
-/// What the driver is to do.
+/// What the driver has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Effect {
-    /// Send a datagram.
+pub enum Output {
+    /// Send this datagram to this address.
     Datagram(SocketAddr, Vec<u8>),
-    /// An entry is new here, or newer than the one before; only at followers.
-    Changed(Entry),
-    /// Something for the log.
-    Notice(Notice),
+    /// An entry was added or replaced by a newer version; only at followers.
+    EntryUpdated(Entry),
+    /// A state change worth a log line.
+    Event(Event),
 }
 
-/// What an operator may want to know of.
+/// A change of a follower's state, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Notice {
-    /// A source does not answer; it is tried again from time to time.
-    Silent(String),
-    /// It answers again.
-    Back(String),
-    /// No source answers any more, or one does again.
-    Dark(bool),
-    /// The first whole comparison or walk is complete.
-    Full,
+pub enum Event {
+    /// The named source stopped responding; it is retried periodically.
+    SourceDisconnected(String),
+    /// The named source responds again.
+    SourceReconnected(String),
+    /// `true`: no source responds any more; `false`: at least one responds again.
+    Disconnected(bool),
+    /// The follower holds everything that a source had, for the first time.
+    Synchronized,
 }
--- /dev/null
+++ b/crates/distribution/src/source/followers.rs
@@ -0,0 +1,149 @@
+//! What a source keeps of its followers.
+
+use super::{MAX_FOLLOWERS, Source};
+use crate::Millis;
+use spanspur_membership::seal::Opened;
+use std::collections::BTreeMap;
+
+/// A follower heard from within this time is reachable: five polls, so that loss alone does not make it unreachable.
+pub const REACHABLE_FOR: Millis = 5000;
+/// A follower that was not heard from for this long is forgotten.
+pub const FORGET_AFTER: Millis = 24 * 3600 * 1000;
+/// The same where the table is nearly full.
+pub const FORGET_AFTER_WHEN_FULL: Millis = 60_000;
+
+/// A slot in the schedule of the rate limiter.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Reservation {
+    pub(super) at: Millis,
+    pub(super) datagrams: u32,
+}
+
+/// What a source keeps of a follower.
+#[derive(Clone, Debug)]
+pub(super) struct FollowerState {
+    /// Its name; empty until a handshake has told it.
+    pub(super) name: String,
+    pub(super) last_heard: Millis,
+    /// This source is the follower's primary one.
+    pub(super) is_primary: bool,
+    /// The last change of this incarnation that it has confirmed.
+    pub(super) confirmed: u64,
+    pub(super) reservation: Option<Reservation>,
+}
+
+impl FollowerState {
+    pub(super) fn is_reachable(&self, now: Millis) -> bool {
+        now < self.last_heard + REACHABLE_FOR
+    }
+}
+
+/// What all reachable followers have confirmed whose primary source this is.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct ConfirmedByAll {
+    /// The last change, `u64::MAX` if there are no such followers.
+    pub(super) sequence: u64,
+    /// The number of these followers.
+    pub(super) followers: usize,
+}
+
+/// The followers of a source, by id.
+#[derive(Clone, Debug)]
+pub(super) struct Followers {
+    max: usize,
+    by_id: BTreeMap<u64, FollowerState>,
+}
+
+impl Followers {
+    pub(super) fn new(max: usize) -> Self {
+        Self {
+            max: max.min(MAX_FOLLOWERS),
+            by_id: BTreeMap::new(),
+        }
+    }
+
+    pub(super) fn len(&self) -> usize {
+        self.by_id.len()
+    }
+
+    pub(super) fn get(&self, id: u64) -> Option<&FollowerState> {
+        self.by_id.get(&id)
+    }
+
+    pub(super) fn get_mut(&mut self, id: u64) -> Option<&mut FollowerState> {
+        self.by_id.get_mut(&id)
+    }
+
+    /// The followers whose primary source this is.
+    pub(super) fn primary(&self) -> impl Iterator<Item = &FollowerState> {
+        self.by_id.values().filter(|follower| follower.is_primary)
+    }
+
+    /// Those of them that are reachable.
+    pub(super) fn reachable_primary(&self, now: Millis) -> impl Iterator<Item = &FollowerState> {
+        self.primary()
+            .filter(move |follower| follower.is_reachable(now))
+    }
+
+    pub(super) fn confirmed_by_all(&self, now: Millis) -> ConfirmedByAll {
+        let none = ConfirmedByAll {
+            sequence: u64::MAX,
+            followers: 0,
+        };
+        self.reachable_primary(now)
+            .fold(none, |all, follower| ConfirmedByAll {
+                sequence: all.sequence.min(follower.confirmed),
+                followers: all.followers + 1,
+            })
+    }
+
+    /// The record of a follower that was just heard from; `None` if there is no space for a new one.
+    fn register(&mut self, now: Millis, id: u64) -> Option<&mut FollowerState> {
+        if !self.by_id.contains_key(&id) && self.by_id.len() >= self.max {
+            return None;
+        }
+        let follower = self.by_id.entry(id).or_insert_with(|| FollowerState {
+            name: String::new(),
+            last_heard: now,
+            is_primary: false,
+            confirmed: 0,
+            reservation: None,
+        });
+        follower.last_heard = now;
+        Some(follower)
+    }
+
+    /// Removes followers that were not heard from for long; returns their ids.
+    pub(super) fn remove_expired(&mut self, now: Millis) -> Vec<u64> {
+        let is_nearly_full = self.by_id.len() > self.max / 8 * 7;
+        let forget_after = match is_nearly_full {
+            true => FORGET_AFTER_WHEN_FULL,
+            false => FORGET_AFTER,
+        };
+        let is_expired = |follower: &FollowerState| now >= follower.last_heard + forget_after;
+        let expired = self
+            .by_id
+            .extract_if(.., |_, follower| is_expired(follower));
+        expired.map(|(id, _)| id).collect()
+    }
+}
+
+impl Source {
+    /// The record of the sender of an authenticated datagram; `None`, and the session dropped, if the table is full.
+    pub(super) fn register_follower(
+        &mut self,
+        now: Millis,
+        opened: &Opened<'_>,
+    ) -> Option<&mut FollowerState> {
+        let Some(follower) = self.followers.register(now, opened.from) else {
+            self.channel.forget(opened.from);
+            self.channel.count("followers-full");
+            return None;
+        };
+        // In a new incarnation it may hold nothing.
+        if opened.fresh {
+            follower.confirmed = 0;
+        }
+        Some(follower)
+    }
+}
--- /dev/null
+++ b/crates/distribution/src/source_selection.rs
@@ -0,0 +1,117 @@
+//! Which sources a follower polls: those of its own zone before those of its region before all others, in each group
+//! by rendezvous score, so that followers are spread evenly and few of them move when the list changes.
+
+use crate::{Location, SourceEndpoint};
+use std::cmp::Ordering;
+
+/// An index into a follower's list of sources.
+pub(crate) type SourceIndex = usize;
+
+/// A configured source and the id under which it seals its datagrams.
+#[derive(Clone, Debug)]
+pub(crate) struct KnownSource {
+    pub(crate) id: u64,
+    pub(crate) endpoint: SourceEndpoint,
+}
+
+/// The part that a source plays for a follower.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Role {
+    /// The source whose status counts this follower.
+    Primary,
+    /// The other source that is polled.
+    Secondary,
+}
+
+impl Role {
+    /// The number of the role in a status; 0 means none.
+    pub(crate) fn number(self) -> u8 {
+        match self {
+            Self::Primary => 1,
+            Self::Secondary => 2,
+        }
+    }
+}
+
+/// The sources that are polled.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(crate) struct Assignment {
+    pub(crate) primary: Option<SourceIndex>,
+    pub(crate) secondary: Option<SourceIndex>,
+}
+
+impl Assignment {
+    pub(crate) fn is_empty(&self) -> bool {
+        self.primary.is_none() && self.secondary.is_none()
+    }
+
+    /// The assigned sources, the primary first.
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (Role, SourceIndex)> + use<> {
+        let primary = self.primary.map(|source| (Role::Primary, source));
+        let secondary = self.secondary.map(|source| (Role::Secondary, source));
+        primary.into_iter().chain(secondary)
+    }
+
+    pub(crate) fn role_of(&self, source: SourceIndex) -> Option<Role> {
+        let mut assigned = self.iter();
+        assigned.find_map(|(role, other)| (other == source).then_some(role))
+    }
+
+    pub(crate) fn contains(&self, source: SourceIndex) -> bool {
+        self.role_of(source).is_some()
+    }
+}
+
+/// The sources in order of preference of the follower with this id and location.
+pub(crate) fn rank_sources(
+    follower: u64,
+    location: Location,
+    sources: &[KnownSource],
+    score: fn(u64, u64) -> f64,
+) -> Vec<SourceIndex> {
+    let mut order: Vec<SourceIndex> = (0..sources.len()).collect();
+    order.sort_by(|a, b| {
+        let (a, b) = (&sources[*a], &sources[*b]);
+        let by_distance = distance(location, a).cmp(&distance(location, b));
+        // The highest score comes first.
+        let by_score = score(follower, b.id).partial_cmp(&score(follower, a.id));
+        let by_name = a.endpoint.name.cmp(&b.endpoint.name);
+        by_distance
+            .then(by_score.unwrap_or(Ordering::Equal))
+            .then(by_name)
+    });
+    order
+}
+
+/// 0 in the same zone, 1 in the same region, 2 otherwise.
+fn distance(from: Location, source: &KnownSource) -> u8 {
+    let to = source.endpoint.location;
+    match to.region == from.region {
+        true if to.zone == from.zone => 0,
+        true => 1,
+        false => 2,
+    }
+}
+
+/// The first two available sources in order of preference, the secondary from another zone than the primary if there
+/// is one.
+pub(crate) fn assign_roles(
+    order: &[SourceIndex],
+    sources: &[KnownSource],
+    is_available: impl Fn(SourceIndex) -> bool,
+) -> Assignment {
+    let mut available = order.iter().copied().filter(|i| is_available(*i));
+    let Some(primary) = available.next() else {
+        return Assignment::default();
+    };
+    let others: Vec<SourceIndex> = available.collect();
+    let location = |source: SourceIndex| sources[source].endpoint.location;
+    let other_zone = others
+        .iter()
+        .copied()
+        .find(|source| location(*source) != location(primary));
+    Assignment {
+        primary: Some(primary),
+        secondary: other_zone.or(others.first().copied()),
+    }
+}
--- a/crates/distribution/tests/bad_datagrams.rs
+++ b/crates/distribution/tests/bad_datagrams.rs
@@ -4,38 +4,40 @@
 use common::*;
 use rand::RngExt;
 use serde::Serialize;
-use spanspur_distribution::store::{MAX_VERSION, Unfit};
-use spanspur_distribution::wire::{self, Answer, Ask, FORM, MARK, MAX_WINDOW, Part, Want};
-use spanspur_distribution::{Entry, Store};
+use spanspur_distribution::messages::{
+    self, FORMAT_VERSION, MAGIC, MAX_WINDOW, PollRequest, PollResponse, Query, ResponseBody,
+};
+use spanspur_distribution::store::{EntryError, MAX_VERSION};
+use spanspur_distribution::{Entry, EntryStore};
 use spanspur_membership::seal::Kind;
 use spanspur_membership::{Key, Keys, Sessions, greet};
 
-fn answer(part: Part) -> Answer {
-    Answer {
+fn answer(part: ResponseBody) -> PollResponse {
+    PollResponse {
         nonce: 1,
-        age: Some(0),
+        data_age: Some(0),
         head: 100,
-        part,
+        body: part,
     }
 }
 
 fn changes() -> Vec<u8> {
-    wire::answer(&answer(Part::Changes {
-        from: 0,
-        to: 100,
+    messages::encode_response(&answer(ResponseBody::Changes {
+        after: 0,
+        up_to: 100,
         last: true,
     }))
 }
 
-fn ask(want: Want) -> Ask {
-    Ask {
+fn ask(want: Query) -> PollRequest {
+    PollRequest {
         nonce: 1,
-        first: true,
-        run: 100,
-        seq: 0,
-        root: 0,
+        is_primary: true,
+        incarnation: 100,
+        sequence: 0,
+        root_hash: 0,
         window: MAX_WINDOW,
-        want,
+        query: want,
     }
 }
 
@@ -63,8 +65,8 @@
         let hello = sessions.answer(100, &body).expect("fits");
         net.cut.insert(source_at(0));
         net.followers[0].receive(net.now, source_at(0), &hello);
-        for effect in net.followers[0].effects() {
-            if let spanspur_distribution::Effect::Datagram(_, bytes) = effect {
+        for effect in net.followers[0].take_outputs() {
+            if let spanspur_distribution::Output::Datagram(_, bytes) = effect {
                 let _ = sessions.open(&bytes);
             }
         }
@@ -86,17 +88,17 @@
 #[test]
 fn what_a_liar_with_the_key_says_is_refused_whole_and_counted() {
     let mut liar = Liar::new(51);
-    let before = liar.net.followers[0].store().root();
+    let before = liar.net.followers[0].store().root_hash();
     let mut absurd = changes();
-    wire::put_entry(&mut absurd, &entry(1, 50));
-    wire::put_entry(&mut absurd, &entry(2, MAX_VERSION + 1));
+    messages::append_entry(&mut absurd, &entry(1, 50));
+    messages::append_entry(&mut absurd, &entry(2, MAX_VERSION + 1));
     let mut zero = changes();
-    wire::put_entry(&mut zero, &entry(1, 50));
-    wire::put_entry(&mut zero, &entry(2, 0));
+    messages::append_entry(&mut zero, &entry(1, 50));
+    messages::append_entry(&mut zero, &entry(2, 0));
     let mut large = changes();
-    wire::put_entry(&mut large, &entry(1, 50));
+    messages::append_entry(&mut large, &entry(1, 50));
     let value = vec![0; 600];
-    wire::put_entry(
+    messages::append_entry(
         &mut large,
         &Entry {
             key: 3,
@@ -106,31 +108,31 @@
     );
     // A row that claims far more bytes than there are.
     let mut claims = changes();
-    wire::put_entry(&mut claims, &entry(1, 50));
+    messages::append_entry(&mut claims, &entry(1, 50));
     put(&mut claims, &([9_u8; 8], 60_u64, u64::MAX));
     let mut cut = changes();
-    wire::put_entry(&mut cut, &entry(1, 50));
-    wire::put_entry(&mut cut, &entry(2, 50));
+    messages::append_entry(&mut cut, &entry(1, 50));
+    messages::append_entry(&mut cut, &entry(2, 50));
     cut.truncate(cut.len() - 1);
     let mut later = changes();
-    wire::put_entry(&mut later, &entry(1, 50));
-    later[1] = FORM + 1;
-    let back = wire::answer(&answer(Part::Changes {
-        from: 50,
-        to: 20,
+    messages::append_entry(&mut later, &entry(1, 50));
+    later[1] = FORMAT_VERSION + 1;
+    let back = messages::encode_response(&answer(ResponseBody::Changes {
+        after: 50,
+        up_to: 20,
         last: true,
     }));
-    let beyond = wire::answer(&answer(Part::Changes {
-        from: 0,
-        to: 101,
+    let beyond = messages::encode_response(&answer(ResponseBody::Changes {
+        after: 0,
+        up_to: 101,
         last: true,
     }));
-    let mut leaves = wire::answer(&answer(Part::Leaves { last: true }));
-    wire::put_leaves(&mut leaves, 64, &[0; 64]);
-    let mut trailing = wire::answer(&answer(Part::Adopt));
+    let mut leaves = messages::encode_response(&answer(ResponseBody::LeafHashes { last: true }));
+    messages::append_leaf_hashes(&mut leaves, 64, &[0; 64]);
+    let mut trailing = messages::encode_response(&answer(ResponseBody::AdoptHead));
     trailing.push(0);
-    let tree = wire::answer(&answer(Part::Tree));
-    let asked = wire::ask(&ask(Want::Changes), &[]);
+    let tree = messages::encode_response(&answer(ResponseBody::BranchHashes));
+    let asked = messages::encode_request(&ask(Query::Changes), &[]);
     let cases = [
         (absurd, "absurd-version"),
         (zero, "absurd-version"),
@@ -146,17 +148,21 @@
         (asked, "other-kind"),
         (vec![0, 1, 2, 3], "other-kind"),
         (Vec::new(), "garbled"),
-        (vec![MARK, FORM, 1], "garbled"),
+        (vec![MAGIC, FORMAT_VERSION, 1], "garbled"),
     ];
     for (n, (body, reason)) in cases.into_iter().enumerate() {
         let counted = liar.counted(reason);
         liar.say(&body);
         assert_eq!(liar.counted(reason), counted + 1, "case {n}: {reason}");
-        assert_eq!(liar.net.followers[0].store().root(), before, "case {n}");
+        assert_eq!(
+            liar.net.followers[0].store().root_hash(),
+            before,
+            "case {n}"
+        );
     }
     // The same ends still understand each other.
     let mut good = changes();
-    wire::put_entry(&mut good, &entry(1, 50));
+    messages::append_entry(&mut good, &entry(1, 50));
     liar.say(&good);
     let held = liar.net.followers[0].store().get(1);
     assert_eq!(held.map(|entry| entry.version), Some(50));
@@ -170,12 +176,12 @@
     let body = postcard::to_stdvec(&identity("liar", follower_at(0), 7)).expect("encoded");
     let hello = sessions.answer(100, &body).expect("fits");
     net.sources[0].receive(net.now, follower_at(0), &hello);
-    for effect in net.sources[0].effects() {
-        if let spanspur_distribution::Effect::Datagram(_, bytes) = effect {
+    for effect in net.sources[0].take_outputs() {
+        if let spanspur_distribution::Output::Datagram(_, bytes) = effect {
             sessions.open(&bytes).expect("an answer");
         }
     }
-    let mut leaves = wire::ask(&ask(Want::Differ { from: 0 }), &[]);
+    let mut leaves = messages::encode_request(&ask(Query::NewerEntries { from: 0 }), &[]);
     put(&mut leaves, &(9_u16, 0_u16));
     let mut twice = leaves.clone();
     put(&mut twice, &(9_u16, 0_u16));
@@ -183,25 +189,28 @@
     put(&mut beyond, &(4096_u16, 0_u16));
     let mut many = leaves.clone();
     put(&mut many, &(10_u16, u16::MAX));
-    let (mut wide, mut none, mut ahead) =
-        (ask(Want::Changes), ask(Want::Changes), ask(Want::Changes));
+    let (mut wide, mut none, mut ahead) = (
+        ask(Query::Changes),
+        ask(Query::Changes),
+        ask(Query::Changes),
+    );
     wide.window = MAX_WINDOW + 1;
     none.window = 0;
-    ahead.seq = 101;
+    ahead.sequence = 101;
     let cases = [
         (twice, "absurd-leaf"),
         (beyond, "absurd-leaf"),
         (many, "garbled"),
-        (wire::ask(&wide, &[]), "absurd-window"),
-        (wire::ask(&none, &[]), "absurd-window"),
-        (wire::ask(&ahead, &[]), "absurd-cursor"),
+        (messages::encode_request(&wide, &[]), "absurd-window"),
+        (messages::encode_request(&none, &[]), "absurd-window"),
+        (messages::encode_request(&ahead, &[]), "absurd-cursor"),
         (changes(), "other-kind"),
     ];
     for (body, reason) in cases {
         let to = greet::id_of("control-0");
         let bytes = sessions.seal(to, Kind::Data, &body).expect("sealed");
         net.sources[0].receive(net.now, follower_at(0), &bytes);
-        let datagrams = net.sources[0].effects();
+        let datagrams = net.sources[0].take_outputs();
         assert!(net.sources[0].counters()[reason] >= 1, "{reason}");
         assert!(datagrams.is_empty(), "{reason}: answered");
     }
@@ -228,7 +237,7 @@
         net.run(5000);
         let tape = net.tape.take().expect("kept");
         let (store, acked) = (
-            net.followers[0].store().root(),
+            net.followers[0].store().root_hash(),
             net.sources[0].status(net.now),
         );
         let mut tries = 0_u64;
@@ -264,7 +273,7 @@
             .sum();
         println!("seed {seed}: {refused} of {tries} refused before they were read");
         assert!(refused * 10 > tries * 9);
-        assert_eq!(net.followers[0].store().root(), store);
+        assert_eq!(net.followers[0].store().root_hash(), store);
         assert_eq!(net.sources[0].status(net.now).followers, acked.followers);
         net.run(3000);
         assert!(net.same(0, 0));
@@ -280,7 +289,7 @@
     for seed in 540..544 {
         let mut liar = Liar::new(seed);
         let mut good = changes();
-        wire::put_entry(&mut good, &entry(1, 50));
+        messages::append_entry(&mut good, &entry(1, 50));
         for _ in 0..5000 {
             let rng = &mut liar.net.rng;
             let mut body = good.clone();
@@ -290,8 +299,8 @@
             }
             body.truncate(rng.random_range(0..=body.len()));
             liar.say(&body);
-            let _ = liar.net.followers[0].effects();
-            let asked = wire::read_ask(&body);
+            let _ = liar.net.followers[0].take_outputs();
+            let asked = messages::decode_request(&body);
             assert!(asked.is_err() || body[2] == 0);
         }
         for entry in liar.net.followers[0].store().iter() {
@@ -302,7 +311,7 @@
 
 #[test]
 fn a_store_is_bounded_and_says_why() {
-    let mut store = Store::default();
+    let mut store = EntryStore::default();
     let large = |key, version| Entry {
         key,
         version,
@@ -310,11 +319,18 @@
     };
     let room = (16 << 20) / 512;
     for key in 0..room {
-        assert_eq!(store.take(&large(key, 1)), Ok(true));
+        assert_eq!(store.insert_if_newer(&large(key, 1)), Ok(true));
     }
-    assert_eq!(store.take(&large(room, 1)), Err(Unfit::Full));
-    assert_eq!(store.take(&large(3, 2)), Ok(true), "in place of the older");
-    let mut small = Store::default();
+    assert_eq!(
+        store.insert_if_newer(&large(room, 1)),
+        Err(EntryError::StoreFull)
+    );
+    assert_eq!(
+        store.insert_if_newer(&large(3, 2)),
+        Ok(true),
+        "in place of the older"
+    );
+    let mut small = EntryStore::default();
     for key in 0..65_536 {
         let value = Vec::new();
         let entry = Entry {
@@ -322,10 +338,19 @@
             version: 1,
             value,
         };
-        assert_eq!(small.take(&entry), Ok(true));
+        assert_eq!(small.insert_if_newer(&entry), Ok(true));
     }
-    assert_eq!(small.take(&entry(70_000, 1)), Err(Unfit::Full));
-    assert_eq!(small.take(&entry(1, 0)), Err(Unfit::Version));
-    assert_eq!(small.take(&entry(1, MAX_VERSION + 1)), Err(Unfit::Version));
+    assert_eq!(
+        small.insert_if_newer(&entry(70_000, 1)),
+        Err(EntryError::StoreFull)
+    );
+    assert_eq!(
+        small.insert_if_newer(&entry(1, 0)),
+        Err(EntryError::InvalidVersion)
+    );
+    assert_eq!(
+        small.insert_if_newer(&entry(1, MAX_VERSION + 1)),
+        Err(EntryError::InvalidVersion)
+    );
     assert_eq!(small.len(), 65_536);
 }
--- a/crates/distribution/tests/budget.rs
+++ b/crates/distribution/tests/budget.rs
@@ -2,9 +2,9 @@
 
 mod common;
 use common::*;
-use spanspur_distribution::pace::{Pace, SLOT_KEPT};
-use spanspur_distribution::wire::{self, Ask, MAX_WINDOW, Part, Want};
-use spanspur_distribution::{Effect, Limits};
+use spanspur_distribution::messages::{self, MAX_WINDOW, PollRequest, Query, ResponseBody};
+use spanspur_distribution::rate_limiter::{RESERVATION_TOLERANCE, RateLimiter};
+use spanspur_distribution::{Limits, Output};
 use spanspur_membership::seal::Kind;
 use spanspur_membership::{Sessions, greet};
 
@@ -14,7 +14,7 @@
 fn a_crowd_is_paced_first_come_first_served_and_nobody_starves() {
     let mut net = Net::new(31, &[HERE]);
     net.limits = Limits {
-        pieces_per_second: 200,
+        datagrams_per_second: 200,
         burst: 20,
         ..Limits::default()
     };
@@ -28,7 +28,7 @@
     while full.contains(&None) && net.now < start + 60_000 {
         net.run(50);
         for (i, full) in full.iter_mut().enumerate() {
-            if full.is_none() && net.followers[i].full() {
+            if full.is_none() && net.followers[i].is_synchronized() {
                 *full = Some(net.now - start);
             }
         }
@@ -44,12 +44,12 @@
     let times: Vec<u64> = net.pieces.iter().map(|(at, _)| *at).collect();
     for (n, at) in times.iter().enumerate() {
         let within = times[n..].iter().take_while(|t| **t < at + 1000).count() as u64;
-        let most = 200 * (1000 + 2 * SLOT_KEPT) / 1000 + 20;
+        let most = 200 * (1000 + 2 * RESERVATION_TOLERANCE) / 1000 + 20;
         assert!(within <= most, "{within} pieces in a second, {most} stated");
     }
     // Over all of it the rate itself holds, but for the burst.
     let span = times[times.len() - 1] - times[0];
-    assert!(times.len() as u64 <= 200 * (span + 2 * SLOT_KEPT) / 1000 + 20);
+    assert!(times.len() as u64 <= 200 * (span + 2 * RESERVATION_TOLERANCE) / 1000 + 20);
     assert_eq!(net.backwards(), 0);
 }
 
@@ -57,7 +57,7 @@
 #[test]
 fn a_change_reaches_a_follower_among_a_crowd_that_loads() {
     let mut net = Net::new(32, &[HERE]);
-    net.limits.pieces_per_second = 400;
+    net.limits.datagrams_per_second = 400;
     net.limits.burst = 40;
     net.restart_source(0, 150);
     net.publish_all(&entries(0..2000, 10));
@@ -68,7 +68,10 @@
         net.follow(HERE);
     }
     net.run(2000);
-    assert!(net.sources[0].status(net.now).ahead > 0, "not busy at all");
+    assert!(
+        net.sources[0].status(net.now).backlog > 0,
+        "not busy at all"
+    );
     net.publish_all(&[entry(1, 11)]);
     let start = net.now;
     while net.seen[one].versions[&1] < 11 && net.now < start + 20_000 {
@@ -82,26 +85,26 @@
 
 #[test]
 fn a_schedule_keeps_its_rate_and_its_order() {
-    let mut pace = Pace::new(0, 100, 10);
-    assert_eq!(pace.take(0, 50), 10, "the burst");
-    assert_eq!(pace.take(0, 1), 0);
-    let places: Vec<u64> = (0..5).map(|_| pace.reserve(0, 8)).collect();
+    let mut limiter = RateLimiter::new(0, 100, 10);
+    assert_eq!(limiter.acquire(0, 50), 10, "the burst");
+    assert_eq!(limiter.acquire(0, 1), 0);
+    let places: Vec<u64> = (0..5).map(|_| limiter.reserve(0, 8)).collect();
     assert_eq!(places, [0, 80, 160, 240, 320]);
-    assert_eq!(pace.ahead(0), 400);
-    assert_eq!(pace.take(399, 8), 0, "nobody goes before who waits");
-    assert_eq!(pace.take(450, 8), 5);
+    assert_eq!(limiter.backlog(0), 400);
+    assert_eq!(limiter.acquire(399, 8), 0, "nobody goes before who waits");
+    assert_eq!(limiter.acquire(450, 8), 5);
     // After a long pause there is the burst again, and no more.
-    assert_eq!(pace.take(1_000_000, 50), 10);
+    assert_eq!(limiter.acquire(1_000_000, 50), 10);
 }
 
 /// One that asks and never reads, under many names: each costs one answer's window, then one small datagram.
 #[test]
 fn who_never_answers_costs_a_bounded_amount() {
     let mut net = Net::new(33, &[HERE]);
-    net.limits.pieces_per_second = 100;
+    net.limits.datagrams_per_second = 100;
     net.limits.burst = 16;
-    net.limits.asks_per_second = 50;
-    net.limits.greetings_per_second = 20;
+    net.limits.requests_per_second = 50;
+    net.limits.handshakes_per_second = 20;
     net.limits.max_followers = 30;
     net.restart_source(0, 150);
     net.publish_all(&entries(0..2000, 10));
@@ -117,33 +120,35 @@
             let hello = sessions.answer(150, &body).expect("fits");
             net.sources[0].receive(net.now, follower_at(n), &greeting);
             net.sources[0].receive(net.now, follower_at(n), &hello);
-            for effect in net.sources[0].effects() {
-                if let Effect::Datagram(_, datagram) = effect {
+            for effect in net.sources[0].take_outputs() {
+                if let Output::Datagram(_, datagram) = effect {
                     let _ = sessions.open(&datagram);
                     bytes += datagram.len();
                 }
             }
-            let ask = Ask {
+            let ask = PollRequest {
                 nonce: 1,
-                first: true,
-                run: 0,
-                seq: 0,
-                root: 0,
+                is_primary: true,
+                incarnation: 0,
+                sequence: 0,
+                root_hash: 0,
                 window: MAX_WINDOW,
-                want: Want::Range { from: 0 },
+                query: Query::Entries { from: 0 },
             };
             let to = greet::id_of("control-0");
-            let Some(sealed) = sessions.seal(to, Kind::Data, &wire::ask(&ask, &[])) else {
+            let Some(sealed) = sessions.seal(to, Kind::Data, &messages::encode_request(&ask, &[]))
+            else {
                 continue;
             };
             net.sources[0].receive(net.now, follower_at(n), &sealed);
-            for effect in net.sources[0].effects() {
-                if let Effect::Datagram(_, datagram) = effect {
+            for effect in net.sources[0].take_outputs() {
+                if let Output::Datagram(_, datagram) = effect {
                     bytes += datagram.len();
                     if let Ok(opened) = sessions.open(&datagram)
-                        && let Ok((answer, _)) = wire::read_answer(opened.body)
+                        && let Ok((answer, _)) = messages::decode_response(opened.body)
                     {
-                        later += usize::from(matches!(answer.part, Part::Later { .. }));
+                        later +=
+                            usize::from(matches!(answer.body, ResponseBody::RetryAfter { .. }));
                     }
                 }
             }
@@ -166,7 +171,7 @@
 #[test]
 fn asks_above_their_rate_are_dropped_and_counted() {
     let mut net = Net::new(34, &[HERE]);
-    net.limits.asks_per_second = 5;
+    net.limits.requests_per_second = 5;
     net.restart_source(0, 150);
     net.publish_all(&entries(0..10, 10));
     for _ in 0..20 {
--- a/crates/distribution/tests/claims.rs
+++ b/crates/distribution/tests/claims.rs
@@ -1,6 +1,6 @@
 //! Versions as the claims of today give them are believed, and those beyond are not.
 
-use spanspur_distribution::store::{MAX_VERSION, Store, Unfit};
+use spanspur_distribution::store::{EntryError, EntryStore, MAX_VERSION};
 use spanspur_leases::board::Entry;
 use spanspur_leases::division::Ranking;
 use spanspur_leases::instance::Settings;
@@ -44,12 +44,19 @@
             version,
             value: vec![1],
         };
-        let mut store = Store::default();
-        assert_eq!(store.take(&entry), Ok(true), "version {version:x}");
+        let mut store = EntryStore::default();
+        assert_eq!(
+            store.insert_if_newer(&entry),
+            Ok(true),
+            "version {version:x}"
+        );
         let absurd = Entry {
             version: MAX_VERSION + 1,
             ..entry
         };
-        assert_eq!(store.take(&absurd), Err(Unfit::Version));
+        assert_eq!(
+            store.insert_if_newer(&absurd),
+            Err(EntryError::InvalidVersion)
+        );
     }
 }
--- a/crates/distribution/tests/common/mod.rs
+++ b/crates/distribution/tests/common/mod.rs
@@ -5,8 +5,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use spanspur_distribution::{
-    AskPace, Effect, Entry, Follower, FollowerSetup, Limits, Millis, Notice, Place, Source,
-    SourceAt, SourceSetup,
+    Entry, Event, Follower, FollowerConfig, Limits, Location, Millis, Output, PollSchedule, Source,
+    SourceConfig, SourceEndpoint,
 };
 use spanspur_membership::{Identity, Key, Keys};
 use std::collections::{BTreeMap, BTreeSet};
@@ -65,7 +65,7 @@
     pub versions: BTreeMap<u64, u64>,
     /// Versions that went back.
     pub backwards: u64,
-    pub notices: Vec<(Millis, Notice)>,
+    pub events: Vec<(Millis, Event)>,
 }
 
 impl Seen {
@@ -85,7 +85,7 @@
     pub followers: Vec<Follower>,
     pub seen: Vec<Seen>,
     pub limits: Limits,
-    pub places: Vec<Place>,
+    pub places: Vec<Location>,
     /// One way, and the chance that a datagram is lost, or comes twice.
     pub delay: Millis,
     pub jitter: Millis,
@@ -107,7 +107,7 @@
 }
 
 impl Net {
-    pub fn new(seed: u64, places: &[Place]) -> Self {
+    pub fn new(seed: u64, places: &[Location]) -> Self {
         println!("seed {seed}");
         let mut net = Self {
             now: 1000,
@@ -139,8 +139,8 @@
 
     /// A source that has just started, in this run.
     pub fn fresh_source(&self, i: usize, boot: u64) -> Source {
-        let setup = SourceSetup {
-            me: identity(&format!("control-{i}"), source_at(i), boot),
+        let setup = SourceConfig {
+            identity: identity(&format!("control-{i}"), source_at(i), boot),
             keys: keys(),
             limits: self.limits,
             seed: boot,
@@ -152,26 +152,26 @@
         self.sources[i] = self.fresh_source(i, boot);
     }
 
-    pub fn fresh_follower(&mut self, i: usize, place: Place, boot: u64) -> Follower {
-        let at = |(i, place): (usize, &Place)| SourceAt {
+    pub fn fresh_follower(&mut self, i: usize, place: Location, boot: u64) -> Follower {
+        let at = |(i, place): (usize, &Location)| SourceEndpoint {
             name: format!("control-{i}"),
             address: source_at(i),
-            place: *place,
+            location: *place,
         };
-        let setup = FollowerSetup {
-            me: identity(&format!("balancer-{i}"), follower_at(i), boot),
-            place,
+        let setup = FollowerConfig {
+            identity: identity(&format!("balancer-{i}"), follower_at(i), boot),
+            location: place,
             sources: self.places.iter().enumerate().map(at).collect(),
             keys: keys(),
             score,
-            pace: AskPace::default(),
+            schedule: PollSchedule::default(),
             seed: self.rng.random(),
         };
         Follower::new(self.now, setup)
     }
 
     /// One more follower; its number.
-    pub fn follow(&mut self, place: Place) -> usize {
+    pub fn follow(&mut self, place: Location) -> usize {
         let i = self.followers.len();
         let follower = self.fresh_follower(i, place, 100);
         self.followers.push(follower);
@@ -181,7 +181,7 @@
 
     pub fn publish(&mut self, source: usize, entries: &[Entry]) {
         self.sources[source].publish(self.now, entries);
-        self.sources[source].heard(self.now);
+        self.sources[source].confirm_complete(self.now);
     }
 
     pub fn publish_all(&mut self, entries: &[Entry]) {
@@ -212,20 +212,20 @@
 
     fn settle(&mut self) {
         for i in 0..self.sources.len() {
-            for effect in self.sources[i].effects() {
-                if let Effect::Datagram(to, bytes) = effect {
+            for effect in self.sources[i].take_outputs() {
+                if let Output::Datagram(to, bytes) = effect {
                     self.send(source_at(i), to, bytes);
                 }
             }
         }
         for i in 0..self.followers.len() {
-            for effect in self.followers[i].effects() {
+            for effect in self.followers[i].take_outputs() {
                 match effect {
-                    Effect::Datagram(to, bytes) => self.send(follower_at(i), to, bytes),
-                    Effect::Changed(entry) => {
+                    Output::Datagram(to, bytes) => self.send(follower_at(i), to, bytes),
+                    Output::EntryUpdated(entry) => {
                         self.seen[i].changed(&entry);
                     }
-                    Effect::Notice(notice) => self.seen[i].notices.push((self.now, notice)),
+                    Output::Event(event) => self.seen[i].events.push((self.now, event)),
                 }
             }
         }
@@ -255,7 +255,7 @@
             }
             self.now = self.now.max(next);
             for i in &self.fresh {
-                self.sources[*i].heard(self.now);
+                self.sources[*i].confirm_complete(self.now);
             }
             if let Some(key) = coming.filter(|(at, _)| *at <= self.now) {
                 let (from, to, bytes) = self.queue.remove(&key).expect("queued");
@@ -280,7 +280,7 @@
         }
         self.now = end;
         for i in &self.fresh {
-            self.sources[*i].heard(self.now);
+            self.sources[*i].confirm_complete(self.now);
         }
     }
 
@@ -311,10 +311,10 @@
             self.followers[follower].store(),
             self.sources[source].store(),
         );
-        ours.root() == theirs.root() && ours.iter().eq(theirs.iter())
+        ours.root_hash() == theirs.root_hash() && ours.iter().eq(theirs.iter())
     }
 }
 
-pub const HERE: Place = Place { zone: 1, region: 1 };
-pub const NEAR: Place = Place { zone: 2, region: 1 };
-pub const FAR: Place = Place { zone: 3, region: 2 };
+pub const HERE: Location = Location { zone: 1, region: 1 };
+pub const NEAR: Location = Location { zone: 2, region: 1 };
+pub const FAR: Location = Location { zone: 3, region: 2 };
--- a/crates/distribution/tests/cursors.rs
+++ b/crates/distribution/tests/cursors.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::*;
 use rand::seq::SliceRandom;
-use spanspur_distribution::wire::{self, Part, Want};
+use spanspur_distribution::messages::{self, Query, ResponseBody};
 
 /// Bytes that both ends sent, as sealed datagrams.
 fn bytes(net: &Net) -> u64 {
@@ -41,7 +41,7 @@
 #[test]
 fn over_a_cursor_too_old_only_what_differs_travels() {
     let mut net = Net::new(22, &[HERE, NEAR]);
-    net.limits.kept_changes = 100;
+    net.limits.change_log_capacity = 100;
     for i in 0..2 {
         net.restart_source(i, 150);
     }
@@ -68,7 +68,7 @@
     assert!(net.same(one, 0), "not within 12 s");
     net.run(3000);
     let spent = bytes(&net) - start;
-    let wanted: usize = changed.iter().map(wire::row_size).sum();
+    let wanted: usize = changed.iter().map(messages::entry_row_size).sum();
     println!(
         "{took} ms, {spent} bytes for 240 rows of {wanted} bytes, {all} for all 5,000 at first"
     );
@@ -191,38 +191,38 @@
 fn heads_fit() {
     let most = u64::MAX;
     let parts = [
-        Part::Changes {
-            from: most,
-            to: most,
+        ResponseBody::Changes {
+            after: most,
+            up_to: most,
             last: true,
         },
-        Part::Walk {
+        ResponseBody::Entries {
             from: most,
             next: Some(most),
             last: true,
         },
     ];
     for part in parts {
-        let answer = wire::Answer {
+        let answer = messages::PollResponse {
             nonce: u32::MAX,
-            age: Some(most),
+            data_age: Some(most),
             head: most,
-            part,
+            body: part,
         };
-        assert!(wire::answer(&answer).len() <= wire::HEAD);
+        assert!(messages::encode_response(&answer).len() <= messages::MAX_HEADER);
     }
-    let want = Want::Leaves {
+    let want = Query::LeafHashes {
         branches: most,
         salt: u32::MAX,
     };
-    let ask = wire::Ask {
+    let ask = messages::PollRequest {
         nonce: u32::MAX,
-        first: true,
-        run: most,
-        seq: most,
-        root: most,
-        window: wire::MAX_WINDOW,
-        want,
+        is_primary: true,
+        incarnation: most,
+        sequence: most,
+        root_hash: most,
+        window: messages::MAX_WINDOW,
+        query: want,
     };
-    assert!(wire::ask(&ask, &[]).len() <= wire::HEAD);
+    assert!(messages::encode_request(&ask, &[]).len() <= messages::MAX_HEADER);
 }
--- a/crates/distribution/tests/dark.rs
+++ b/crates/distribution/tests/dark.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use spanspur_distribution::Notice;
+use spanspur_distribution::Event;
 
 #[test]
 fn in_the_dark_the_state_is_kept_and_its_age_grows() {
@@ -10,33 +10,33 @@
     net.publish_all(&entries(0..200, 10));
     let one = net.follow(HERE);
     net.run(4000);
-    let root = net.followers[one].store().root();
-    let age = net.followers[one].age(net.now).expect("heard");
+    let root = net.followers[one].store().root_hash();
+    let age = net.followers[one].data_age(net.now).expect("heard");
     assert!(age < 1200);
     net.cut.insert(follower_at(one));
     let (start, sent) = (net.now, net.sent[&follower_at(one)].1);
     net.run(3_600_000);
     let follower = &net.followers[one];
-    assert_eq!(follower.store().root(), root);
-    let later = follower.age(net.now).expect("heard");
+    assert_eq!(follower.store().root_hash(), root);
+    let later = follower.data_age(net.now).expect("heard");
     assert!((3_600_000..3_601_500).contains(&later), "{later}");
-    assert!(follower.status(net.now).dark);
+    assert!(follower.status(net.now).disconnected);
     // Each source is tried again once in 5 to 7.5 s, no more.
     let tried = net.sent[&follower_at(one)].1 - sent;
     println!("{tried} datagrams in an hour of darkness");
     assert!(tried < 2 * 3600 / 5 + 20, "{tried}");
     net.cut.clear();
     let healed = net.now;
-    while net.followers[one].status(net.now).dark && net.now < healed + 12_000 {
+    while net.followers[one].status(net.now).disconnected && net.now < healed + 12_000 {
         net.run(50);
     }
     println!("light after {} ms", net.now - healed);
     assert!(net.now - healed < 8500);
     net.run(1500);
-    assert!(net.followers[one].age(net.now).expect("heard") < 1600);
-    let dark: Vec<bool> = (net.seen[one].notices.iter())
-        .filter_map(|(_, notice)| match notice {
-            Notice::Dark(yes) => Some(*yes),
+    assert!(net.followers[one].data_age(net.now).expect("heard") < 1600);
+    let dark: Vec<bool> = (net.seen[one].events.iter())
+        .filter_map(|(_, event)| match event {
+            Event::Disconnected(yes) => Some(*yes),
             _ => None,
         })
         .collect();
@@ -66,11 +66,11 @@
     assert_eq!(roles(&net), [1, 2, 0]);
     // The one that stood in is told: it does not hold the follower for one in the dark.
     net.run(10_000);
-    assert_eq!(net.sources[1].status(net.now).dark, 0);
-    assert_eq!(net.sources[0].status(net.now).first, 1);
-    let names: Vec<&Notice> = net.seen[one].notices.iter().map(|(_, n)| n).collect();
-    assert!(names.contains(&&Notice::Silent("control-0".into())));
-    assert!(names.contains(&&Notice::Back("control-0".into())));
+    assert_eq!(net.sources[1].status(net.now).disconnected, 0);
+    assert_eq!(net.sources[0].status(net.now).primary_followers, 1);
+    let names: Vec<&Event> = net.seen[one].events.iter().map(|(_, n)| n).collect();
+    assert!(names.contains(&&Event::SourceDisconnected("control-0".into())));
+    assert!(names.contains(&&Event::SourceReconnected("control-0".into())));
 }
 
 #[test]
@@ -86,13 +86,13 @@
     net.run(1200);
     assert_eq!(net.seen[one].versions[&1], 11);
     let status = net.followers[one].status(net.now);
-    assert!(status.sources[0].age.expect("heard") >= 60_000);
-    assert!(net.followers[one].age(net.now).expect("heard") < 1200);
+    assert!(status.sources[0].data_age.expect("heard") >= 60_000);
+    assert!(net.followers[one].data_age(net.now).expect("heard") < 1200);
     // Only the one behind is left: the age goes on from what the other last gave.
     net.cut.insert(source_at(1));
     let cut = net.now;
     net.run(30_000);
-    let age = net.followers[one].age(net.now).expect("heard");
+    let age = net.followers[one].data_age(net.now).expect("heard");
     let span = net.now - cut;
     assert!((span..span + 1200).contains(&age), "{age} after {span}");
 }
@@ -108,11 +108,11 @@
     let one = net.follow(HERE);
     net.run(5000);
     assert!(net.same(one, 0));
-    assert!(!net.followers[one].full());
-    assert_eq!(net.followers[one].age(net.now), None);
+    assert!(!net.followers[one].is_synchronized());
+    assert_eq!(net.followers[one].data_age(net.now), None);
     net.fresh.insert(0);
     net.run(1500);
-    assert!(net.followers[one].full());
+    assert!(net.followers[one].is_synchronized());
 }
 
 /// Where each answer takes longer than it is waited for at first, it is waited for longer.
@@ -124,5 +124,5 @@
     let one = net.follow(HERE);
     net.run(60_000);
     assert!(net.same(one, 0), "{:?}", net.followers[one].status(net.now));
-    assert!(net.followers[one].age(net.now).expect("heard") < 5000);
+    assert!(net.followers[one].data_age(net.now).expect("heard") < 5000);
 }
--- a/crates/distribution/tests/in_force.rs
+++ b/crates/distribution/tests/in_force.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use spanspur_distribution::source::{LAG_AFTER, REACHABLE, TRACK_EVERY};
+use spanspur_distribution::source::{LAG_THRESHOLD, REACHABLE_FOR, TRACKING_INTERVAL};
 
 #[test]
 fn in_force_lagging_and_dark_are_told_apart() {
@@ -14,44 +14,51 @@
     net.run(10_000);
     let status = net.sources[0].status(net.now);
     assert!(status.settled);
-    assert_eq!((status.followers, status.first), (10, 10));
-    assert_eq!((status.lagging, status.dark), (0, 0));
+    assert_eq!((status.followers, status.primary_followers), (10, 10));
+    assert_eq!((status.lagging, status.disconnected), (0, 0));
     // All reachable: in force once each has asked again after it had it.
     net.publish_all(&[entry(1, 11)]);
     net.run(2500);
     let change = net.sources[0].status(net.now).changes[0].clone();
-    let after = change.after.expect("in force");
-    println!("in force after {after} ms of {}", change.of);
-    assert_eq!((change.key, change.version, change.of), (1, 11, 10));
-    assert!(after <= 2000 + 2 * TRACK_EVERY, "{after}");
+    let after = change.propagated_after.expect("in force");
+    println!("in force after {after} ms of {}", change.followers);
+    assert_eq!((change.key, change.version, change.followers), (1, 11, 10));
+    assert!(after <= 2000 + 2 * TRACKING_INTERVAL, "{after}");
     // One is cut off: first it lags, then it is dark, and the change is in force at the others.
     net.cut.insert(follower_at(3));
     net.publish_all(&[entry(2, 12)]);
-    net.run(LAG_AFTER + 500);
+    net.run(LAG_THRESHOLD + 500);
     let status = net.sources[0].status(net.now);
     let names: Vec<&str> = status
-        .laggards
+        .lagging_followers
         .iter()
         .map(|who| who.name.as_str())
         .collect();
     assert_eq!((status.lagging, names), (1, vec!["balancer-3"]));
-    assert_eq!(status.changes[0].after, None);
-    net.run(REACHABLE);
+    assert_eq!(status.changes[0].propagated_after, None);
+    net.run(REACHABLE_FOR);
     let status = net.sources[0].status(net.now);
     let names: Vec<&str> = status
-        .darkened
+        .disconnected_followers
         .iter()
         .map(|who| who.name.as_str())
         .collect();
-    assert_eq!((status.dark, names), (1, vec!["balancer-3"]));
-    assert_eq!((status.lagging, status.first), (0, 9));
-    assert_eq!(status.changes[0].of, 9);
-    assert!(status.changes[0].after.is_some());
+    assert_eq!((status.disconnected, names), (1, vec!["balancer-3"]));
+    assert_eq!((status.lagging, status.primary_followers), (0, 9));
+    assert_eq!(status.changes[0].followers, 9);
+    assert!(status.changes[0].propagated_after.is_some());
     // Back, it has it too.
     net.cut.clear();
     net.run(10_000);
     let status = net.sources[0].status(net.now);
-    assert_eq!((status.dark, status.lagging, status.first), (0, 0, 10));
+    assert_eq!(
+        (
+            status.disconnected,
+            status.lagging,
+            status.primary_followers
+        ),
+        (0, 0, 10)
+    );
     assert!(net.same(3, 0));
 }
 
@@ -60,7 +67,7 @@
 fn a_follower_started_anew_has_confirmed_nothing() {
     let mut net = Net::new(62, &[HERE]);
     // 167 pieces of 12 rows at 20 a second: a walk takes eight seconds.
-    (net.limits.pieces_per_second, net.limits.burst) = (20, 8);
+    (net.limits.datagrams_per_second, net.limits.burst) = (20, 8);
     net.restart_source(0, 150);
     net.publish_all(&entries(0..2000, 10));
     net.follow(HERE);
@@ -91,8 +98,8 @@
     });
     net.run(10_000);
     let status = net.sources[0].status(net.now);
-    assert_eq!(status.dark, 100);
-    assert_eq!(status.darkened.len(), 64);
+    assert_eq!(status.disconnected, 100);
+    assert_eq!(status.disconnected_followers.len(), 64);
     for version in 11..400 {
         net.publish_all(&[entry(1, version)]);
     }
--- a/crates/distribution/tests/sizes.rs
+++ b/crates/distribution/tests/sizes.rs
@@ -79,7 +79,7 @@
             let body = postcard::to_stdvec(&me).expect("encoded");
             let hello = sessions.answer(100, &body).expect("fits");
             source.receive(net.now, follower_at(100 + i), &hello);
-            drop(source.effects());
+            drop(source.take_outputs());
             made.push(i);
         }
         drop(made);
--- a/crates/distribution/tests/spread.rs
+++ b/crates/distribution/tests/spread.rs
@@ -14,8 +14,8 @@
     println!("{:?}", net.sources[0].counters());
     println!("{:?}", net.sources[1].counters());
     assert!(net.same(one, 0), "{:?}", follower.status(net.now));
-    assert!(follower.full());
-    assert!(follower.age(net.now).expect("heard") < 1100);
+    assert!(follower.is_synchronized());
+    assert!(follower.data_age(net.now).expect("heard") < 1100);
     net.publish_all(&[entry(7, 11)]);
     net.run(1100);
     assert!(net.same(one, 0));
--- a/crates/distribution/tests/versions.rs
+++ b/crates/distribution/tests/versions.rs
@@ -76,7 +76,7 @@
     assert_eq!(net.followers[one].status(net.now).sources[0].role, 1);
     assert_eq!(net.backwards(), 0);
     // Its old knowledge does not make the follower's age, which comes from the second source.
-    let age = net.followers[one].age(net.now).expect("heard");
+    let age = net.followers[one].data_age(net.now).expect("heard");
     assert!(age < 1200, "{age}");
 }
 
--- a/crates/distribution/tests/wire_fixtures.rs
+++ b/crates/distribution/tests/wire_fixtures.rs
@@ -7,11 +7,16 @@
 mod wire_fixtures;
 
 use common::*;
-use spanspur_distribution::follower::LinkStatus;
-use spanspur_distribution::source::{Behind, InForce};
-use spanspur_distribution::store::{self, Log, MAX_VERSION, Unfit};
-use spanspur_distribution::wire::{self, Answer, Ask, Held, MAX_WINDOW, Part, Rows, Want};
-use spanspur_distribution::{Entry, FollowerStatus, Limits, Notice, Place, SourceStatus, Store};
+use spanspur_distribution::follower::FollowedSourceStatus;
+use spanspur_distribution::messages::{
+    self, EntryVersion, LeafHashes, LeafVersions, MAX_WINDOW, Payload, PollRequest, PollResponse,
+    Query, ResponseBody,
+};
+use spanspur_distribution::source::{ChangeStatus, FollowerDelay};
+use spanspur_distribution::store::{self, ChangeLog, EntryError, MAX_VERSION};
+use spanspur_distribution::{
+    Entry, EntryStore, Event, FollowerStatus, Limits, Location, SourceStatus,
+};
 use spanspur_leases::board::MAX_VALUE;
 use spanspur_membership::seal::Kind;
 use std::collections::BTreeSet;
@@ -32,36 +37,37 @@
     postcard::to_stdvec(value).expect("encodes")
 }
 
-fn wants() -> Vec<(&'static str, Want)> {
+fn wants() -> Vec<(&'static str, Query)> {
     vec![
-        ("changes", Want::Changes),
-        ("tree", Want::Tree),
+        ("changes", Query::Changes),
+        ("tree", Query::BranchHashes),
         (
             "leaves-small",
-            Want::Leaves {
+            Query::LeafHashes {
                 branches: 1,
                 salt: 2,
             },
         ),
         (
             "leaves-large",
-            Want::Leaves {
+            Query::LeafHashes {
                 branches: u64::MAX,
                 salt: u32::MAX - 1,
             },
         ),
-        ("range-small", Want::Range { from: 0 }),
-        ("range-large", Want::Range { from: u64::MAX }),
-        ("differ-small", Want::Differ { from: 127 }),
-        ("differ-large", Want::Differ { from: u64::MAX - 1 }),
-        ("leave", Want::Leave),
+        ("range-small", Query::Entries { from: 0 }),
+        ("range-large", Query::Entries { from: u64::MAX }),
+        ("differ-small", Query::NewerEntries { from: 127 }),
+        ("differ-large", Query::NewerEntries { from: u64::MAX - 1 }),
+        ("leave", Query::Unsubscribe),
     ]
 }
 
-fn held_rows() -> Vec<Held> {
-    let held = |leaf, rows: &[(u64, u64)]| Held {
+fn held_rows() -> Vec<LeafVersions> {
+    let version = |&(key, version): &(u64, u64)| EntryVersion { key, version };
+    let held = |leaf, rows: &[(u64, u64)]| LeafVersions {
         leaf,
-        rows: rows.to_vec(),
+        versions: rows.iter().map(version).collect(),
     };
     vec![
         held(0, &[]),
@@ -72,41 +78,45 @@
 
 #[test]
 fn each_ask_keeps_its_bytes() {
-    let mut asks: Vec<(String, Ask, Vec<Held>)> = Vec::new();
+    let mut asks: Vec<(String, PollRequest, Vec<LeafVersions>)> = Vec::new();
     for (name, want) in wants() {
         let held = match want {
-            Want::Differ { .. } => held_rows(),
+            Query::NewerEntries { .. } => held_rows(),
             _ => Vec::new(),
         };
-        let small = Ask {
+        let small = PollRequest {
             nonce: 1,
-            first: false,
-            run: 2,
-            seq: 3,
-            root: 4,
+            is_primary: false,
+            incarnation: 2,
+            sequence: 3,
+            root_hash: 4,
             window: 5,
-            want: want.clone(),
+            query: want.clone(),
         };
-        let large = Ask {
+        let large = PollRequest {
             nonce: u32::MAX,
-            first: true,
-            run: u64::MAX,
-            seq: u64::MAX - 1,
-            root: u64::MAX - 2,
+            is_primary: true,
+            incarnation: u64::MAX,
+            sequence: u64::MAX - 1,
+            root_hash: u64::MAX - 2,
             window: MAX_WINDOW,
-            want,
+            query: want,
         };
         asks.push((format!("{name}-of-small"), small, Vec::new()));
         asks.push((format!("{name}-of-large"), large, held));
     }
     let records = asks
         .iter()
-        .map(|(name, ask, held)| Record::new(name, wire::ask(ask, held)));
+        .map(|(name, ask, held)| Record::new(name, messages::encode_request(ask, held)));
     let golden = check("asks.txt", records.collect());
     for ((name, ask, held), golden) in asks.iter().zip(golden) {
-        let read = wire::read_ask(&golden.bytes).expect("reads");
+        let read = messages::decode_request(&golden.bytes).expect("reads");
         assert_eq!((&read.0, &read.1), (ask, held), "{name}");
-        assert_eq!(wire::ask(&read.0, &read.1), golden.bytes, "{name}");
+        assert_eq!(
+            messages::encode_request(&read.0, &read.1),
+            golden.bytes,
+            "{name}"
+        );
     }
 }
 
@@ -130,37 +140,62 @@
         .collect()
 }
 
-fn sample_leaves() -> Vec<(u8, Vec<u32>)> {
+fn sample_leaves() -> Vec<LeafHashes> {
     let count = store::LEAVES / store::BRANCHES;
     let leaves = |branch: u8| {
         let hash = |at: usize| xxh3_64(&[branch, at as u8]) as u32;
-        (branch, (0..count).map(hash).collect())
+        LeafHashes {
+            branch,
+            hashes: (0..count).map(hash).collect(),
+        }
     };
     vec![leaves(0), leaves(63)]
 }
 
-fn parts() -> Vec<(&'static str, Part, Rows)> {
-    let changes = |from, to, last| Part::Changes { from, to, last };
-    let walk = |from, next, last| Part::Walk { from, next, last };
-    let none = || Rows::Entries(Vec::new());
-    let some = || Rows::Entries(sample_entries());
+fn parts() -> Vec<(&'static str, ResponseBody, Payload)> {
+    let changes = |after, up_to, last| ResponseBody::Changes { after, up_to, last };
+    let walk = |from, next, last| ResponseBody::Entries { from, next, last };
+    let none = || Payload::Entries(Vec::new());
+    let some = || Payload::Entries(sample_entries());
     vec![
-        ("nothing-same", Part::Nothing { same: true }, Rows::None),
-        ("nothing-other", Part::Nothing { same: false }, Rows::None),
-        ("adopt", Part::Adopt, Rows::None),
-        ("differs", Part::Differs, Rows::None),
-        ("later-small", Part::Later { wait: 1 }, Rows::None),
-        ("later-large", Part::Later { wait: u32::MAX }, Rows::None),
-        ("tree", Part::Tree, Rows::Tree(sample_tree())),
+        (
+            "nothing-same",
+            ResponseBody::UpToDate { same_content: true },
+            Payload::Empty,
+        ),
+        (
+            "nothing-other",
+            ResponseBody::UpToDate {
+                same_content: false,
+            },
+            Payload::Empty,
+        ),
+        ("adopt", ResponseBody::AdoptHead, Payload::Empty),
+        ("differs", ResponseBody::ContentDiffers, Payload::Empty),
+        (
+            "later-small",
+            ResponseBody::RetryAfter { wait: 1 },
+            Payload::Empty,
+        ),
+        (
+            "later-large",
+            ResponseBody::RetryAfter { wait: u32::MAX },
+            Payload::Empty,
+        ),
+        (
+            "tree",
+            ResponseBody::BranchHashes,
+            Payload::BranchHashes(sample_tree()),
+        ),
         (
             "leaves-none",
-            Part::Leaves { last: false },
-            Rows::Leaves(Vec::new()),
+            ResponseBody::LeafHashes { last: false },
+            Payload::LeafHashes(Vec::new()),
         ),
         (
             "leaves",
-            Part::Leaves { last: true },
-            Rows::Leaves(sample_leaves()),
+            ResponseBody::LeafHashes { last: true },
+            Payload::LeafHashes(sample_leaves()),
         ),
         ("changes-none", changes(3, 3, true), none()),
         ("changes", changes(4, 300, false), some()),
@@ -179,24 +214,24 @@
     ]
 }
 
-fn encode_answer(answer: &Answer, rows: &Rows) -> Vec<u8> {
-    let mut bytes = wire::answer(answer);
+fn encode_answer(answer: &PollResponse, rows: &Payload) -> Vec<u8> {
+    let mut bytes = messages::encode_response(answer);
     match rows {
-        Rows::None => {}
-        Rows::Tree(tree) => wire::put_tree(&mut bytes, tree),
-        Rows::Leaves(rows) => rows
+        Payload::Empty => {}
+        Payload::BranchHashes(tree) => messages::append_branch_hashes(&mut bytes, tree),
+        Payload::LeafHashes(rows) => rows
             .iter()
-            .for_each(|(branch, leaves)| wire::put_leaves(&mut bytes, *branch, leaves)),
-        Rows::Entries(entries) => entries
+            .for_each(|row| messages::append_leaf_hashes(&mut bytes, row.branch, &row.hashes)),
+        Payload::Entries(entries) => entries
             .iter()
-            .for_each(|entry| wire::put_entry(&mut bytes, entry)),
+            .for_each(|entry| messages::append_entry(&mut bytes, entry)),
     }
     bytes
 }
 
 #[test]
 fn each_answer_keeps_its_bytes() {
-    let mut answers: Vec<(String, Answer, Rows)> = Vec::new();
+    let mut answers: Vec<(String, PollResponse, Payload)> = Vec::new();
     for (name, part, rows) in parts() {
         let ages = [
             ("unheard", None),
@@ -204,11 +239,11 @@
             ("old", Some(u64::MAX)),
         ];
         for (age_name, age) in ages {
-            let answer = Answer {
+            let answer = PollResponse {
                 nonce: if age.is_none() { 1 } else { u32::MAX },
-                age,
+                data_age: age,
                 head: u64::MAX - 1,
-                part: part.clone(),
+                body: part.clone(),
             };
             answers.push((format!("{name}-{age_name}"), answer, rows.clone()));
         }
@@ -218,7 +253,7 @@
         .map(|(name, answer, rows)| Record::new(name, encode_answer(answer, rows)));
     let golden = check("answers.txt", records.collect());
     for ((name, answer, rows), golden) in answers.iter().zip(golden) {
-        let read = wire::read_answer(&golden.bytes).expect("reads");
+        let read = messages::decode_response(&golden.bytes).expect("reads");
         assert_eq!((&read.0, &read.1), (answer, rows), "{name}");
         assert_eq!(encode_answer(&read.0, &read.1), golden.bytes, "{name}");
     }
@@ -237,81 +272,94 @@
         let bytes = encode(&(position, leaf, range.start(), range.end()));
         records.push(Record::new(format!("position-{at}"), bytes));
     }
-    let mut held = Store::default();
+    let mut held = EntryStore::default();
     for entry in sample_entries().iter().chain(&entries(0..200, 7)) {
-        held.take(entry).expect("fits");
+        held.insert_if_newer(entry).expect("fits");
     }
-    let summary = (held.len(), held.root(), held.newest(), held.bytes());
+    let summary = (
+        held.len(),
+        held.root_hash(),
+        held.newest_version(),
+        held.value_bytes(),
+    );
     records.push(Record::new("store", encode(&summary)));
     let order: Vec<u64> = held.iter().map(|entry| entry.key).collect();
     records.push(Record::new("order", encode(&order)));
-    records.push(Record::new("branches", encode(&held.branches())));
+    records.push(Record::new("branches", encode(&held.branch_hashes())));
     for (branch, salt) in [(0, 0), (17, 1), (63, u32::MAX)] {
         let name = format!("leaves-{branch}");
-        records.push(Record::new(name, encode(&held.leaves(branch, salt))));
+        records.push(Record::new(name, encode(&held.leaf_hashes(branch, salt))));
     }
-    let mut log = Log::new(3);
+    let mut log = ChangeLog::new(3);
     for key in [5, 6, 7, 5, 8] {
         log.push(key);
-        let since: Vec<(u64, u64)> = log.since(0).collect();
+        let since: Vec<(u64, u64)> = log
+            .since(0)
+            .map(|change| (change.sequence, change.key))
+            .collect();
         let bytes = encode(&(log.head(), log.floor(), since));
         records.push(Record::new(format!("log-{}", log.head()), bytes));
     }
     check("store.txt", records);
-    let names = [Unfit::Version, Unfit::Value, Unfit::Full].map(Unfit::name);
+    let names = [
+        EntryError::InvalidVersion,
+        EntryError::ValueTooLarge,
+        EntryError::StoreFull,
+    ]
+    .map(EntryError::counter);
     assert_eq!(names, ["absurd-version", "value-too-large", "store-full"]);
 }
 
 #[test]
 fn places_and_statuses_keep_their_bytes() {
-    let link = LinkStatus {
+    let link = FollowedSourceStatus {
         name: "control-1".into(),
         role: 2,
-        silent: true,
-        age: Some(300),
+        disconnected: true,
+        data_age: Some(300),
     };
     let follower = FollowerStatus {
         name: "balancer-1".into(),
         entries: 1,
-        newest: 2,
-        root: 3,
-        age: Some(4),
-        full: true,
-        dark: false,
-        catching_up: true,
+        newest_version: 2,
+        root_hash: 3,
+        data_age: Some(4),
+        synchronized: true,
+        disconnected: false,
+        resyncing: true,
         sources: vec![link],
     };
-    let change = InForce {
+    let change = ChangeStatus {
         key: 1,
         version: 2,
-        ago: 3,
-        after: Some(4),
-        of: 5,
+        age: 3,
+        propagated_after: Some(4),
+        followers: 5,
     };
-    let behind = |name: &str, since| Behind {
+    let behind = |name: &str, delay| FollowerDelay {
         name: name.into(),
-        since,
+        delay,
     };
     let source = SourceStatus {
         name: "control-1".into(),
-        run: 1,
+        incarnation: 1,
         head: 2,
         floor: 3,
         entries: 4,
-        newest: 5,
-        root: 6,
-        age: Some(7),
+        newest_version: 5,
+        root_hash: 6,
+        data_age: Some(7),
         followers: 8,
-        first: 9,
+        primary_followers: 9,
         settled: true,
         changes: vec![change],
         lagging: 10,
-        laggards: vec![behind("balancer-1", 11)],
-        dark: 12,
-        darkened: vec![behind("", 13)],
-        ahead: 14,
+        lagging_followers: vec![behind("balancer-1", 11)],
+        disconnected: 12,
+        disconnected_followers: vec![behind("", 13)],
+        backlog: 14,
     };
-    let place = Place { zone: 1, region: 2 };
+    let place = Location { zone: 1, region: 2 };
     let records = vec![
         Record::new("place", encode(&place)),
         Record::new("follower", encode(&follower)),
@@ -334,36 +382,39 @@
         return;
     }
     let body = &datagram[SEAL_HEAD..datagram.len() - SEAL_TAG];
-    let kind = match (wire::read_ask(body), wire::read_answer(body)) {
-        (Ok((ask, _)), _) => match ask.want {
-            Want::Changes => "ask-changes",
-            Want::Tree => "ask-tree",
-            Want::Leaves { .. } => "ask-leaves",
-            Want::Range { .. } => "ask-range",
-            Want::Differ { .. } => "ask-differ",
-            Want::Leave => "ask-leave",
+    let kind = match (
+        messages::decode_request(body),
+        messages::decode_response(body),
+    ) {
+        (Ok((ask, _)), _) => match ask.query {
+            Query::Changes => "ask-changes",
+            Query::BranchHashes => "ask-tree",
+            Query::LeafHashes { .. } => "ask-leaves",
+            Query::Entries { .. } => "ask-range",
+            Query::NewerEntries { .. } => "ask-differ",
+            Query::Unsubscribe => "ask-leave",
         },
-        (_, Ok((answer, _))) => match answer.part {
-            Part::Nothing { .. } => "nothing",
-            Part::Adopt => "adopt",
-            Part::Differs => "differs",
-            Part::Later { .. } => "later",
-            Part::Tree => "tree",
-            Part::Leaves { .. } => "leaves",
-            Part::Changes { .. } => "changes",
-            Part::Walk { .. } => "walk",
+        (_, Ok((answer, _))) => match answer.body {
+            ResponseBody::UpToDate { .. } => "nothing",
+            ResponseBody::AdoptHead => "adopt",
+            ResponseBody::ContentDiffers => "differs",
+            ResponseBody::RetryAfter { .. } => "later",
+            ResponseBody::BranchHashes => "tree",
+            ResponseBody::LeafHashes { .. } => "leaves",
+            ResponseBody::Changes { .. } => "changes",
+            ResponseBody::Entries { .. } => "walk",
         },
         _ => panic!("a datagram that is neither"),
     };
     kinds.insert(kind);
 }
 
-fn notice_bytes(notice: &Notice) -> Vec<u8> {
-    match notice {
-        Notice::Silent(name) => encode(&(0u8, name)),
-        Notice::Back(name) => encode(&(1u8, name)),
-        Notice::Dark(dark) => encode(&(2u8, dark)),
-        Notice::Full => encode(&3u8),
+fn event_bytes(event: &Event) -> Vec<u8> {
+    match event {
+        Event::SourceDisconnected(name) => encode(&(0u8, name)),
+        Event::SourceReconnected(name) => encode(&(1u8, name)),
+        Event::Disconnected(dark) => encode(&(2u8, dark)),
+        Event::Synchronized => encode(&3u8),
     }
 }
 
@@ -376,9 +427,9 @@
     }
     let now = net.now;
     for seen in &mut net.seen {
-        for (at, notice) in std::mem::take(&mut seen.notices) {
+        for (at, event) in std::mem::take(&mut seen.events) {
             tape.extend(encode(&at));
-            tape.extend(notice_bytes(&notice));
+            tape.extend(event_bytes(&event));
         }
         tape.extend(encode(&seen.versions));
     }
@@ -394,12 +445,12 @@
 
 /// Greatly less than there is to send, so that followers have to wait for their turn.
 const LIMITS: Limits = Limits {
-    pieces_per_second: 20,
+    datagrams_per_second: 20,
     burst: 10,
-    asks_per_second: 100,
-    greetings_per_second: 10,
+    requests_per_second: 100,
+    handshakes_per_second: 10,
     max_followers: 8,
-    kept_changes: 30,
+    change_log_capacity: 30,
 };
 const RUN_SECONDS: u64 = 170;
 
@@ -442,7 +493,7 @@
 }
 
 /// Plays a seeded run, second by second, and returns which kinds of datagrams it had.
-fn seeded_run(file: &str, seed: u64, places: &[Place]) -> BTreeSet<&'static str> {
+fn seeded_run(file: &str, seed: u64, places: &[Location]) -> BTreeSet<&'static str> {
     let mut net = Net::new(seed, places);
     net.limits = LIMITS;
     (net.loss, net.doubling) = (0.05, 0.02);
--- a/crates/fleet-rig/src/capacity/control.rs
+++ b/crates/fleet-rig/src/capacity/control.rs
@@ -16,18 +16,27 @@
 
 const BOARD_FILE: &str = "crates/leases/src/board.rs";
 const SEAL_FILE: &str = "crates/membership/src/seal.rs";
-const SOURCE_FILE: &str = "crates/distribution/src/source.rs";
-const WIRE_FILE: &str = "crates/distribution/src/wire.rs";
+const SOURCE_FILE: &str = "crates/distribution/src/source/mod.rs";
+const LIMITS_FILE: &str = "crates/distribution/src/source/config.rs";
+const WIRE_FILE: &str = "crates/distribution/src/messages/mod.rs";
 
 const NODE: Mechanism = Mechanism::Is("crates/cluster/src/node.rs", "pub struct Node");
 const SEAL: Mechanism = Mechanism::Is(SEAL_FILE, "MAX_SENDERS");
 const BOARD: Mechanism = Mechanism::Is(BOARD_FILE, "fn pass_on");
 const VOTE: Mechanism = Mechanism::Is("crates/leases/src/vote.rs", "MAX_DUTIES");
-const FOLLOWER: Mechanism =
-    Mechanism::Is("crates/distribution/src/follower.rs", "pub struct Follower");
+const FOLLOWER: Mechanism = Mechanism::Is(
+    "crates/distribution/src/follower/mod.rs",
+    "pub struct Follower",
+);
 const SOURCE: Mechanism = Mechanism::Is(SOURCE_FILE, "pub struct Source");
-const STORE: Mechanism = Mechanism::Is("crates/distribution/src/store.rs", "pub struct Store");
-const PACE: Mechanism = Mechanism::Is("crates/distribution/src/pace.rs", "pub struct Pace");
+const STORE: Mechanism = Mechanism::Is(
+    "crates/distribution/src/store/mod.rs",
+    "pub struct EntryStore",
+);
+const PACE: Mechanism = Mechanism::Is(
+    "crates/distribution/src/rate_limiter.rs",
+    "pub struct RateLimiter",
+);
 
 fn bytes(book: &Book) -> Limit {
     Limit::Letter(book.given("control-bytes"))
@@ -492,8 +501,8 @@
         ));
     }
     let budget = || {
-        let rows = book.code(SEAL_FILE, "MAX_DATAGRAM") - 50.0 - book.code(WIRE_FILE, "HEAD");
-        book.field(SOURCE_FILE, "pieces_per_second") * rows
+        let rows = book.code(SEAL_FILE, "MAX_DATAGRAM") - 50.0 - book.code(WIRE_FILE, "MAX_HEADER");
+        book.field(LIMITS_FILE, "datagrams_per_second") * rows
     };
     let full = || entries(book) * book.given("entry-bytes");
     rows.push(
@@ -528,7 +537,7 @@
     );
     // Whoever takes the duty `list` over tells every server anew. Where the log of arrivals holds that, each of a
     // follower's two sources tells it; else the follower compares with one of them.
-    let kept = book.field(SOURCE_FILE, "kept_changes");
+    let kept = book.field(LIMITS_FILE, "change_log_capacity");
     let copies = match (book.given("servers").value(), kept.value()) {
         (Some(servers), Some(kept)) if servers <= kept => 2.0,
         _ => 1.0,
@@ -547,8 +556,8 @@
     let asks = all();
     rows.push(
         row("asks a second", "all but one lost", Unit::Rate, asks).limit(Limit::Code(
-            book.field(SOURCE_FILE, "asks_per_second"),
-            "Limits::asks_per_second",
+            book.field(LIMITS_FILE, "requests_per_second"),
+            "Limits::requests_per_second",
         )),
     );
     rows
--- a/crates/fleet-rig/src/capacity/edges.rs
+++ b/crates/fleet-rig/src/capacity/edges.rs
@@ -376,7 +376,7 @@
             balancers(),
         )
         .by(Mechanism::Is(
-            "crates/distribution/src/source.rs",
+            "crates/distribution/src/source/status.rs",
             "pub fn status",
         ))
         .answer(super::control::DISTRIBUTION),
--- a/crates/fleet-rig/src/distribution/measure.rs
+++ b/crates/fleet-rig/src/distribution/measure.rs
@@ -11,7 +11,7 @@
 use rand::RngExt;
 use serde::{Deserialize, Serialize};
 use spanspur_distribution::Limits;
-use spanspur_distribution::pace::SLOT_KEPT;
+use spanspur_distribution::rate_limiter::RESERVATION_TOLERANCE;
 use spanspur_leases::Millis;
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -46,8 +46,8 @@
 /// The rate that a source states, and what its schedule lets through in a second at most: see `Pace`.
 fn budget() -> (u64, u64) {
     let limits = Limits::default();
-    let rate = u64::from(limits.pieces_per_second);
-    let most = rate * (1000 + 2 * SLOT_KEPT) / 1000 + u64::from(limits.burst);
+    let rate = u64::from(limits.datagrams_per_second);
+    let most = rate * (1000 + 2 * RESERVATION_TOLERANCE) / 1000 + u64::from(limits.burst);
     (rate, most)
 }
 
@@ -504,7 +504,7 @@
     world.run_until(heal);
     let ages = inside_followers.iter().filter_map(|i| {
         let follower = world.follower(*i)?;
-        follower.age(world.mono(*i))
+        follower.data_age(world.mono(*i))
     });
     let age = ages.min().unwrap_or(0);
     let before = received(&world);
@@ -512,7 +512,7 @@
     let mut control = None;
     for end in (heal + 250..=heal + 60_000).step_by(250) {
         world.run_until(end);
-        let root = |i: &usize| world.source(*i).map(|source| source.store().root());
+        let root = |i: &usize| world.source(*i).map(|source| source.store().root_hash());
         let mut controls = inside.iter().filter(|i| **i < CONTROLS);
         if control.is_none() && controls.all(|i| root(i) == root(&writer)) {
             control = Some(end - heal);
--- a/crates/fleet-rig/src/distribution/sockets.rs
+++ b/crates/fleet-rig/src/distribution/sockets.rs
@@ -9,10 +9,14 @@
 use crate::meter::thread_ns;
 use crate::ranking;
 use serde::{Deserialize, Serialize};
-use spanspur_cluster::distribution::{ChangesAnswer, Distributor, End, Following};
+use spanspur_cluster::distribution::{
+    ChangesAnswer, FollowerDriver, ReplicationStatus, SourceDriver,
+};
 use spanspur_cluster::driver::{Cluster, Handle};
 use spanspur_cluster::node::Setup;
-use spanspur_distribution::{AskPace, Entry, FollowerSetup, Limits, SourceAt, SourceSetup};
+use spanspur_distribution::{
+    Entry, FollowerConfig, Limits, PollSchedule, SourceConfig, SourceEndpoint,
+};
 use spanspur_leases::DutyId;
 use spanspur_membership::{Identity, Key, Keys};
 use std::cell::{Cell, RefCell};
@@ -238,18 +242,21 @@
     for n in 0..play.followers {
         let i = CONTROLS + n;
         let host = Ipv4Addr::new(127, 67, (n / 250) as u8, 1 + (n % 250) as u8);
-        let at = sources.iter().enumerate().map(|(c, address)| SourceAt {
-            name: name(c),
-            address: *address,
-            place: place(c),
-        });
-        let setup = FollowerSetup {
-            me: identity(i, SocketAddr::new(IpAddr::V4(host), 0)),
-            place: place(i),
+        let at = sources
+            .iter()
+            .enumerate()
+            .map(|(c, address)| SourceEndpoint {
+                name: name(c),
+                address: *address,
+                location: place(c),
+            });
+        let setup = FollowerConfig {
+            identity: identity(i, SocketAddr::new(IpAddr::V4(host), 0)),
+            location: place(i),
             sources: at.collect(),
             keys: keys(),
             score: ranking().0,
-            pace: AskPace::default(),
+            schedule: PollSchedule::default(),
             seed: i as u64,
         };
         let (held, times) = (Cell::new(0), times.clone());
@@ -267,12 +274,14 @@
                 }
             }
         };
-        let following = Following::start(setup, Box::new(told)).await;
+        let following = FollowerDriver::start(setup, Box::new(told)).await;
         all.push(following.map_err(|e| format!("{host}: {e}"))?);
     }
-    let full = |following: &&Following| match following.answer().end {
-        End::Follower { status } => status.full && status.entries == play.entries,
-        End::Source { .. } => false,
+    let full = |following: &&FollowerDriver| match following.answer().status {
+        ReplicationStatus::Follower { status } => {
+            status.synchronized && status.entries == play.entries
+        }
+        ReplicationStatus::Source { .. } => false,
     };
     while let Some(ask) = asked.recv().await {
         // Who asks may have given up; that is no concern of ours.
@@ -300,7 +309,7 @@
 }
 
 /// A control instance: its node and its source.
-type Control = (Handle, Distributor);
+type Control = (Handle, SourceDriver);
 
 async fn start(cluster: &[SocketAddr], sources: &[SocketAddr]) -> Result<Vec<Control>, String> {
     let mut controls = Vec::new();
@@ -318,8 +327,8 @@
         let (node, mut fresh) = Cluster::start(setup)
             .await
             .map_err(|e| format!("{at}: {e}"))?;
-        let distributor = Distributor::start(SourceSetup {
-            me: identity(i, *source),
+        let distributor = SourceDriver::start(SourceConfig {
+            identity: identity(i, *source),
             keys: keys(),
             limits: Limits::default(),
             seed: i as u64,
@@ -329,7 +338,7 @@
         spawn_local(async move {
             while let Some(entry) = fresh.recv().await {
                 match entry.key == beat_key() {
-                    true => to.heard(),
+                    true => to.confirm_complete(),
                     false => to.publish(&[entry]),
                 }
             }
@@ -358,7 +367,7 @@
             version,
             value,
         }]);
-        distributor.heard();
+        distributor.confirm_complete();
         sleep(BEAT).await;
     }
 }
--- a/crates/fleet-rig/src/distribution/world.rs
+++ b/crates/fleet-rig/src/distribution/world.rs
@@ -14,7 +14,7 @@
 use spanspur_distribution as dist;
 use spanspur_distribution::Source;
 use spanspur_distribution::{
-    AskPace, Follower, FollowerSetup, Limits, Place, SourceAt, SourceSetup,
+    Follower, FollowerConfig, Limits, Location, PollSchedule, SourceConfig, SourceEndpoint,
 };
 use spanspur_leases::board::Entry;
 use spanspur_leases::{DutyId, InstanceId, Millis, Now, Permit};
@@ -268,20 +268,20 @@
 }
 
 /// Where an instance is.
-pub fn place(i: usize) -> Place {
+pub fn place(i: usize) -> Location {
     let (region, nth) = match i < CONTROLS {
         true => (i % REGIONS, i / REGIONS),
         false => ((i - CONTROLS) % REGIONS, (i - CONTROLS) / REGIONS),
     };
     let first: u32 = ZONES[..region].iter().sum();
-    Place {
+    Location {
         zone: first + nth as u32 % ZONES[region],
         region: region as u32,
     }
 }
 
 /// The one-way delay between two places, without jitter, in ms.
-pub fn delay(a: &Place, b: &Place) -> Millis {
+pub fn delay(a: &Location, b: &Location) -> Millis {
     match (a.region.abs_diff(b.region), a.zone == b.zone) {
         (0, true) => 1,
         (0, false) => 2,
@@ -699,17 +699,17 @@
                 (next, news)
             }
             Part::Control(control) => {
-                let effects = metered(meter, cost, || control.source.effects());
-                meter.memory -= room::<dist::Effect>(cost, effects.capacity());
+                let effects = metered(meter, cost, || control.source.take_outputs());
+                meter.memory -= room::<dist::Output>(cost, effects.capacity());
                 let next = control.source.next_wake();
                 self.carry_out(i, effects);
                 (next, Vec::new())
             }
             Part::Follower(follower) => {
-                let effects = metered(meter, cost, || follower.effects());
-                meter.memory -= room::<dist::Effect>(cost, effects.capacity());
+                let effects = metered(meter, cost, || follower.take_outputs());
+                meter.memory -= room::<dist::Output>(cost, effects.capacity());
                 let next = follower.next_wake();
-                if self.full_at[i].is_none() && follower.full() {
+                if self.full_at[i].is_none() && follower.is_synchronized() {
                     self.full_at[i] = Some(self.now);
                 }
                 self.carry_out(i, effects);
@@ -728,20 +728,20 @@
         }
     }
 
-    fn carry_out(&mut self, i: usize, effects: Vec<dist::Effect>) {
+    fn carry_out(&mut self, i: usize, effects: Vec<dist::Output>) {
         let cost = self.cost();
         let mut changed = Vec::new();
         for effect in effects {
             match effect {
-                dist::Effect::Datagram(to, bytes) => {
+                dist::Output::Datagram(to, bytes) => {
                     self.meters[i][0].memory -= room::<u8>(cost, bytes.capacity());
                     self.send(i, DISTRIBUTION, to, bytes);
                 }
-                dist::Effect::Changed(entry) => {
+                dist::Output::EntryUpdated(entry) => {
                     self.meters[i][0].memory -= room::<u8>(cost, entry.value.capacity());
                     changed.push(entry);
                 }
-                dist::Effect::Notice(notice) => {
+                dist::Output::Event(notice) => {
                     let text = format!("{notice:?}");
                     let kind = text.split([' ', '(', '{']).next().unwrap_or_default();
                     *self.notices.entry(kind.to_owned()).or_default() += 1;
@@ -967,7 +967,7 @@
                 control.source.publish(now, &kept);
             }
             if heard {
-                control.source.heard(now);
+                control.source.confirm_complete(now);
             }
         });
         self.settle(i, DISTRIBUTION);
@@ -1019,8 +1019,8 @@
                 node
             });
             let source = metered(&mut meters[0], cost, || {
-                let setup = SourceSetup {
-                    me: identity(DISTRIBUTION),
+                let setup = SourceConfig {
+                    identity: identity(DISTRIBUTION),
                     keys: keys(),
                     limits: Limits::default(),
                     seed,
@@ -1035,18 +1035,18 @@
             }))
         } else {
             let follower = metered(&mut meters[0], cost, || {
-                let sources = (0..CONTROLS).map(|c| SourceAt {
+                let sources = (0..CONTROLS).map(|c| SourceEndpoint {
                     name: name(c),
                     address: address(c, DISTRIBUTION),
-                    place: place(c),
+                    location: place(c),
                 });
-                let setup = FollowerSetup {
-                    me: identity(DISTRIBUTION),
-                    place: place(i),
+                let setup = FollowerConfig {
+                    identity: identity(DISTRIBUTION),
+                    location: place(i),
                     sources: sources.collect(),
                     keys: keys(),
                     score: ranking().0,
-                    pace: AskPace::default(),
+                    schedule: PollSchedule::default(),
                     seed,
                 };
                 Follower::new(now.mono, setup)
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -4,9 +4,9 @@
 use clap::{Args, Parser, Subcommand};
 use comfy_table::{Table, presets};
 use spanspur_cluster::control::{DutiesAnswer, MembersAnswer, ask};
-use spanspur_cluster::distribution::{ChangesAnswer, End};
+use spanspur_cluster::distribution::{ChangesAnswer, ReplicationStatus};
 use spanspur_distribution::follower::FollowerStatus;
-use spanspur_distribution::source::{Behind, SourceStatus};
+use spanspur_distribution::source::{FollowerDelay, SourceStatus};
 use spanspur_operator_config as operator;
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -227,9 +227,12 @@
             print!("{text}");
             return Ok(());
         }
-        match &answer.end {
-            End::Source { status, rate } => show_source(status, *rate),
-            End::Follower { status } => show_follower(status),
+        match &answer.status {
+            ReplicationStatus::Source {
+                status,
+                datagrams_per_second,
+            } => show_source(status, *datagrams_per_second),
+            ReplicationStatus::Follower { status } => show_follower(status),
         }
         println!("{}", counted(&answer.counters));
         Ok(())
@@ -244,14 +247,14 @@
     let facts = [
         ("name", status.name.clone()),
         ("entries", status.entries.to_string()),
-        ("newest version", status.newest.to_string()),
-        ("age", age(status.age)),
+        ("newest version", status.newest_version.to_string()),
+        ("age", age(status.data_age)),
         ("followers", status.followers.to_string()),
-        ("follow it first", status.first.to_string()),
+        ("follow it first", status.primary_followers.to_string()),
         ("lag", status.lagging.to_string()),
-        ("in the dark", status.dark.to_string()),
+        ("in the dark", status.disconnected.to_string()),
         ("budget", format!("{rate} pieces a second")),
-        ("spoken for", format!("{} ms ahead", status.ahead)),
+        ("spoken for", format!("{} ms ahead", status.backlog)),
     ];
     for (name, fact) in facts {
         source.add_row([name.to_owned(), fact]);
@@ -262,20 +265,25 @@
         changes.add_row([
             format!("{:016x}", change.key),
             change.version.to_string(),
-            format!("{} ms ago", change.ago),
-            match change.after {
+            format!("{} ms ago", change.age),
+            match change.propagated_after {
                 Some(after) => format!("after {after} ms"),
                 None => "not yet".into(),
             },
-            format!("{} followers", change.of),
+            format!("{} followers", change.followers),
         ]);
     }
     println!("{changes}");
-    show_behind("lags", "by", status.lagging, &status.laggards);
-    show_behind("in the dark", "for", status.dark, &status.darkened);
+    show_behind("lags", "by", status.lagging, &status.lagging_followers);
+    show_behind(
+        "in the dark",
+        "for",
+        status.disconnected,
+        &status.disconnected_followers,
+    );
 }
 
-fn show_behind(what: &str, how: &str, all: usize, some: &[Behind]) {
+fn show_behind(what: &str, how: &str, all: usize, some: &[FollowerDelay]) {
     if all == 0 {
         return;
     }
@@ -285,7 +293,7 @@
             true => "?",
             false => &one.name,
         };
-        behind.add_row([name.to_owned(), format!("{} ms", one.since)]);
+        behind.add_row([name.to_owned(), format!("{} ms", one.delay)]);
     }
     if all > some.len() {
         behind.add_row([format!("and {} more", all - some.len()), String::new()]);
@@ -294,7 +302,7 @@
 }
 
 fn show_follower(status: &FollowerStatus) {
-    let state = match (status.dark, status.full, status.catching_up) {
+    let state = match (status.disconnected, status.synchronized, status.resyncing) {
         (true, ..) => "in the dark: no source answers",
         (_, false, _) => "not full yet",
         (_, _, true) => "catching up",
@@ -304,9 +312,9 @@
     let facts = [
         ("name", status.name.clone()),
         ("state", state.to_owned()),
-        ("age", age(status.age)),
+        ("age", age(status.data_age)),
         ("entries", status.entries.to_string()),
-        ("newest version", status.newest.to_string()),
+        ("newest version", status.newest_version.to_string()),
     ];
     for (name, fact) in facts {
         follower.add_row([name.to_owned(), fact]);
@@ -322,8 +330,8 @@
                 _ => "-",
             }
             .to_owned(),
-            if source.silent { "silent" } else { "" }.to_owned(),
-            age(source.age),
+            if source.disconnected { "silent" } else { "" }.to_owned(),
+            age(source.data_age),
         ]);
     }
     println!("{sources}");
--- a/src/cluster/distribution.rs
+++ b/src/cluster/distribution.rs
@@ -6,9 +6,11 @@
 use crate::api;
 use crate::runtime::Runtime;
 use spanspur_cluster::control;
-use spanspur_cluster::distribution::{ChangesAnswer, Distributor, Following};
-use spanspur_distribution::wire::MAX_WINDOW;
-use spanspur_distribution::{AskPace, FollowerSetup, Limits, Place, SourceAt, SourceSetup};
+use spanspur_cluster::distribution::{ChangesAnswer, FollowerDriver, SourceDriver};
+use spanspur_distribution::messages::MAX_WINDOW;
+use spanspur_distribution::{
+    FollowerConfig, Limits, Location, PollSchedule, SourceConfig, SourceEndpoint,
+};
 use spanspur_leases::board::Entry;
 use spanspur_membership::Identity;
 use spanspur_operator_config::{Distribute, Follow, Operator};
@@ -19,7 +21,7 @@
 
 /// A control instance's end: passes on what the cluster's board has of the list.
 pub struct Distribution {
-    distributor: Distributor,
+    distributor: SourceDriver,
     /// What was passed on, to tell whether it is all that there is.
     view: RefCell<View>,
 }
@@ -31,18 +33,18 @@
         name: &str,
         cluster: &[String],
     ) -> Result<Rc<Self>, String> {
-        let setup = SourceSetup {
-            me: identity(name, settings.listen),
+        let setup = SourceConfig {
+            identity: identity(name, settings.listen),
             keys: keys(Self::secrets(settings, cluster)),
             limits: Limits {
-                pieces_per_second: settings.rate,
+                datagrams_per_second: settings.rate,
                 // A tenth of a second's, but one whole answer at least.
                 burst: (settings.rate / 10).max(u32::from(MAX_WINDOW)),
                 ..Limits::default()
             },
             seed: api::Key::of(name).0,
         };
-        let distributor = Distributor::start(setup).await;
+        let distributor = SourceDriver::start(setup).await;
         Ok(Rc::new(Self {
             distributor: distributor
                 .map_err(|e| format!("distribute.listen: {}: {e}", settings.listen))?,
@@ -68,7 +70,7 @@
     pub fn take(&self, entry: &Entry) {
         match Told::read(entry) {
             Some(Told::Beat(beat)) if self.view.borrow_mut().whole() == Some(beat) => {
-                self.distributor.heard();
+                self.distributor.confirm_complete();
             }
             Some(Told::Head(_) | Told::Row(_)) => {
                 self.view.borrow_mut().take(entry);
@@ -86,7 +88,7 @@
 
 /// A balancer's end.
 pub struct Followed {
-    following: Following,
+    following: FollowerDriver,
     news: Rc<ListNews>,
 }
 
@@ -104,18 +106,18 @@
         if name.is_empty() {
             return Err("follow.name: is missing, and the balancer has no name either".into());
         }
-        let sources = follow.sources.iter().map(|source| SourceAt {
+        let sources = follow.sources.iter().map(|source| SourceEndpoint {
             name: source.name.clone(),
             address: source.address,
-            place: place(&source.zone, &source.region),
+            location: place(&source.zone, &source.region),
         });
-        let setup = FollowerSetup {
-            me: identity(&name, follow.listen),
-            place: place(&follow.zone, &follow.region),
+        let setup = FollowerConfig {
+            identity: identity(&name, follow.listen),
+            location: place(&follow.zone, &follow.region),
             sources: sources.collect(),
             keys: keys(&follow.keys),
             score: score_of,
-            pace: AskPace::default(),
+            schedule: PollSchedule::default(),
             seed: node.seed ^ api::Key::of("follow").0,
         };
         // It tells nobody anything.
@@ -127,7 +129,7 @@
                 of.update_from_distribution(list);
             }
         });
-        let following = Following::start(setup, told).await;
+        let following = FollowerDriver::start(setup, told).await;
         let following = following.map_err(|e| format!("follow.listen: {}: {e}", follow.listen))?;
         tracing::info!(instance = name, sources = follow.sources.len(), "follows");
         if let Some(control) = &operator.control {
@@ -164,8 +166,8 @@
 }
 
 /// Names are compared, not shown: their hashes will do.
-fn place(zone: &str, region: &str) -> Place {
-    Place {
+fn place(zone: &str, region: &str) -> Location {
+    Location {
         zone: api::Key::of(zone).0 as u32,
         region: api::Key::of(region).0 as u32,
     }
--- a/tests/distribution/main.rs
+++ b/tests/distribution/main.rs
@@ -2,7 +2,7 @@
 //! processes on loopback: killed, frozen, cut off, restarted at once. What counts is the stand-in servers' and the
 //! stand-in discovery's own record.
 
-use spanspur_distribution::pace::SLOT_KEPT;
+use spanspur_distribution::rate_limiter::RESERVATION_TOLERANCE;
 use spanspur_fleet_rig::real::*;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -400,7 +400,7 @@
             for (from, earlier) in before.iter() {
                 let span = told - *from;
                 // A place in the schedule may be taken so much early or late.
-                let span = span + Duration::from_millis(2 * SLOT_KEPT);
+                let span = span + Duration::from_millis(2 * RESERVATION_TOLERANCE);
                 let most = (span.as_secs_f64() * RATE as f64) as u64 + BURST + 1;
                 let spent = pieces - earlier;
                 assert!(spent <= most, "control {i}: {spent} pieces in {span:?}");
