--- a/crates/distribution/src/follower/mod.rs
+++ b/crates/distribution/src/follower/mod.rs
@@ -13,7 +13,8 @@
 //! | `polling` | when requests are sent, retried and given up |
 //! | `responses` | what a response changes |
 //! | `resync` | anti-entropy, as a state machine without I/O |
-//! | `resync_driver` | its requests and responses |
+//! | `versions_held` | the versions that its requests list |
+//! | `resync_driver` | when it starts, and what follows from its responses |
 //! | `status` | what an operator is shown |
 
 mod assignment;
@@ -24,6 +25,7 @@
 mod resync_driver;
 mod source_state;
 mod status;
+mod versions_held;
 
 pub use config::{FollowerConfig, MAX_SOURCES, PollSchedule};
 pub use polling::{MAX_MISSED_RESPONSES, MAX_RETRY_AFTER, MAX_TIMEOUT_FACTOR};
--- a/crates/distribution/src/follower/responses.rs
+++ b/crates/distribution/src/follower/responses.rs
@@ -10,6 +10,17 @@
 /// A follower resynchronizes with a source whose cursor is at the head although the contents differ for this long.
 pub const RESYNC_IF_DIVERGED_FOR: Millis = 600_000;
 
+/// What is known about a response besides its body.
+#[derive(Clone, Copy, Debug)]
+struct ResponseContext {
+    source: SourceIndex,
+    request: PendingRequest,
+    /// The source's incarnation and its last change.
+    head: Cursor,
+    /// The time on our clock up to which the response is complete.
+    as_of: Option<i64>,
+}
+
 impl Follower {
     /// Applies a response of a source's incarnation.
     pub(super) fn handle_response(
@@ -30,44 +41,50 @@
         let Some(request) = self.states[source].pending_with_nonce(response.nonce) else {
             return self.handle_late_response(source, response.nonce);
         };
-        let head = Cursor {
-            incarnation,
-            sequence: response.head,
+        let context = ResponseContext {
+            source,
+            request,
+            head: Cursor {
+                incarnation,
+                sequence: response.head,
+            },
+            as_of: synced_as_of(request, response.data_age),
         };
-        let as_of = synced_as_of(request, response.data_age);
-        match &response.body {
+        self.handle_body(now, context, &response.body, &payload);
+    }
+
+    fn handle_body(
+        &mut self,
+        now: Millis,
+        context: ResponseContext,
+        body: &ResponseBody,
+        payload: &Payload,
+    ) {
+        let source = context.source;
+        match body {
             ResponseBody::UpToDate { same_content } => {
-                if self.states[source].cursor != head {
-                    return self.channel.count("stale-answer");
-                }
-                self.record_synchronized(now, source, as_of);
-                self.check_divergence(now, source, head, *same_content);
+                self.handle_up_to_date(now, context, *same_content);
             }
             ResponseBody::AdoptHead => {
-                self.states[source].set_cursor(head);
+                self.states[source].set_cursor(context.head);
                 self.cancel_resync(source);
-                self.record_synchronized(now, source, as_of);
+                self.record_synchronized(now, context);
             }
             ResponseBody::ContentDiffers => {
                 self.finish_request(now, source);
-                self.start_resync(now, source, head);
+                self.start_resync(now, source, context.head);
             }
             ResponseBody::RetryAfter { wait } => {
                 self.retry_after(now, source, Millis::from(*wait));
             }
             ResponseBody::Changes { after, up_to, last } => {
-                if self.states[source].cursor.incarnation != incarnation {
-                    return self.channel.count("stale-answer");
-                }
                 let (after, up_to) = (*after, *up_to);
-                self.states[source].advance_cursor(SequenceRange { after, up_to });
-                let last_sequence = request.last_sequence.or(last.then_some(up_to));
-                self.continue_changes(now, source, head, last_sequence, as_of);
+                self.handle_changes(now, context, SequenceRange { after, up_to }, *last);
             }
             ResponseBody::BranchHashes
             | ResponseBody::LeafHashes { .. }
             | ResponseBody::Entries { .. } => {
-                self.handle_resync_response(now, source, incarnation, response, payload);
+                self.handle_resync_response(now, source, context.head.incarnation, body, payload);
             }
         }
     }
@@ -90,32 +107,46 @@
         self.channel.count("stale-answer");
     }
 
-    /// Waits for the rest of the changes, requests more of them, or is done.
-    fn continue_changes(
+    fn handle_up_to_date(&mut self, now: Millis, context: ResponseContext, same_content: bool) {
+        if self.states[context.source].cursor != context.head {
+            return self.channel.count("stale-answer");
+        }
+        self.record_synchronized(now, context);
+        self.check_divergence(now, context, same_content);
+    }
+
+    /// Moves the cursor, and then waits for the rest of the changes, requests more of them, or is done.
+    fn handle_changes(
         &mut self,
         now: Millis,
-        source: SourceIndex,
-        head: Cursor,
-        last_sequence: Option<u64>,
-        as_of: Option<i64>,
+        context: ResponseContext,
+        received: SequenceRange,
+        last: bool,
     ) {
-        let sequence = self.states[source].cursor.sequence;
+        let state = &mut self.states[context.source];
+        if state.cursor.incarnation != context.head.incarnation {
+            return self.channel.count("stale-answer");
+        }
+        state.advance_cursor(received);
+        let sequence = state.cursor.sequence;
+        let last_sequence = context.request.last_sequence;
+        let last_sequence = last_sequence.or(last.then_some(received.up_to));
         let is_complete = last_sequence.is_some_and(|last| sequence >= last);
         if !is_complete {
-            self.extend_deadline(now, source, last_sequence);
-        } else if sequence >= head.sequence {
-            self.record_synchronized(now, source, as_of);
+            self.extend_deadline(now, context.source, last_sequence);
+        } else if sequence >= context.head.sequence {
+            self.record_synchronized(now, context);
         } else {
-            self.poll_immediately(now, source);
+            self.poll_immediately(now, context.source);
         }
     }
 
     /// All that a source had when it responded is held here.
-    fn record_synchronized(&mut self, now: Millis, source: SourceIndex, as_of: Option<i64>) {
-        self.finish_request(now, source);
-        let state = &mut self.states[source];
+    fn record_synchronized(&mut self, now: Millis, context: ResponseContext) {
+        self.finish_request(now, context.source);
+        let state = &mut self.states[context.source];
         state.clear_out_of_order();
-        let Some(as_of) = as_of else {
+        let Some(as_of) = context.as_of else {
             return;
         };
         state.record_sync(as_of);
@@ -125,14 +156,8 @@
     }
 
     /// Verifies the cursors: resynchronizes with a source that has no changes for us and yet other content for long.
-    fn check_divergence(
-        &mut self,
-        now: Millis,
-        source: SourceIndex,
-        head: Cursor,
-        same_content: bool,
-    ) {
-        let state = &mut self.states[source];
+    fn check_divergence(&mut self, now: Millis, context: ResponseContext, same_content: bool) {
+        let state = &mut self.states[context.source];
         if same_content {
             state.diverged_since = None;
             return;
@@ -140,7 +165,7 @@
         let since = *state.diverged_since.get_or_insert(now);
         if now >= since + RESYNC_IF_DIVERGED_FOR {
             state.diverged_since = None;
-            self.start_resync(now, source, head);
+            self.start_resync(now, context.source, context.head);
         }
     }
 }
--- a/crates/distribution/src/follower/resync.rs
+++ b/crates/distribution/src/follower/resync.rs
@@ -4,10 +4,8 @@
 //! the leaves of branches that differ, and then the newer entries of leaves that differ are transferred.
 
 use super::source_state::{Cursor, MAX_OUT_OF_ORDER};
-use crate::messages::{
-    ENTRY_VERSION_SIZE, EntryVersion, LeafHashes, LeafVersions, MAX_HEADER, MAX_MESSAGE, Payload,
-    Query, ResponseBody, leaf_versions_size,
-};
+use super::versions_held::versions_held;
+use crate::messages::{LeafHashes, LeafVersions, Payload, Query, ResponseBody};
 use crate::source_selection::SourceIndex;
 use crate::store::{BRANCHES, EntryStore, LEAVES_PER_BRANCH, leaf_of, leaf_range};
 use rand::RngExt;
@@ -275,34 +273,3 @@
         leaves.is_empty()
     }
 }
-
-/// The versions held in as many of these leaves as a request has space for, from a position on.
-fn versions_held(store: &EntryStore, leaves: &[u16], from: u64) -> Vec<LeafVersions> {
-    let mut requested = Vec::new();
-    let mut size = MAX_HEADER;
-    for leaf in leaves {
-        let held = leaf_versions(store, *leaf, from);
-        let more = leaf_versions_size(held.versions.len());
-        if size + more > MAX_MESSAGE && !requested.is_empty() {
-            break;
-        }
-        size += more;
-        requested.push(held);
-    }
-    requested
-}
-
-fn leaf_versions(store: &EntryStore, leaf: u16, from: u64) -> LeafVersions {
-    // Of more than a request has space for, those not listed are sent although they are held.
-    let most = (MAX_MESSAGE - MAX_HEADER - leaf_versions_size(0)) / ENTRY_VERSION_SIZE;
-    let range = leaf_range(leaf as usize);
-    let entries = store.range((*range.start()).max(from)..=*range.end());
-    let versions = entries.map(|(_, entry)| EntryVersion {
-        key: entry.key,
-        version: entry.version,
-    });
-    LeafVersions {
-        leaf,
-        versions: versions.take(most).collect(),
-    }
-}
--- a/crates/distribution/src/follower/resync_driver.rs
+++ b/crates/distribution/src/follower/resync_driver.rs
@@ -4,7 +4,7 @@
 use super::resync::Resync;
 use super::source_state::Cursor;
 use crate::Millis;
-use crate::messages::{LeafVersions, Payload, PollResponse, Query, ResponseBody};
+use crate::messages::{LeafVersions, Payload, Query, ResponseBody};
 use crate::source_selection::SourceIndex;
 
 impl Follower {
@@ -39,8 +39,8 @@
         now: Millis,
         source: SourceIndex,
         incarnation: u64,
-        response: &PollResponse,
-        payload: Payload,
+        body: &ResponseBody,
+        payload: &Payload,
     ) {
         let current = self.resync.take_if(|resync| resync.source == source);
         let Some(mut resync) = current else {
@@ -51,14 +51,8 @@
             self.channel.count("stale-answer");
             return self.poll_immediately(now, source);
         }
-        let seen_last = self.has_seen_last(source, &response.body);
-        let progress = resync.apply(
-            &self.store,
-            &mut self.rng,
-            &response.body,
-            &payload,
-            seen_last,
-        );
+        let seen_last = self.has_seen_last(source, body);
+        let progress = resync.apply(&self.store, &mut self.rng, body, payload, seen_last);
         let Some(progress) = progress else {
             self.resync = Some(resync);
             return self.channel.count("stale-answer");
--- a/crates/distribution/src/source/mod.rs
+++ b/crates/distribution/src/source/mod.rs
@@ -4,7 +4,7 @@
 //! Of each follower it keeps one small record and sends nothing unrequested but handshakes, so a follower that never
 //! comes back costs that record, for a day at most. It sends one small datagram in response to a poll that has
 //! nothing new, and otherwise datagrams of at most [`MAX_DATAGRAM`](spanspur_membership::seal::MAX_DATAGRAM) bytes
-//! within the limit of its [`RateLimiter`](crate::rate_limiter::RateLimiter).
+//! within the limit of its [`RateLimiter`].
 //!
 //! | module | contents |
 //! | --- | --- |
