--- a/crates/distribution/tests/dark.rs
+++ b/crates/distribution/tests/disconnected.rs
@@ -1,11 +1,11 @@
-//! Sources that are silent, behind or cut off: the follower goes on, and says how old what it has is.
+//! Sources that are disconnected or behind: the follower keeps its entries, and reports their age.
 
 mod common;
 use common::*;
 use spanspur_distribution::Event;
 
 #[test]
-fn in_the_dark_the_state_is_kept_and_its_age_grows() {
+fn while_disconnected_entries_are_kept_and_their_age_grows() {
     let mut net = Net::new(41, &[HERE, NEAR]);
     net.publish_all(&entries(0..200, 10));
     let one = net.follow(HERE);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn the_next_source_stands_in_for_a_silent_one_until_it_is_back() {
+fn the_next_source_replaces_a_disconnected_one_until_it_reconnects() {
     let mut net = Net::new(42, &[HERE, NEAR, FAR]);
     net.publish_all(&entries(0..200, 10));
     let one = net.follow(HERE);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn of_two_sources_the_one_ahead_gives_the_news_and_the_age() {
+fn of_two_sources_the_one_ahead_determines_changes_and_age() {
     let mut net = Net::new(43, &[HERE, NEAR]);
     net.publish_all(&entries(0..200, 10));
     let one = net.follow(HERE);
@@ -97,9 +97,9 @@
     assert!((span..span + 1200).contains(&age), "{age} after {span}");
 }
 
-/// A source that has heard no writer yet gives what it has, but nothing of it counts for whole or fresh.
+/// A source that has not heard from a writer sends what it has, but it counts neither as complete nor as of any age.
 #[test]
-fn who_has_heard_no_writer_makes_nobody_full() {
+fn a_source_that_heard_no_writer_synchronizes_no_follower() {
     let mut net = Net::new(44, &[HERE]);
     net.fresh.clear();
     let all = entries(0..100, 10);
@@ -115,9 +115,9 @@
     assert!(net.followers[one].is_synchronized());
 }
 
-/// Where each answer takes longer than it is waited for at first, it is waited for longer.
+/// Where responses come after the timeout, the timeout grows.
 #[test]
-fn a_way_that_takes_longer_than_the_wait_still_works() {
+fn a_latency_above_the_response_timeout_still_works() {
     let mut net = Net::new(45, &[HERE]);
     net.delay = 700;
     net.publish_all(&entries(0..300, 10));
--- a/crates/distribution/tests/spread.rs
+++ b/crates/distribution/tests/initial_sync.rs
@@ -1,10 +1,10 @@
-//! What a source holds is soon at its followers, in pieces, and only what is newer.
+//! What a source holds soon reaches its followers, in datagrams of bounded size, and afterwards only changes.
 
 mod common;
 use common::*;
 
 #[test]
-fn an_empty_follower_gets_all_and_then_each_change() {
+fn an_empty_follower_gets_all_entries_and_then_each_change() {
     let mut net = Net::new(1, &[HERE, NEAR]);
     net.publish_all(&entries(0..5000, 10));
     let one = net.follow(HERE);
--- a/crates/distribution/tests/bad_datagrams.rs
+++ b/crates/distribution/tests/invalid_datagrams.rs
@@ -1,4 +1,4 @@
-//! What does not hold is counted by its reason and dropped: no panic, no state taken over half.
+//! Invalid datagrams are counted by their reason and dropped: no panic, and none applied in part.
 
 mod common;
 use common::*;
@@ -45,13 +45,13 @@
     bytes.extend(postcard::to_stdvec(what).expect("encoded"));
 }
 
-/// One follower of one source, and the source's sessions as a liar with the right key would have them.
-struct Liar {
+/// One follower of one source, and the source's sessions as a malicious with the right key would have them.
+struct MaliciousSource {
     net: Net,
     sessions: Sessions,
 }
 
-impl Liar {
+impl MaliciousSource {
     fn new(seed: u64) -> Self {
         let mut net = Net::new(seed, &[HERE]);
         net.publish_all(&entries(0..100, 10));
@@ -86,9 +86,9 @@
 }
 
 #[test]
-fn what_a_liar_with_the_key_says_is_refused_whole_and_counted() {
-    let mut liar = Liar::new(51);
-    let before = liar.net.followers[0].store().root_hash();
+fn invalid_responses_under_the_right_key_are_rejected_whole_and_counted() {
+    let mut malicious = MaliciousSource::new(51);
+    let before = malicious.net.followers[0].store().root_hash();
     let mut absurd = changes();
     messages::append_entry(&mut absurd, &entry(1, 50));
     messages::append_entry(&mut absurd, &entry(2, MAX_VERSION + 1));
@@ -151,11 +151,11 @@
         (vec![MAGIC, FORMAT_VERSION, 1], "garbled"),
     ];
     for (n, (body, reason)) in cases.into_iter().enumerate() {
-        let counted = liar.counted(reason);
-        liar.say(&body);
-        assert_eq!(liar.counted(reason), counted + 1, "case {n}: {reason}");
+        let counted = malicious.counted(reason);
+        malicious.say(&body);
+        assert_eq!(malicious.counted(reason), counted + 1, "case {n}: {reason}");
         assert_eq!(
-            liar.net.followers[0].store().root_hash(),
+            malicious.net.followers[0].store().root_hash(),
             before,
             "case {n}"
         );
@@ -163,13 +163,13 @@
     // The same ends still understand each other.
     let mut good = changes();
     messages::append_entry(&mut good, &entry(1, 50));
-    liar.say(&good);
-    let held = liar.net.followers[0].store().get(1);
+    malicious.say(&good);
+    let held = malicious.net.followers[0].store().get(1);
     assert_eq!(held.map(|entry| entry.version), Some(50));
 }
 
 #[test]
-fn absurd_asks_are_refused_and_counted() {
+fn invalid_requests_are_rejected_and_counted() {
     let mut net = Net::new(52, &[HERE]);
     net.publish_all(&entries(0..100, 10));
     let mut sessions = Sessions::new(greet::id_of("liar"), 7, keys());
@@ -226,9 +226,9 @@
     assert_eq!(counts, [2, 1, 2, 1, 1]);
 }
 
-/// From one who has another key, cut off, changed by a bit, of random bytes, sent again: none changes anything.
+/// Datagrams under another key, truncated, with a flipped bit, of random bytes, or replayed change nothing.
 #[test]
-fn what_is_not_sealed_for_this_run_changes_nothing() {
+fn datagrams_not_authenticated_for_this_incarnation_change_nothing() {
     for seed in 530..534 {
         let mut net = Net::new(seed, &[HERE]);
         net.tape = Some(Vec::new());
@@ -283,34 +283,34 @@
     }
 }
 
-/// Sealed rightly, and garbled at random inside: as a later or faulty program with the key would send it.
+/// Authenticated, with random bytes inside, as a later or faulty program would send them.
 #[test]
 fn random_bodies_under_the_right_key_never_panic() {
     for seed in 540..544 {
-        let mut liar = Liar::new(seed);
+        let mut malicious = MaliciousSource::new(seed);
         let mut good = changes();
         messages::append_entry(&mut good, &entry(1, 50));
         for _ in 0..5000 {
-            let rng = &mut liar.net.rng;
+            let rng = &mut malicious.net.rng;
             let mut body = good.clone();
             for _ in 0..rng.random_range(1..4) {
                 let at = rng.random_range(0..body.len());
                 body[at] = rng.random();
             }
             body.truncate(rng.random_range(0..=body.len()));
-            liar.say(&body);
-            let _ = liar.net.followers[0].take_outputs();
+            malicious.say(&body);
+            let _ = malicious.net.followers[0].take_outputs();
             let asked = messages::decode_request(&body);
             assert!(asked.is_err() || body[2] == 0);
         }
-        for entry in liar.net.followers[0].store().iter() {
+        for entry in malicious.net.followers[0].store().iter() {
             assert!(entry.version <= MAX_VERSION && entry.value.len() <= 512);
         }
     }
 }
 
 #[test]
-fn a_store_is_bounded_and_says_why() {
+fn a_full_store_rejects_entries_with_the_reason() {
     let mut store = EntryStore::default();
     let large = |key, version| Entry {
         key,
--- a/crates/distribution/tests/claims.rs
+++ b/crates/distribution/tests/lease_versions.rs
@@ -1,4 +1,4 @@
-//! Versions as the claims of today give them are believed, and those beyond are not.
+//! Versions derived from lease terms are accepted, and those beyond the highest are rejected.
 
 use spanspur_distribution::store::{EntryError, EntryStore, MAX_VERSION};
 use spanspur_leases::board::Entry;
@@ -7,8 +7,8 @@
 use spanspur_leases::{DutyId, Instance, InstanceId, Now, Output};
 use std::collections::BTreeMap;
 
-/// The first period that a lone voter gives when its wall clock says this.
-fn first_period(wall: u64) -> u64 {
+/// The first term that a single voter grants at this time of its wall clock.
+fn first_term(wall: u64) -> u64 {
     let me = InstanceId(7);
     let settings = Settings {
         me,
@@ -35,10 +35,10 @@
 }
 
 #[test]
-fn versions_of_the_claims_are_believed() {
+fn versions_of_lease_terms_are_accepted_and_higher_ones_rejected() {
     // 2026, and the end of 2099.
     for wall in [1_764_000_000_000, 4_102_444_799_000] {
-        let version = first_period(wall) << 20 | ((1 << 20) - 1);
+        let version = first_term(wall) << 20 | ((1 << 20) - 1);
         let entry = Entry {
             key: 1,
             version,
--- a/crates/distribution/tests/in_force.rs
+++ b/crates/distribution/tests/propagation.rs
@@ -1,11 +1,11 @@
-//! A source knows since when a change is in force at all followers of its that can be reached, who lags and who is dark.
+//! A source knows which changes all its reachable followers have confirmed and since when, who lags and who is disconnected.
 
 mod common;
 use common::*;
 use spanspur_distribution::source::{LAG_THRESHOLD, REACHABLE_FOR, TRACKING_INTERVAL};
 
 #[test]
-fn in_force_lagging_and_dark_are_told_apart() {
+fn propagated_lagging_and_disconnected_are_distinguished() {
     let mut net = Net::new(61, &[HERE]);
     net.publish_all(&entries(0..100, 10));
     for _ in 0..10 {
@@ -62,9 +62,9 @@
     assert!(net.same(3, 0));
 }
 
-/// A follower that has started anew holds nothing, whatever its last run had confirmed.
+/// A restarted follower holds nothing, whatever its previous incarnation had confirmed.
 #[test]
-fn a_follower_started_anew_has_confirmed_nothing() {
+fn a_restarted_follower_has_confirmed_nothing() {
     let mut net = Net::new(62, &[HERE]);
     // 167 pieces of 12 rows at 20 a second: a walk takes eight seconds.
     (net.limits.datagrams_per_second, net.limits.burst) = (20, 8);
@@ -84,7 +84,7 @@
     assert_eq!(net.sources[0].status(net.now).lagging, 0);
 }
 
-/// Lists are bounded, their counts are not.
+/// The lists are bounded, their counts are not.
 #[test]
 fn lists_of_a_status_are_bounded() {
     let mut net = Net::new(63, &[HERE]);
--- a/crates/distribution/tests/budget.rs
+++ b/crates/distribution/tests/rate_limits.rs
@@ -1,4 +1,4 @@
-//! A source stays within its rate whoever asks, and nobody is starved.
+//! A source stays within its rate limits whoever polls, and no follower starves.
 
 mod common;
 use common::*;
@@ -8,10 +8,10 @@
 use spanspur_membership::seal::Kind;
 use spanspur_membership::{Sessions, greet};
 
-/// Sixty followers start at once and are given little: all are full in about the time that the rate says, none far
+/// Sixty followers start at once under a low rate: all are synchronized in about the time that the rate allows, none far
 /// behind the others, and the rate holds in each second.
 #[test]
-fn a_crowd_is_paced_first_come_first_served_and_nobody_starves() {
+fn many_followers_are_served_in_order_within_the_rate_and_none_starves() {
     let mut net = Net::new(31, &[HERE]);
     net.limits = Limits {
         datagrams_per_second: 200,
@@ -53,9 +53,9 @@
     assert_eq!(net.backwards(), 0);
 }
 
-/// In a crowd a change still comes: it waits for its place as all do, and no longer.
+/// A change waits for its slot like all others, and no longer.
 #[test]
-fn a_change_reaches_a_follower_among_a_crowd_that_loads() {
+fn a_change_reaches_a_follower_while_many_others_resynchronize() {
     let mut net = Net::new(32, &[HERE]);
     net.limits.datagrams_per_second = 400;
     net.limits.burst = 40;
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_schedule_keeps_its_rate_and_its_order() {
+fn a_rate_limiter_keeps_its_rate_and_its_order() {
     let mut limiter = RateLimiter::new(0, 100, 10);
     assert_eq!(limiter.acquire(0, 50), 10, "the burst");
     assert_eq!(limiter.acquire(0, 1), 0);
@@ -97,9 +97,9 @@
     assert_eq!(limiter.acquire(1_000_000, 50), 10);
 }
 
-/// One that asks and never reads, under many names: each costs one answer's window, then one small datagram.
+/// One that polls and never reads, under many names: each costs one window of datagrams, then one small datagram.
 #[test]
-fn who_never_answers_costs_a_bounded_amount() {
+fn a_follower_that_never_reads_costs_a_bounded_amount() {
     let mut net = Net::new(33, &[HERE]);
     net.limits.datagrams_per_second = 100;
     net.limits.burst = 16;
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn asks_above_their_rate_are_dropped_and_counted() {
+fn requests_above_their_rate_are_dropped_and_counted() {
     let mut net = Net::new(34, &[HERE]);
     net.limits.requests_per_second = 5;
     net.restart_source(0, 150);
--- a/crates/distribution/tests/cursors.rs
+++ b/crates/distribution/tests/resync.rs
@@ -1,17 +1,17 @@
-//! What travels is what is new: over a cursor, over a comparison, and nothing where both hold the same.
+//! What is transferred is what is new: with a valid cursor, in a resynchronization, and nothing between equal contents.
 
 mod common;
 use common::*;
 use rand::seq::SliceRandom;
 use spanspur_distribution::messages::{self, Query, ResponseBody};
 
-/// Bytes that both ends sent, as sealed datagrams.
+/// Bytes that both sides sent, as sealed datagrams.
 fn bytes(net: &Net) -> u64 {
     net.sent.values().map(|sent| sent.0).sum()
 }
 
 #[test]
-fn a_cursor_of_another_run_with_an_equal_root_is_adopted_without_a_comparison() {
+fn with_an_equal_root_hash_the_head_of_a_new_incarnation_is_adopted_without_resync() {
     let mut net = Net::new(21, &[HERE, NEAR]);
     net.publish_all(&entries(0..5000, 10));
     let one = net.follow(HERE);
@@ -37,9 +37,9 @@
     assert_eq!(last.get("comparisons"), before.get("comparisons"));
 }
 
-/// 240 of 5,000 entries change while a follower is cut off, and the sources' logs are gone when it is back.
+/// 240 of 5,000 entries change while a follower is cut off, and the sources' change logs are gone when it is back.
 #[test]
-fn over_a_cursor_too_old_only_what_differs_travels() {
+fn with_an_expired_cursor_only_differing_entries_are_transferred() {
     let mut net = Net::new(22, &[HERE, NEAR]);
     net.limits.change_log_capacity = 100;
     for i in 0..2 {
@@ -77,9 +77,9 @@
     assert!(spent * 5 < all);
 }
 
-/// The same with the logs kept: rows, and hardly anything else.
+/// The same with the change logs retained: rows, and hardly anything else.
 #[test]
-fn over_a_cursor_that_is_kept_changes_travel_alone() {
+fn with_a_valid_cursor_only_changes_are_transferred() {
     let mut net = Net::new(23, &[HERE, NEAR]);
     net.publish_all(&entries(0..5000, 10));
     let one = net.follow(HERE);
@@ -104,9 +104,9 @@
     assert!(spent < 60 * 120 + 9 * 500, "{spent}");
 }
 
-/// A source that holds less than the follower: compared, it has nothing to give, and nothing is asked again at once.
+/// A source that holds less than the follower has nothing to transfer, and is not polled again at once.
 #[test]
-fn a_source_that_holds_less_gives_nothing() {
+fn a_source_that_holds_less_transfers_nothing() {
     let mut net = Net::new(24, &[HERE, NEAR]);
     net.publish_all(&entries(0..1000, 10));
     let one = net.follow(HERE);
@@ -127,9 +127,9 @@
     assert!(spent < 10 * 500, "{spent}");
 }
 
-/// What a comparison can't see, the later check does: a cursor at the head, and yet an entry is missing.
+/// A missing entry with a cursor at the head is found by the check of the contents.
 #[test]
-fn a_lasting_difference_is_compared_after_a_while() {
+fn a_lasting_divergence_at_the_head_is_resynchronized() {
     let mut net = Net::new(25, &[HERE]);
     net.publish_all(&entries(0..100, 10));
     let one = net.follow(HERE);
@@ -144,9 +144,9 @@
     assert_eq!(after - before, 2, "every ten minutes, no more often");
 }
 
-/// Answers come in pieces that each hold in one datagram, no more than eight at a time.
+/// Responses are of at most eight datagrams at a time.
 #[test]
-fn an_answer_is_a_bounded_window_of_whole_pieces() {
+fn a_response_is_a_bounded_window_of_datagrams() {
     let mut net = Net::new(26, &[HERE]);
     net.publish_all(&entries(0..5000, 10));
     let one = net.follow(HERE);
@@ -162,9 +162,9 @@
     assert_eq!(most, Some(&8));
 }
 
-/// Entries are taken in any order, and the cursor goes on only over what has come whole.
+/// Entries are applied in any order, and the cursor advances only over complete ranges.
 #[test]
-fn pieces_out_of_order_and_lost_leave_no_gap() {
+fn reordered_and_lost_datagrams_leave_no_gap() {
     for seed in 270..275 {
         let mut net = Net::new(seed, &[HERE, NEAR]);
         (net.loss, net.jitter) = (0.2, 200);
@@ -186,9 +186,9 @@
     }
 }
 
-/// Heads are never larger than what is set aside for them.
+/// Headers never exceed the space reserved for them.
 #[test]
-fn heads_fit() {
+fn headers_fit_into_their_limit() {
     let most = u64::MAX;
     let parts = [
         ResponseBody::Changes {
--- a/crates/distribution/tests/sizes.rs
+++ b/crates/distribution/tests/sizes.rs
@@ -1,4 +1,4 @@
-//! What an ask, an answer and a piece weigh, and what a source keeps of a follower: said, and bounded.
+//! The sizes of requests, responses and datagrams, and the memory of a follower at a source, within bounds.
 
 mod common;
 use common::*;
@@ -26,7 +26,7 @@
 
 /// One test alone in this file: the sum is of the whole process.
 #[test]
-fn asks_are_small_and_so_is_what_is_kept_of_a_follower() {
+fn requests_and_the_record_of_a_follower_are_small() {
     let mut net = Net::new(71, &[HERE, NEAR]);
     net.publish_all(&entries(0..5000, 1 << 50));
     let one = net.follow(HERE);
--- a/crates/distribution/tests/versions.rs
+++ b/crates/distribution/tests/versions.rs
@@ -1,4 +1,4 @@
-//! Versions only grow at a follower, whichever source answers, and what was removed stays removed.
+//! A follower's versions only increase, whichever source responds, and removed entries stay removed.
 
 mod common;
 use common::*;
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_source_with_old_state_brings_nothing_back() {
+fn a_source_with_old_state_reverts_nothing() {
     let mut net = Net::new(11, &[HERE, NEAR]);
     net.publish_all(&entries(0..300, 10));
     net.publish(1, &entries(0..300, 20));
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_source_restarted_with_less_brings_nothing_back_and_new_changes_pass() {
+fn a_source_restarted_with_less_reverts_nothing_and_new_changes_pass() {
     let mut net = Net::new(12, &[HERE, NEAR]);
     net.publish_all(&entries(0..300, 10));
     net.publish_all(&entries(0..200, 20));
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_frozen_source_woken_brings_nothing_back() {
+fn a_source_resumed_after_a_freeze_reverts_nothing() {
     let mut net = Net::new(13, &[HERE, NEAR, FAR]);
     net.publish_all(&entries(0..300, 10));
     let one = net.follow(HERE);
@@ -109,7 +109,7 @@
 
 /// Two writers in a partition: what both wrote is merged by version at whoever hears both.
 #[test]
-fn what_two_writers_wrote_merges_to_the_same_everywhere() {
+fn entries_of_two_writers_merge_to_the_same_everywhere() {
     let mut net = Net::new(15, &[HERE, NEAR]);
     net.publish(0, &entries(0..50, 10));
     net.publish(1, &entries(25..75, 11));
@@ -125,7 +125,7 @@
 
 /// Loss, doubling, cuts and restarts at random: versions never go back, and in the end all hold the same.
 #[test]
-fn faults_at_random_lose_nothing_and_bring_nothing_back() {
+fn random_faults_lose_nothing_and_revert_nothing() {
     for seed in 100..110 {
         let mut net = Net::new(seed, &[HERE, NEAR, FAR]);
         (net.loss, net.doubling, net.jitter) = (0.05, 0.05, 80);
--- a/crates/distribution/tests/wire_fixtures.rs
+++ b/crates/distribution/tests/wire_fixtures.rs
@@ -1,4 +1,4 @@
-//! Asks and answers of the distribution, the hashes of its store, and seeded runs of sources and followers, compared
+//! Requests and responses of the distribution, the hashes of its store, and seeded runs of sources and followers, compared
 //! with fixture files. Written by the tree at 71566bd; rewriting them (`WRITE_FIXTURES=1`) hides a change of the
 //! bytes between versions.
 
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn each_ask_keeps_its_bytes() {
+fn each_request_keeps_its_bytes() {
     let mut asks: Vec<(String, PollRequest, Vec<LeafVersions>)> = Vec::new();
     for (name, want) in wants() {
         let held = match want {
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn each_answer_keeps_its_bytes() {
+fn each_response_keeps_its_bytes() {
     let mut answers: Vec<(String, PollResponse, Payload)> = Vec::new();
     for (name, part, rows) in parts() {
         let ages = [
@@ -311,7 +311,7 @@
 }
 
 #[test]
-fn places_and_statuses_keep_their_bytes() {
+fn locations_and_statuses_keep_their_bytes() {
     let link = FollowedSourceStatus {
         name: "control-1".into(),
         role: 2,
