--- a/crates/distribution/src/channel.rs
+++ b/crates/distribution/src/channel.rs
@@ -2,8 +2,8 @@
 //! outputs.
 
 use crate::{Event, MAX_NAME, Millis, Output};
-use spanspur_membership::seal::{Kind, Opened, Refusal};
-use spanspur_membership::{Greetings, Identity, Keys, Sessions, greet};
+use spanspur_membership::authentication::{DatagramError, DatagramKind, OpenedDatagram};
+use spanspur_membership::{Handshakes, Identity, Keys, Sessions, handshake};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
 pub(crate) struct Channel {
     identity: Identity,
     sessions: Sessions,
-    handshakes: Greetings,
+    handshakes: Handshakes,
     outputs: Vec<Output>,
     counters: BTreeMap<&'static str, u64>,
 }
@@ -19,10 +19,10 @@
 impl Channel {
     /// A channel without sessions that answers at most `handshakes_per_second`.
     pub(crate) fn new(identity: Identity, keys: Keys, handshakes_per_second: u32) -> Self {
-        let id = greet::id_of(&identity.name);
+        let id = handshake::id_of(&identity.name);
         Self {
-            sessions: Sessions::new(id, identity.boot, keys),
-            handshakes: Greetings::new(handshakes_per_second),
+            sessions: Sessions::new(id, identity.incarnation, keys),
+            handshakes: Handshakes::new(handshakes_per_second),
             outputs: Vec::new(),
             counters: BTreeMap::new(),
             identity,
@@ -36,7 +36,7 @@
 
     /// This instance's incarnation.
     pub(crate) fn incarnation(&self) -> u64 {
-        self.identity.boot
+        self.identity.incarnation
     }
 
     /// Replaces the cluster's keys.
@@ -46,7 +46,7 @@
 
     /// Whether a session with this peer is established.
     pub(crate) fn has_session(&self, peer: u64) -> bool {
-        self.sessions.run_of(peer).is_some()
+        self.sessions.incarnation_of(peer).is_some()
     }
 
     /// Drops the session with a peer.
@@ -55,24 +55,27 @@
     }
 
     /// Authenticates a datagram; a rejected one is counted by its reason.
-    pub(crate) fn open<'a>(&mut self, bytes: &'a [u8]) -> Result<Opened<'a>, Refusal> {
+    pub(crate) fn open<'a>(
+        &mut self,
+        bytes: &'a [u8],
+    ) -> Result<OpenedDatagram<'a>, DatagramError> {
         let opened = self.sessions.open(bytes);
         if let Err(refusal) = &opened {
-            self.count(refusal.name());
+            self.count(refusal.counter_name());
         }
         opened
     }
 
     /// The identity in a handshake; an invalid one is counted by its reason.
-    pub(crate) fn peer_identity(&mut self, opened: &Opened<'_>) -> Option<Identity> {
-        match greet::identity(opened, &self.identity.name) {
+    pub(crate) fn peer_identity(&mut self, opened: &OpenedDatagram<'_>) -> Option<Identity> {
+        match handshake::verify_identity(opened, &self.identity.name) {
             Ok(identity) if identity.name.len() <= MAX_NAME => Some(identity),
             Ok(_) => {
                 self.count("name-too-long");
                 None
             }
-            Err(reason) => {
-                self.count(reason);
+            Err(error) => {
+                self.count(error.counter_name());
                 None
             }
         }
@@ -82,7 +85,7 @@
     pub(crate) fn start_handshake(&mut self, now: Millis, to: SocketAddr) {
         let greeting = self
             .handshakes
-            .greet(now, &self.sessions, &self.identity, to);
+            .build_greeting(now, &self.sessions, &self.identity, to);
         if let Some(bytes) = greeting {
             self.outputs.push(Output::Datagram(to, bytes));
         }
@@ -92,7 +95,7 @@
     pub(crate) fn answer_handshake(&mut self, now: Millis, to: SocketAddr, incarnation: u64) {
         let answer = self
             .handshakes
-            .answer(now, &self.sessions, &self.identity, incarnation);
+            .build_answer(now, &self.sessions, &self.identity, incarnation);
         match answer {
             Some(bytes) => self.outputs.push(Output::Datagram(to, bytes)),
             None => self.count("greetings-unanswered"),
@@ -101,7 +104,7 @@
 
     /// Authenticates and sends a message; `false` if there is no session with the peer.
     pub(crate) fn send(&mut self, peer: u64, to: SocketAddr, body: &[u8]) -> bool {
-        let Some(bytes) = self.sessions.seal(peer, Kind::Data, body) else {
+        let Some(bytes) = self.sessions.seal(peer, DatagramKind::Data, body) else {
             return false;
         };
         self.add("bytes", bytes.len() as u64);
--- a/crates/distribution/src/follower/mod.rs
+++ b/crates/distribution/src/follower/mod.rs
@@ -41,8 +41,8 @@
 use rand_chacha::ChaCha8Rng;
 use resync::Resync;
 use source_state::SourceState;
-use spanspur_membership::seal::{Kind, Opened, Refusal};
-use spanspur_membership::{Keys, greet};
+use spanspur_membership::authentication::{DatagramError, DatagramKind, OpenedDatagram};
+use spanspur_membership::{Keys, handshake};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -76,13 +76,13 @@
         let known = config.sources.into_iter().take(MAX_SOURCES);
         let sources: Vec<KnownSource> = known
             .map(|endpoint| KnownSource {
-                id: greet::id_of(&endpoint.name),
+                id: handshake::id_of(&endpoint.name),
                 endpoint,
             })
             .collect();
         let first_poll = now + rng.random_range(0..config.schedule.poll_interval.max(1));
         let preference = source_selection::rank_sources(
-            greet::id_of(&config.identity.name),
+            handshake::id_of(&config.identity.name),
             config.location,
             &sources,
             config.score,
@@ -111,20 +111,22 @@
         let opened = match self.channel.open(bytes) {
             Ok(opened) => opened,
             Err(refusal) => {
-                if refusal == Refusal::OtherRun && self.is_source_address(from) {
+                if refusal == DatagramError::OtherIncarnation && self.is_source_address(from) {
                     self.channel.start_handshake(now, from);
                 }
                 return;
             }
         };
-        let known = self.sources.iter().position(|s| s.id == opened.from);
+        let known = self.sources.iter().position(|s| s.id == opened.sender);
         let Some(source) = known else {
-            self.channel.forget(opened.from);
+            self.channel.forget(opened.sender);
             return self.channel.count("stranger");
         };
         match opened.kind {
-            Kind::Greeting | Kind::Answer => self.receive_handshake(now, source, &opened),
-            Kind::Data => self.receive_response(now, source, &opened),
+            DatagramKind::Greeting | DatagramKind::Answer => {
+                self.receive_handshake(now, source, &opened)
+            }
+            DatagramKind::Data => self.receive_response(now, source, &opened),
         }
     }
 
@@ -132,16 +134,17 @@
         self.sources.iter().any(|s| s.endpoint.address == address)
     }
 
-    fn receive_handshake(&mut self, now: Millis, source: SourceIndex, opened: &Opened<'_>) {
+    fn receive_handshake(&mut self, now: Millis, source: SourceIndex, opened: &OpenedDatagram<'_>) {
         if self.channel.peer_identity(opened).is_none() {
             return;
         }
-        if opened.kind == Kind::Greeting || opened.fresh {
+        if opened.kind == DatagramKind::Greeting || opened.is_new_incarnation {
             let address = self.sources[source].endpoint.address;
-            self.channel.answer_handshake(now, address, opened.boot);
+            self.channel
+                .answer_handshake(now, address, opened.incarnation);
         }
         // The source's first or a new incarnation: what was pending is requested again at once.
-        if opened.fresh {
+        if opened.is_new_incarnation {
             self.states[source].pending_request = None;
             self.mark_responsive(now, source);
             self.states[source].next_poll = now;
@@ -149,14 +152,14 @@
         }
     }
 
-    fn receive_response(&mut self, now: Millis, source: SourceIndex, opened: &Opened<'_>) {
-        if opened.fresh {
+    fn receive_response(&mut self, now: Millis, source: SourceIndex, opened: &OpenedDatagram<'_>) {
+        if opened.is_new_incarnation {
             let address = self.sources[source].endpoint.address;
             self.channel.start_handshake(now, address);
         }
         match messages::decode_response(opened.body) {
             Ok((response, payload)) => {
-                self.handle_response(now, source, opened.boot, &response, payload);
+                self.handle_response(now, source, opened.incarnation, &response, payload);
             }
             Err(error) => self.channel.count(error.counter()),
         }
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -30,7 +30,7 @@
 
 pub use follower::{Follower, FollowerConfig, FollowerStatus, PollSchedule};
 pub use source::{Limits, Source, SourceConfig, SourceStatus};
-pub use spanspur_leases::board::Entry;
+pub use spanspur_leases::GossipEntry as Entry;
 pub use store::EntryStore;
 
 use serde::{Deserialize, Serialize};
--- a/crates/distribution/src/messages/mod.rs
+++ b/crates/distribution/src/messages/mod.rs
@@ -23,7 +23,7 @@
 use crate::Entry;
 use crate::store::LEAVES_PER_BRANCH;
 use serde::{Deserialize, Serialize};
-use spanspur_membership::seal::{MAX_DATAGRAM, OVERHEAD};
+use spanspur_membership::authentication::{MAX_DATAGRAM, OVERHEAD};
 
 /// The first byte of each message.
 pub const MAGIC: u8 = 0xd5;
--- a/crates/distribution/src/source/config.rs
+++ b/crates/distribution/src/source/config.rs
@@ -1,6 +1,6 @@
 //! A source's configuration and limits.
 
-use spanspur_membership::seal::MAX_SENDERS;
+use spanspur_membership::authentication::MAX_SENDERS;
 use spanspur_membership::{Identity, Keys};
 
 /// The most followers of a source, as many as sessions are kept for.
--- a/crates/distribution/src/source/followers.rs
+++ b/crates/distribution/src/source/followers.rs
@@ -2,7 +2,7 @@
 
 use super::{MAX_FOLLOWERS, Source};
 use crate::Millis;
-use spanspur_membership::seal::Opened;
+use spanspur_membership::authentication::OpenedDatagram;
 use std::collections::BTreeMap;
 
 /// A follower heard from within this time is reachable: five polls, so that loss alone does not make it unreachable.
@@ -133,15 +133,15 @@
     pub(super) fn register_follower(
         &mut self,
         now: Millis,
-        opened: &Opened<'_>,
+        opened: &OpenedDatagram<'_>,
     ) -> Option<&mut FollowerState> {
-        let Some(follower) = self.followers.register(now, opened.from) else {
-            self.channel.forget(opened.from);
+        let Some(follower) = self.followers.register(now, opened.sender) else {
+            self.channel.forget(opened.sender);
             self.channel.count("followers-full");
             return None;
         };
         // In a new incarnation it may hold nothing.
-        if opened.fresh {
+        if opened.is_new_incarnation {
             follower.confirmed = 0;
         }
         Some(follower)
--- a/crates/distribution/src/source/mod.rs
+++ b/crates/distribution/src/source/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! Of each follower it keeps one small record and sends nothing unrequested but handshakes, so a follower that never
 //! comes back costs that record, for a day at most. It sends one small datagram in response to a poll that has
-//! nothing new, and otherwise datagrams of at most [`MAX_DATAGRAM`](spanspur_membership::seal::MAX_DATAGRAM) bytes
+//! nothing new, and otherwise datagrams of at most [`MAX_DATAGRAM`](spanspur_membership::authentication::MAX_DATAGRAM) bytes
 //! within the limit of its [`RateLimiter`].
 //!
 //! | module | contents |
@@ -37,7 +37,7 @@
 use followers::Followers;
 use propagation::ChangeTracker;
 use spanspur_membership::Keys;
-use spanspur_membership::seal::{Kind, Opened, Refusal};
+use spanspur_membership::authentication::{DatagramError, DatagramKind, OpenedDatagram};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -99,30 +99,32 @@
             Ok(opened) => opened,
             Err(refusal) => {
                 // Sealed by a member for an earlier incarnation of ours: it learns of the new one.
-                if refusal == Refusal::OtherRun {
+                if refusal == DatagramError::OtherIncarnation {
                     self.channel.start_handshake(now, from);
                 }
                 return;
             }
         };
         match opened.kind {
-            Kind::Greeting | Kind::Answer => self.receive_handshake(now, from, &opened),
-            Kind::Data => self.receive_request(now, from, &opened),
+            DatagramKind::Greeting | DatagramKind::Answer => {
+                self.receive_handshake(now, from, &opened)
+            }
+            DatagramKind::Data => self.receive_request(now, from, &opened),
         }
     }
 
-    fn receive_handshake(&mut self, now: Millis, from: SocketAddr, opened: &Opened<'_>) {
+    fn receive_handshake(&mut self, now: Millis, from: SocketAddr, opened: &OpenedDatagram<'_>) {
         let Some(identity) = self.channel.peer_identity(opened) else {
             return;
         };
         // A greeting can be a replay, so nothing is kept of it.
-        if opened.kind == Kind::Answer
+        if opened.kind == DatagramKind::Answer
             && let Some(follower) = self.register_follower(now, opened)
         {
             follower.name = identity.name;
         }
-        if opened.kind == Kind::Greeting || opened.fresh {
-            self.channel.answer_handshake(now, from, opened.boot);
+        if opened.kind == DatagramKind::Greeting || opened.is_new_incarnation {
+            self.channel.answer_handshake(now, from, opened.incarnation);
         }
     }
 
--- a/crates/distribution/src/source/requests.rs
+++ b/crates/distribution/src/source/requests.rs
@@ -4,7 +4,7 @@
 use super::catch_up::{Chunk, branch_hashes, changes, entries_from, leaf_hashes, newer_entries};
 use crate::Millis;
 use crate::messages::{self, LeafVersions, MAX_WINDOW, PollRequest, Query, ResponseBody};
-use spanspur_membership::seal::Opened;
+use spanspur_membership::authentication::OpenedDatagram;
 use std::net::SocketAddr;
 
 /// Where the response to a request goes.
@@ -24,10 +24,15 @@
 
 impl Source {
     /// Handles an authenticated request, unless there were too many in this second.
-    pub(super) fn receive_request(&mut self, now: Millis, from: SocketAddr, opened: &Opened<'_>) {
-        let known = self.followers.get(opened.from);
+    pub(super) fn receive_request(
+        &mut self,
+        now: Millis,
+        from: SocketAddr,
+        opened: &OpenedDatagram<'_>,
+    ) {
+        let known = self.followers.get(opened.sender);
         let is_named = known.is_some_and(|follower| !follower.name.is_empty());
-        if opened.fresh || !is_named {
+        if opened.is_new_incarnation || !is_named {
             self.channel.start_handshake(now, from);
         }
         if !self.request_limit.admit(now) {
@@ -41,7 +46,7 @@
             return;
         }
         let requester = Requester {
-            id: opened.from,
+            id: opened.sender,
             address: from,
             nonce: request.nonce,
         };
--- a/crates/distribution/src/store/mod.rs
+++ b/crates/distribution/src/store/mod.rs
@@ -7,7 +7,7 @@
 use hash_tree::HashTree;
 pub use hash_tree::{BRANCHES, LEAVES, LEAVES_PER_BRANCH, leaf_of, leaf_range, position};
 
-use spanspur_leases::board::{Entry, MAX_KEYS, MAX_VALUE};
+use spanspur_leases::gossip_store::{GossipEntry as Entry, MAX_KEYS, MAX_VALUE_BYTES};
 use std::collections::BTreeMap;
 use thiserror::Error;
 
@@ -28,8 +28,8 @@
     /// Its version is 0 or above [`MAX_VERSION`].
     #[error("version is 0 or above {MAX_VERSION}")]
     InvalidVersion,
-    /// Its value is longer than the gossip store's `MAX_VALUE`.
-    #[error("value is longer than {MAX_VALUE} bytes")]
+    /// Its value is longer than the gossip store's `MAX_VALUE_BYTES`.
+    #[error("value is longer than {MAX_VALUE_BYTES} bytes")]
     ValueTooLarge,
     /// The store holds [`MAX_ENTRIES`] or [`MAX_BYTES`].
     #[error("store is full: {MAX_ENTRIES} entries or {MAX_BYTES} bytes of values")]
@@ -55,7 +55,7 @@
     if version == 0 || version > MAX_VERSION {
         return Err(EntryError::InvalidVersion);
     }
-    match value.len() > MAX_VALUE {
+    match value.len() > MAX_VALUE_BYTES {
         true => Err(EntryError::ValueTooLarge),
         false => Ok(()),
     }
--- a/crates/distribution/tests/invalid_datagrams.rs
+++ b/crates/distribution/tests/invalid_datagrams.rs
@@ -9,8 +9,8 @@
 };
 use spanspur_distribution::store::{EntryError, MAX_VERSION};
 use spanspur_distribution::{Entry, EntryStore};
-use spanspur_membership::seal::Kind;
-use spanspur_membership::{Key, Keys, Sessions, greet};
+use spanspur_membership::authentication::DatagramKind;
+use spanspur_membership::{Key, Keys, Sessions, handshake};
 
 fn answer(part: ResponseBody) -> PollResponse {
     PollResponse {
@@ -58,11 +58,11 @@
         net.follow(HERE);
         net.run(3000);
         // Another run of the source, which the follower has met.
-        let me = greet::id_of("control-0");
+        let me = handshake::id_of("control-0");
         let mut sessions = Sessions::new(me, 300, keys());
         let identity = identity("control-0", source_at(0), 300);
         let body = postcard::to_stdvec(&identity).expect("encoded");
-        let hello = sessions.answer(100, &body).expect("fits");
+        let hello = sessions.seal_answer(100, &body).expect("fits");
         net.cut.insert(source_at(0));
         net.followers[0].receive(net.now, source_at(0), &hello);
         for effect in net.followers[0].take_outputs() {
@@ -74,8 +74,11 @@
     }
 
     fn say(&mut self, body: &[u8]) {
-        let to = greet::id_of("balancer-0");
-        let bytes = self.sessions.seal(to, Kind::Data, body).expect("sealed");
+        let to = handshake::id_of("balancer-0");
+        let bytes = self
+            .sessions
+            .seal(to, DatagramKind::Data, body)
+            .expect("sealed");
         self.net.followers[0].receive(self.net.now, source_at(0), &bytes);
     }
 
@@ -172,9 +175,9 @@
 fn invalid_requests_are_rejected_and_counted() {
     let mut net = Net::new(52, &[HERE]);
     net.publish_all(&entries(0..100, 10));
-    let mut sessions = Sessions::new(greet::id_of("liar"), 7, keys());
+    let mut sessions = Sessions::new(handshake::id_of("liar"), 7, keys());
     let body = postcard::to_stdvec(&identity("liar", follower_at(0), 7)).expect("encoded");
-    let hello = sessions.answer(100, &body).expect("fits");
+    let hello = sessions.seal_answer(100, &body).expect("fits");
     net.sources[0].receive(net.now, follower_at(0), &hello);
     for effect in net.sources[0].take_outputs() {
         if let spanspur_distribution::Output::Datagram(_, bytes) = effect {
@@ -207,8 +210,10 @@
         (changes(), "other-kind"),
     ];
     for (body, reason) in cases {
-        let to = greet::id_of("control-0");
-        let bytes = sessions.seal(to, Kind::Data, &body).expect("sealed");
+        let to = handshake::id_of("control-0");
+        let bytes = sessions
+            .seal(to, DatagramKind::Data, &body)
+            .expect("sealed");
         net.sources[0].receive(net.now, follower_at(0), &bytes);
         let datagrams = net.sources[0].take_outputs();
         assert!(net.sources[0].counters()[reason] >= 1, "{reason}");
@@ -261,8 +266,8 @@
             net.deliver(*from, *to, &bytes);
         }
         let other = Keys(vec![Key::new(b"the secret of somebody else")]);
-        let stranger = Sessions::new(greet::id_of("control-0"), 100, other);
-        let forged = stranger.answer(100, b"x").expect("fits");
+        let stranger = Sessions::new(handshake::id_of("control-0"), 100, other);
+        let forged = stranger.seal_answer(100, b"x").expect("fits");
         net.deliver(source_at(0), follower_at(0), &forged);
         let refused: u64 = [net.sources[0].counters(), net.followers[0].counters()]
             .iter()
--- a/crates/distribution/tests/rate_limits.rs
+++ b/crates/distribution/tests/rate_limits.rs
@@ -5,8 +5,8 @@
 use spanspur_distribution::messages::{self, MAX_WINDOW, PollRequest, Query, ResponseBody};
 use spanspur_distribution::rate_limiter::{RESERVATION_TOLERANCE, RateLimiter};
 use spanspur_distribution::{Limits, Output};
-use spanspur_membership::seal::Kind;
-use spanspur_membership::{Sessions, greet};
+use spanspur_membership::authentication::DatagramKind;
+use spanspur_membership::{Sessions, handshake};
 
 /// Sixty followers start at once under a low rate: all are synchronized in about the time that the rate allows, none far
 /// behind the others, and the rate holds in each second.
@@ -113,11 +113,11 @@
     for second in 0..20 {
         for n in 0..100 {
             let name = format!("silent-{n}");
-            let mut sessions = Sessions::new(greet::id_of(&name), 7 + second, keys());
+            let mut sessions = Sessions::new(handshake::id_of(&name), 7 + second, keys());
             let me = identity(&name, follower_at(n), 7 + second);
             let body = postcard::to_stdvec(&me).expect("encoded");
-            let greeting = sessions.greet(&body).expect("fits");
-            let hello = sessions.answer(150, &body).expect("fits");
+            let greeting = sessions.seal_greeting(&body).expect("fits");
+            let hello = sessions.seal_answer(150, &body).expect("fits");
             net.sources[0].receive(net.now, follower_at(n), &greeting);
             net.sources[0].receive(net.now, follower_at(n), &hello);
             for effect in net.sources[0].take_outputs() {
@@ -135,8 +135,9 @@
                 window: MAX_WINDOW,
                 query: Query::Entries { from: 0 },
             };
-            let to = greet::id_of("control-0");
-            let Some(sealed) = sessions.seal(to, Kind::Data, &messages::encode_request(&ask, &[]))
+            let to = handshake::id_of("control-0");
+            let Some(sealed) =
+                sessions.seal(to, DatagramKind::Data, &messages::encode_request(&ask, &[]))
             else {
                 continue;
             };
--- a/crates/distribution/tests/wire_fixtures.rs
+++ b/crates/distribution/tests/wire_fixtures.rs
@@ -17,8 +17,8 @@
 use spanspur_distribution::{
     Entry, EntryStore, Event, FollowerStatus, Limits, Location, SourceStatus,
 };
-use spanspur_leases::board::MAX_VALUE;
-use spanspur_membership::seal::Kind;
+use spanspur_leases::gossip_store::MAX_VALUE_BYTES;
+use spanspur_membership::authentication::DatagramKind;
 use std::collections::BTreeSet;
 use wire_fixtures::Record;
 use xxhash_rust::xxh3::xxh3_64;
@@ -130,7 +130,7 @@
         sample(0, 1, 0),
         sample(1, 127, 1),
         sample(0x0123_4567_89ab_cdef, 128, 90),
-        sample(u64::MAX, MAX_VERSION, MAX_VALUE),
+        sample(u64::MAX, MAX_VERSION, MAX_VALUE_BYTES),
     ]
 }
 
@@ -373,11 +373,11 @@
 
 /// Adds which asks and answers a datagram holds, so that a run that covers less shows.
 fn add_kinds(kinds: &mut BTreeSet<&'static str>, datagram: &[u8]) {
-    if datagram[SEAL_KIND] == Kind::Greeting as u8 {
+    if datagram[SEAL_KIND] == DatagramKind::Greeting as u8 {
         kinds.insert("greeting");
         return;
     }
-    if datagram[SEAL_KIND] == Kind::Answer as u8 {
+    if datagram[SEAL_KIND] == DatagramKind::Answer as u8 {
         kinds.insert("greeting-answered");
         return;
     }
--- a/crates/fleet-rig/src/capacity/control.rs
+++ b/crates/fleet-rig/src/capacity/control.rs
@@ -14,16 +14,16 @@
 /// `seal::MAX_SENDERS` before the distribution raised it, as the flat cluster was measured.
 const SENDERS_BEFORE: f64 = 1024.0;
 
-const BOARD_FILE: &str = "crates/leases/src/board.rs";
-const SEAL_FILE: &str = "crates/membership/src/seal.rs";
+const BOARD_FILE: &str = "crates/leases/src/gossip_store.rs";
+const SEAL_FILE: &str = "crates/membership/src/authentication.rs";
 const SOURCE_FILE: &str = "crates/distribution/src/source/mod.rs";
 const LIMITS_FILE: &str = "crates/distribution/src/source/config.rs";
 const WIRE_FILE: &str = "crates/distribution/src/messages/mod.rs";
 
 const NODE: Mechanism = Mechanism::Is("crates/cluster/src/node.rs", "pub struct Node");
 const SEAL: Mechanism = Mechanism::Is(SEAL_FILE, "MAX_SENDERS");
-const BOARD: Mechanism = Mechanism::Is(BOARD_FILE, "fn pass_on");
-const VOTE: Mechanism = Mechanism::Is("crates/leases/src/vote.rs", "MAX_DUTIES");
+const BOARD: Mechanism = Mechanism::Is(BOARD_FILE, "fn disseminate");
+const VOTE: Mechanism = Mechanism::Is("crates/leases/src/acceptor.rs", "MAX_LEASES");
 const FOLLOWER: Mechanism = Mechanism::Is(
     "crates/distribution/src/follower/mod.rs",
     "pub struct Follower",
@@ -384,7 +384,7 @@
             row("until the region's own control instances hold all", when, Unit::Seconds, cut("/control", 1e-3))
                 .by(BOARD)
                 .limit(in_force(book))
-                .answer("a comparison of boards that sends what differs alone: missing (`crates/leases/src/board.rs`)"),
+                .answer("a comparison of boards that sends what differs alone: missing (`crates/leases/src/gossip_store.rs`)"),
         );
     }
     rows
@@ -412,7 +412,7 @@
 pub fn control_flat(book: &Book) -> Vec<Row> {
     let duties = || {
         Limit::Code(
-            book.code("crates/leases/src/vote.rs", "MAX_DUTIES"),
+            book.code("crates/leases/src/acceptor.rs", "MAX_LEASES"),
             "vote::MAX_DUTIES",
         )
     };
--- a/crates/fleet-rig/src/distribution/sockets.rs
+++ b/crates/fleet-rig/src/distribution/sockets.rs
@@ -17,7 +17,7 @@
 use spanspur_distribution::{
     Entry, FollowerConfig, Limits, PollSchedule, SourceConfig, SourceEndpoint,
 };
-use spanspur_leases::DutyId;
+use spanspur_leases::LeaseId;
 use spanspur_membership::{Identity, Key, Keys};
 use std::cell::{Cell, RefCell};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, UdpSocket};
@@ -220,8 +220,8 @@
     Identity {
         name: name(i),
         address,
-        boot: unix.unwrap_or_default().as_millis() as u64,
-        renewed: 0,
+        incarnation: unix.unwrap_or_default().as_millis() as u64,
+        refutations: 0,
     }
 }
 
@@ -350,7 +350,7 @@
 
 /// Where the list is confirmed on the board; not passed on to followers.
 fn beat_key() -> u64 {
-    DutyId::of("list/beat").0
+    LeaseId::of("list/beat").0
 }
 
 fn publish((node, distributor): &Control, entries: Vec<Entry>) {
