--- a/crates/cluster/src/distribution.rs
+++ b/crates/cluster/src/distribution.rs
@@ -1,6 +1,6 @@
 //! Drives both sides of the replication over sockets: a control instance's source, and a balancer's follower.
 
-use crate::port::{self, Endpoint, Port};
+use crate::udp_endpoint::{self, DatagramHandler, UdpEndpoint};
 use serde::{Deserialize, Serialize};
 use spanspur_distribution::{
     Entry, Event, Follower, FollowerConfig, FollowerStatus, Millis, Output, Source, SourceConfig,
@@ -48,7 +48,7 @@
 pub struct SourceDriver(Rc<SourceTask>);
 
 struct SourceTask {
-    port: Port,
+    endpoint: UdpEndpoint,
     datagrams_per_second: u32,
     source: RefCell<Source>,
 }
@@ -59,25 +59,25 @@
     /// # Errors
     /// The address can't be bound.
     pub async fn start(config: SourceConfig) -> io::Result<Self> {
-        let port = Port::open(config.identity.address).await?;
+        let endpoint = UdpEndpoint::open(config.identity.address).await?;
         let driver = Self(Rc::new(SourceTask {
             datagrams_per_second: config.limits.datagrams_per_second,
-            source: RefCell::new(Source::new(port.now(), config)),
-            port,
+            source: RefCell::new(Source::new(endpoint.now(), config)),
+            endpoint,
         }));
-        spawn_local(port::run(driver.clone()));
+        spawn_local(udp_endpoint::serve(driver.clone()));
         Ok(driver)
     }
 
     /// Takes entries from the cluster's gossip store; those that are not newer change nothing.
     pub fn publish(&self, entries: &[Entry]) {
-        let now = self.0.port.now();
+        let now = self.0.endpoint.now();
         self.0.source.borrow_mut().publish(now, entries);
     }
 
     /// All that was published is all that exists, as of now.
     pub fn confirm_complete(&self) {
-        let now = self.0.port.now();
+        let now = self.0.endpoint.now();
         self.0.source.borrow_mut().confirm_complete(now);
     }
 
@@ -91,21 +91,21 @@
         let source = self.0.source.borrow();
         ChangesAnswer {
             status: ReplicationStatus::Source {
-                status: source.status(self.0.port.now()),
+                status: source.status(self.0.endpoint.now()),
                 datagrams_per_second: self.0.datagrams_per_second,
             },
-            counters: all_counters(source.counters(), &self.0.port),
+            counters: all_counters(source.counters(), &self.0.endpoint),
         }
     }
 }
 
-impl Endpoint for SourceDriver {
-    fn port(&self) -> &Port {
-        &self.0.port
+impl DatagramHandler for SourceDriver {
+    fn endpoint(&self) -> &UdpEndpoint {
+        &self.0.endpoint
     }
 
     fn receive(&self, from: SocketAddr, bytes: &[u8]) {
-        let now = self.0.port.now();
+        let now = self.0.endpoint.now();
         self.0.source.borrow_mut().receive(now, from, bytes);
     }
 
@@ -114,14 +114,14 @@
     }
 
     fn wake(&self) {
-        self.0.source.borrow_mut().wake(self.0.port.now());
+        self.0.source.borrow_mut().wake(self.0.endpoint.now());
     }
 
-    fn carry_out(&self) {
+    fn apply_effects(&self) {
         let outputs = self.0.source.borrow_mut().take_outputs();
         for output in outputs {
             match output {
-                Output::Datagram(to, bytes) => self.0.port.send(to, &bytes),
+                Output::Datagram(to, bytes) => self.0.endpoint.send(to, &bytes),
                 Output::Event(event) => log_event(event),
                 // Only followers emit updates.
                 Output::EntryUpdated(_) => {}
@@ -139,7 +139,7 @@
 pub struct FollowerDriver(Rc<FollowerTask>);
 
 struct FollowerTask {
-    port: Port,
+    endpoint: UdpEndpoint,
     follower: RefCell<Follower>,
     on_update: UpdateHandler,
 }
@@ -150,14 +150,14 @@
     /// # Errors
     /// The address can't be bound.
     pub async fn start(mut config: FollowerConfig, on_update: UpdateHandler) -> io::Result<Self> {
-        let port = Port::open(config.identity.address).await?;
-        config.identity.address = port.address()?;
+        let endpoint = UdpEndpoint::open(config.identity.address).await?;
+        config.identity.address = endpoint.address()?;
         let driver = Self(Rc::new(FollowerTask {
-            follower: RefCell::new(Follower::new(port.now(), config)),
-            port,
+            follower: RefCell::new(Follower::new(endpoint.now(), config)),
+            endpoint,
             on_update,
         }));
-        spawn_local(port::run(driver.clone()));
+        spawn_local(udp_endpoint::serve(driver.clone()));
         Ok(driver)
     }
 
@@ -171,20 +171,20 @@
         let follower = self.0.follower.borrow();
         ChangesAnswer {
             status: ReplicationStatus::Follower {
-                status: follower.status(self.0.port.now()),
+                status: follower.status(self.0.endpoint.now()),
             },
-            counters: all_counters(follower.counters(), &self.0.port),
+            counters: all_counters(follower.counters(), &self.0.endpoint),
         }
     }
 }
 
-impl Endpoint for FollowerDriver {
-    fn port(&self) -> &Port {
-        &self.0.port
+impl DatagramHandler for FollowerDriver {
+    fn endpoint(&self) -> &UdpEndpoint {
+        &self.0.endpoint
     }
 
     fn receive(&self, from: SocketAddr, bytes: &[u8]) {
-        let now = self.0.port.now();
+        let now = self.0.endpoint.now();
         self.0.follower.borrow_mut().receive(now, from, bytes);
     }
 
@@ -193,27 +193,27 @@
     }
 
     fn wake(&self) {
-        self.0.follower.borrow_mut().wake(self.0.port.now());
+        self.0.follower.borrow_mut().wake(self.0.endpoint.now());
     }
 
-    fn carry_out(&self) {
+    fn apply_effects(&self) {
         let outputs = self.0.follower.borrow_mut().take_outputs();
         let mut updated = Vec::new();
         for output in outputs {
             match output {
-                Output::Datagram(to, bytes) => self.0.port.send(to, &bytes),
+                Output::Datagram(to, bytes) => self.0.endpoint.send(to, &bytes),
                 Output::Event(event) => log_event(event),
                 Output::EntryUpdated(entry) => updated.push(entry),
             }
         }
-        let data_age = self.0.follower.borrow().data_age(self.0.port.now());
+        let data_age = self.0.follower.borrow().data_age(self.0.endpoint.now());
         (self.0.on_update)(&updated, data_age);
     }
 }
 
 /// The counters of one side, and those of its socket.
-fn all_counters(own: BTreeMap<&'static str, u64>, port: &Port) -> BTreeMap<String, u64> {
-    let traffic = port.traffic().named();
+fn all_counters(own: BTreeMap<&'static str, u64>, endpoint: &UdpEndpoint) -> BTreeMap<String, u64> {
+    let traffic = endpoint.traffic().named_counters();
     let all = own.into_iter().chain(traffic);
     all.map(|(name, count)| (name.to_owned(), count)).collect()
 }
--- a/crates/fleet-rig/src/distribution/sockets.rs
+++ b/crates/fleet-rig/src/distribution/sockets.rs
@@ -12,8 +12,8 @@
 use spanspur_cluster::distribution::{
     ChangesAnswer, FollowerDriver, ReplicationStatus, SourceDriver,
 };
-use spanspur_cluster::driver::{Cluster, Handle};
-use spanspur_cluster::node::Setup;
+use spanspur_cluster::driver::{Cluster, ClusterHandle};
+use spanspur_cluster::node::NodeConfig;
 use spanspur_distribution::{
     Entry, FollowerConfig, Limits, PollSchedule, SourceConfig, SourceEndpoint,
 };
@@ -309,20 +309,20 @@
 }
 
 /// A control instance: its node and its source.
-type Control = (Handle, SourceDriver);
+type Control = (ClusterHandle, SourceDriver);
 
 async fn start(cluster: &[SocketAddr], sources: &[SocketAddr]) -> Result<Vec<Control>, String> {
     let mut controls = Vec::new();
     for (i, (at, source)) in cluster.iter().zip(sources).enumerate() {
-        let setup = Setup {
-            me: identity(i, *at),
+        let setup = NodeConfig {
+            identity: identity(i, *at),
             keys: keys(),
             seeds: cluster.iter().take(3).copied().collect(),
             voters: (0..CONTROLS).map(name).collect(),
-            skew: 1000,
-            pace: PACE,
+            max_clock_skew: 1000,
+            probe_timing: PACE,
             ranking: ranking(),
-            seed: i as u64,
+            random_seed: i as u64,
         };
         let (node, mut fresh) = Cluster::start(setup)
             .await
