--- a/crates/distribution/tests/sizes.rs
+++ b/crates/distribution/tests/sizes.rs
@@ -1,4 +1,4 @@
-//! What an ask, an answer and a piece weigh, and what a source keeps of a follower: said, and bounded.
+//! The sizes of requests, responses and datagrams, and the memory of a follower at a source, within bounds.
 
 mod common;
 use common::*;
@@ -26,7 +26,7 @@
 
 /// One test alone in this file: the sum is of the whole process.
 #[test]
-fn asks_are_small_and_so_is_what_is_kept_of_a_follower() {
+fn requests_and_the_record_of_a_follower_are_small() {
     let mut net = Net::new(71, &[HERE, NEAR]);
     net.publish_all(&entries(0..5000, 1 << 50));
     let one = net.follow(HERE);
@@ -79,7 +79,7 @@
             let body = postcard::to_stdvec(&me).expect("encoded");
             let hello = sessions.seal_answer(100, &body).expect("fits");
             source.receive(net.now, follower_at(100 + i), &hello);
-            drop(source.effects());
+            drop(source.take_outputs());
             made.push(i);
         }
         drop(made);
--- a/src/cli/changes.rs
+++ b/src/cli/changes.rs
@@ -4,9 +4,9 @@
 use super::query::Query;
 use super::table::{age, counter_table, fact_table, table};
 use comfy_table::Table;
-use spanspur_cluster::distribution::{ChangesAnswer, End};
+use spanspur_cluster::distribution::{ChangesAnswer, ReplicationStatus};
 use spanspur_distribution::follower::FollowerStatus;
-use spanspur_distribution::source::{Behind, SourceStatus};
+use spanspur_distribution::source::{FollowerDelay, SourceStatus};
 
 /// Changes that the table shows; `--json` has all that are kept.
 const MAX_SHOWN_CHANGES: usize = 20;
@@ -24,9 +24,12 @@
         print!("{text}");
         return Ok(());
     }
-    match &answer.end {
-        End::Source { status, rate } => print_source(status, *rate),
-        End::Follower { status } => print_follower(status),
+    match &answer.status {
+        ReplicationStatus::Source {
+            status,
+            datagrams_per_second,
+        } => print_source(status, *datagrams_per_second),
+        ReplicationStatus::Follower { status } => print_follower(status),
     }
     println!("{}", counter_table(&answer.counters));
     Ok(())
@@ -36,19 +39,24 @@
     let facts = [
         ("name", status.name.clone()),
         ("entries", status.entries.to_string()),
-        ("newest version", status.newest.to_string()),
-        ("age", age(status.age)),
+        ("newest version", status.newest_version.to_string()),
+        ("age", age(status.data_age)),
         ("followers", status.followers.to_string()),
-        ("follow it first", status.first.to_string()),
+        ("follow it first", status.primary_followers.to_string()),
         ("lag", status.lagging.to_string()),
-        ("in the dark", status.dark.to_string()),
+        ("in the dark", status.disconnected.to_string()),
         ("budget", format!("{rate} pieces a second")),
-        ("spoken for", format!("{} ms ahead", status.ahead)),
+        ("spoken for", format!("{} ms ahead", status.backlog)),
     ];
     println!("{}", fact_table("source", facts));
     println!("{}", change_table(status));
-    print_behind("lags", "by", status.lagging, &status.laggards);
-    print_behind("in the dark", "for", status.dark, &status.darkened);
+    print_behind("lags", "by", status.lagging, &status.lagging_followers);
+    print_behind(
+        "in the dark",
+        "for",
+        status.disconnected,
+        &status.disconnected_followers,
+    );
 }
 
 fn change_table(status: &SourceStatus) -> Table {
@@ -57,19 +65,19 @@
         table.add_row([
             format!("{:016x}", change.key),
             change.version.to_string(),
-            format!("{} ms ago", change.ago),
-            match change.after {
+            format!("{} ms ago", change.age),
+            match change.propagated_after {
                 Some(after) => format!("after {after} ms"),
                 None => "not yet".into(),
             },
-            format!("{} followers", change.of),
+            format!("{} followers", change.followers),
         ]);
     }
     table
 }
 
 /// Prints the followers that are behind, `listed` of `total`, under a header of `state` and `measure`.
-fn print_behind(state: &str, measure: &str, total: usize, listed: &[Behind]) {
+fn print_behind(state: &str, measure: &str, total: usize, listed: &[FollowerDelay]) {
     if total == 0 {
         return;
     }
@@ -79,7 +87,7 @@
             true => "?",
             false => &follower.name,
         };
-        table.add_row([name.to_owned(), format!("{} ms", follower.since)]);
+        table.add_row([name.to_owned(), format!("{} ms", follower.delay)]);
     }
     if total > listed.len() {
         table.add_row([format!("and {} more", total - listed.len()), String::new()]);
@@ -91,16 +99,16 @@
     let facts = [
         ("name", status.name.clone()),
         ("state", follower_state(status).to_owned()),
-        ("age", age(status.age)),
+        ("age", age(status.data_age)),
         ("entries", status.entries.to_string()),
-        ("newest version", status.newest.to_string()),
+        ("newest version", status.newest_version.to_string()),
     ];
     println!("{}", fact_table("follower", facts));
     println!("{}", followed_source_table(status));
 }
 
 fn follower_state(status: &FollowerStatus) -> &'static str {
-    match (status.dark, status.full, status.catching_up) {
+    match (status.disconnected, status.synchronized, status.resyncing) {
         (true, ..) => "in the dark: no source answers",
         (_, false, _) => "not full yet",
         (_, _, true) => "catching up",
@@ -116,12 +124,12 @@
             2 => "second",
             _ => "-",
         };
-        let state = if source.silent { "silent" } else { "" };
+        let state = if source.disconnected { "silent" } else { "" };
         table.add_row([
             source.name.clone(),
             role.to_owned(),
             state.to_owned(),
-            age(source.age),
+            age(source.data_age),
         ]);
     }
     table
--- a/src/cluster/list_distributor.rs
+++ b/src/cluster/list_distributor.rs
@@ -4,9 +4,9 @@
 use super::gossip_entries::{ListEntry, ListSummary, ReplicatedList};
 use super::{derive_keys, new_identity};
 use crate::api;
-use spanspur_cluster::distribution::{ChangesAnswer, Distributor};
-use spanspur_distribution::wire::MAX_WINDOW;
-use spanspur_distribution::{Limits, SourceSetup};
+use spanspur_cluster::distribution::{ChangesAnswer, SourceDriver};
+use spanspur_distribution::messages::MAX_WINDOW;
+use spanspur_distribution::{Limits, SourceConfig};
 use spanspur_leases::GossipEntry;
 use spanspur_operator_config::Distribute;
 use std::cell::RefCell;
@@ -17,7 +17,7 @@
 
 /// Passes the list on.
 pub struct ListDistributor {
-    distributor: Distributor,
+    distributor: SourceDriver,
     /// What was passed on, to tell whether it is the whole list.
     distributed: RefCell<ReplicatedList>,
 }
@@ -33,18 +33,18 @@
         name: &str,
         cluster_secrets: &[String],
     ) -> Result<Rc<Self>, ClusterError> {
-        let setup = SourceSetup {
-            me: new_identity(name, settings.listen),
+        let setup = SourceConfig {
+            identity: new_identity(name, settings.listen),
             keys: derive_keys(secrets(settings, cluster_secrets)),
             limits: Limits {
-                pieces_per_second: settings.rate,
+                datagrams_per_second: settings.rate,
                 // One whole answer at least.
                 burst: (settings.rate / BURST_SHARE).max(u32::from(MAX_WINDOW)),
                 ..Limits::default()
             },
             seed: api::Key::of(name).0,
         };
-        let distributor = Distributor::start(setup).await;
+        let distributor = SourceDriver::start(setup).await;
         let distributor = distributor.map_err(|source| ClusterError::Listen {
             section: "distribute",
             address: settings.listen,
@@ -77,7 +77,7 @@
     /// Tells the followers that the list is up to date, if the holder's summary matches what was passed on.
     fn confirm(&self, summary: ListSummary) {
         if self.distributed.borrow_mut().complete_summary() == Some(summary) {
-            self.distributor.heard();
+            self.distributor.confirm_complete();
         }
     }
 
--- a/src/cluster/list_follower.rs
+++ b/src/cluster/list_follower.rs
@@ -6,15 +6,15 @@
 use crate::api;
 use crate::runtime::Runtime;
 use spanspur_cluster::control;
-use spanspur_cluster::distribution::Following;
-use spanspur_distribution::{AskPace, FollowerSetup, Place, SourceAt};
+use spanspur_cluster::distribution::FollowerDriver;
+use spanspur_distribution::{FollowerConfig, Location, PollSchedule, SourceEndpoint};
 use spanspur_leases::GossipEntry;
 use spanspur_operator_config::{Follow, OperatorConfig};
 use std::rc::Rc;
 
 /// Follows the list.
 pub struct ListFollower {
-    following: Following,
+    following: FollowerDriver,
     endpoint_list: Rc<SharedEndpointList>,
 }
 
@@ -32,7 +32,7 @@
             return Ok(None);
         };
         let setup = follower_setup(runtime, follow)?;
-        let name = setup.me.name.clone();
+        let name = setup.identity.name.clone();
         let endpoint_list = Rc::new(SharedEndpointList::read_only());
         endpoint_list.configure(Some(follow.max_age_ms));
         let (list, balancer) = (endpoint_list.clone(), runtime.clone());
@@ -41,7 +41,7 @@
                 balancer.update_from_distribution(update);
             }
         };
-        let following = Following::start(setup, Box::new(apply)).await;
+        let following = FollowerDriver::start(setup, Box::new(apply)).await;
         let following = following.map_err(|source| ClusterError::Listen {
             section: "follow",
             address: follow.listen,
@@ -74,31 +74,31 @@
     }
 }
 
-fn follower_setup(runtime: &Runtime, follow: &Follow) -> Result<FollowerSetup, ClusterError> {
+fn follower_setup(runtime: &Runtime, follow: &Follow) -> Result<FollowerConfig, ClusterError> {
     let process = runtime.process_config();
     let name = follow.name.clone().unwrap_or_else(|| process.name.clone());
     if name.is_empty() {
         return Err(ClusterError::NameMissing { section: "follow" });
     }
-    let sources = follow.sources.iter().map(|source| SourceAt {
+    let sources = follow.sources.iter().map(|source| SourceEndpoint {
         name: source.name.clone(),
         address: source.address,
-        place: hash_place(&source.zone, &source.region),
+        location: hash_place(&source.zone, &source.region),
     });
-    Ok(FollowerSetup {
-        me: new_identity(&name, follow.listen),
-        place: hash_place(&follow.zone, &follow.region),
+    Ok(FollowerConfig {
+        identity: new_identity(&name, follow.listen),
+        location: hash_place(&follow.zone, &follow.region),
         sources: sources.collect(),
         keys: derive_keys(&follow.keys),
         score: score_instance,
-        pace: AskPace::default(),
+        schedule: PollSchedule::default(),
         seed: process.seed ^ api::Key::of("follow").0,
     })
 }
 
 /// Zones and regions are only compared, so their hashes suffice.
-fn hash_place(zone: &str, region: &str) -> Place {
-    Place {
+fn hash_place(zone: &str, region: &str) -> Location {
+    Location {
         zone: api::Key::of(zone).0 as u32,
         region: api::Key::of(region).0 as u32,
     }
