--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,17 @@
-//! spanspur decides where long-lived connections go: one weighted rendezvous ranking per key, with
-//! small, named departures for cold, full and failing servers.
+//! A load balancer for long-lived connections, by weighted rendezvous hashing.
 //!
-//! The library is sans-I/O. A node feeds [`Event`](api::Event)s into a [`Balancer`] and carries out the
-//! [`Action`](api::Action)s that come back; the clock is whatever the node passes in.
+//! | module | holds |
+//! | --- | --- |
+//! | [`balancer`] | every decision, sans-I/O; [`api`] is its interface |
+//! | [`protocol`], [`config`], [`discovery`] | the edges: wire names in, terms of the decisions out |
+//! | [`runtime`] | owns the balancer and its clock; dispatches its actions |
+//! | [`proxy`] | the data path: first line, request, attempt, relay |
+//! | [`transfer`] | what a process hands to its successor in a hot restart |
+//! | [`lifecycle`], [`admin`], [`cluster`], [`cli`] | startup to shutdown, the admin address, the cluster, the command line |
+//! | [`invariants`] | what must hold: asserted in debug builds, counted and logged in release builds |
+//!
+//! The decisions do no I/O: the caller passes [`Event`](api::Event)s and the time to a [`Balancer`], and carries out the
+//! [`Action`](api::Action)s that come back.
 //!
 //! ```
 //! use spanspur::Balancer;
