--- a/crates/cluster/src/driver.rs
+++ b/crates/cluster/src/driver.rs
@@ -219,7 +219,9 @@
             Notice::MemberDown(member) => {
                 tracing::warn!(instance = member.name, address = %member.address, "cluster member down");
             }
-            Notice::DownRefuted => tracing::warn!("wrongly declared down by the cluster: refuted"),
+            Notice::DownRefuted => {
+                tracing::warn!("this instance was declared down by the cluster, refuted")
+            }
             Notice::TermsMissed { lease, terms } => {
                 tracing::warn!(lease = node.lease_name(lease), terms, "lease terms missed");
             }
@@ -234,7 +236,7 @@
                 let lease = node.lease_name(lease);
                 match is_held {
                     true => tracing::info!(lease, "lease acquired"),
-                    false => tracing::debug!(lease, "lease released"),
+                    false => tracing::debug!(lease, "lease no longer held"),
                 }
             }
         }
--- a/src/balancer/api/config.rs
+++ b/src/balancer/api/config.rs
@@ -82,8 +82,9 @@
     pub max_retry_after: Option<Time>,
     /// Servers report message latency besides load.
     pub reports_latency: bool,
-    /// With [`DiscoveryMode::Polled`]: longest time between polls without a subscription, in seconds.
-    pub poll_interval: Time,
+    /// With [`DiscoveryMode::Polled`]: the longest time between polls that discovery allows, in seconds.
+    /// The backoff after a failed poll is a share of it.
+    pub discovery_backoff_base: Time,
     /// Share of its full capacity, 0 to 1, that a server has when it starts.
     pub cold_capacity_share: f64,
     /// Seconds from its start until a server has its full capacity.
@@ -108,7 +109,7 @@
             can_cancel_attempts: false,
             max_retry_after: None,
             reports_latency: false,
-            poll_interval: 10.0,
+            discovery_backoff_base: 10.0,
             cold_capacity_share: 1.0,
             slow_start_window: 0.0,
             overload_multiple: 1.0,
--- a/src/balancer/api/endpoint.rs
+++ b/src/balancer/api/endpoint.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A server: the XXH3 hash of its address, the same at each balancer.
+/// A server: the XXH3 hash of its id at discovery, the same at each balancer; its address may differ.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -17,9 +17,9 @@
 }
 
 impl ServerId {
-    /// The id of the server with this address.
-    pub fn of(address: &str) -> Self {
-        Self(xxh3_64(address.as_bytes()))
+    /// The identity of the server that discovery names so.
+    pub fn of(discovery_id: &str) -> Self {
+        Self(xxh3_64(discovery_id.as_bytes()))
     }
 }
 
--- a/src/balancer/api/event.rs
+++ b/src/balancer/api/event.rs
@@ -37,7 +37,7 @@
 pub struct AttemptEnded {
     /// The request.
     pub id: RequestId,
-    /// The attempt's number, from 0.
+    /// The attempt's number, from 0. The decisions need only the server: one attempt is in flight at a time.
     pub attempt: u32,
     /// The server it was sent to.
     pub server: ServerId,
@@ -107,6 +107,6 @@
     ShutdownDeadline(RequestId),
     /// The timer with this token fired ([`Action::SetTimer`](super::Action::SetTimer)).
     Timer(u64),
-    /// A message from another balancer.
+    /// A message from another balancer. Accepted for the simulator's protocol, and ignored.
     PeerMessage(Vec<u8>),
 }
--- a/src/balancer/api/mod.rs
+++ b/src/balancer/api/mod.rs
@@ -13,5 +13,5 @@
 pub use event::{AttemptEnded, Event, Outcome};
 pub use request::{Key, Request, RequestId};
 
-/// Seconds on the process's own monotonic clock. Durations are seconds too.
+/// Seconds since the Unix epoch, on a clock that never goes back. Durations are seconds too.
 pub type Time = f64;
--- a/src/balancer/discovery_poll.rs
+++ b/src/balancer/discovery_poll.rs
@@ -7,9 +7,9 @@
 
 /// The timer that polls discovery again.
 pub(super) const DISCOVERY_POLL_TIMER: u64 = 1;
-/// Backoff after the first failure, in `poll_interval`.
-const INITIAL_BACKOFF_INTERVALS: f64 = 1.0 / 32.0;
-/// How often the backoff is doubled at most: it stays within half of `poll_interval`.
+/// Backoff after the first failure, in `discovery_backoff_base`.
+const INITIAL_BACKOFF_SHARE: f64 = 1.0 / 32.0;
+/// How often the backoff is doubled at most: it stays within half of `discovery_backoff_base`.
 const MAX_BACKOFF_DOUBLINGS: i32 = 4;
 /// Longest backoff before jitter, in seconds.
 const MAX_BACKOFF: Time = 2.0;
@@ -33,11 +33,11 @@
     }
 
     /// Takes a failure; seconds until the next poll, before jitter.
-    fn record_failure(&mut self, poll_interval: Time) -> Time {
+    fn record_failure(&mut self, discovery_backoff_base: Time) -> Time {
         let doublings = self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
-        let intervals = INITIAL_BACKOFF_INTERVALS * f64::from(1 << doublings);
+        let share = INITIAL_BACKOFF_SHARE * f64::from(1 << doublings);
         self.consecutive_failures += 1;
-        (poll_interval * intervals).min(MAX_BACKOFF)
+        (discovery_backoff_base * share).min(MAX_BACKOFF)
     }
 }
 
@@ -54,7 +54,7 @@
     pub(super) fn schedule_discovery_poll(&mut self, actions: &mut Vec<Action>) {
         let backoff = self
             .discovery_poll
-            .record_failure(self.config.poll_interval);
+            .record_failure(self.config.discovery_backoff_base);
         let after = backoff * self.random.next_jitter();
         actions.push(Action::SetTimer {
             after,
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -11,7 +11,7 @@
 //! | When a server counts as busy, and which connections migrate | `overload`, `setup_time` |
 //! | What a request does next: an attempt, the queue or its final answer | `attempt`, `admission` |
 //! | Whether an attempt may follow, when, and which final answer is given | `retry`, `backoff` |
-//! //! | What load a server has | `load_estimate` |
+//! | What load a server has | `load_estimate` |
 //! | When discovery is polled again | `discovery_poll` |
 //!
 //! State: `servers` (per server), `request_state` (per request), and [`Balancer`] itself.
--- a/src/balancer/servers.rs
+++ b/src/balancer/servers.rs
@@ -15,7 +15,7 @@
 #[derive(Default, Deserialize, Serialize)]
 pub(super) struct Server {
     pub(super) endpoint: Endpoint,
-    /// Requests of this balancer in flight or established there.
+    /// Requests of this balancer that the server holds: in flight, or established connections.
     #[serde(skip)]
     pub(super) in_flight: BTreeSet<RequestId>,
     /// Message latency in busy thresholds: from 1 on the server is busy.
--- a/src/cluster/endpoint_list/publisher.rs
+++ b/src/cluster/endpoint_list/publisher.rs
@@ -130,7 +130,7 @@
     async fn lead_term(self: Rc<Self>, grant: LeaseGrant, interval: Millis) {
         let term = grant.fencing_token;
         if !self.begin_term(term, interval) {
-            tracing::info!(term, "watches discovery for all");
+            tracing::info!(term, "list lease held: publishing the endpoint list");
             let all = self.endpoints.borrow().values().cloned().collect();
             self.distributed.set(None);
             self.publish_entries(all);
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -13,7 +13,7 @@
 /// How long a connection to an endpoint may take to open, in seconds.
 const DEFAULT_CONNECT_TIMEOUT: Time = 0.25;
 /// The longest time between polls of discovery while nothing is pushed, in seconds.
-const DEFAULT_POLL_INTERVAL: Time = 10.0;
+const DEFAULT_DISCOVERY_BACKOFF_BASE: Time = 10.0;
 /// The share of its capacity that a cold endpoint has at least.
 const DEFAULT_COLD_CAPACITY_SHARE: f64 = 1.0;
 /// The multiple of its present capacity above which a cold endpoint is overloaded.
@@ -56,7 +56,11 @@
             can_cancel_attempts: limits.cancel.unwrap_or(false),
             max_retry_after: max_retry_after(&limits)?,
             reports_latency: domain.tells_delay.unwrap_or(false),
-            poll_interval: non_negative_or(rules.ask_within, DEFAULT_POLL_INTERVAL, "askWithin")?,
+            discovery_backoff_base: non_negative_or(
+                rules.ask_within,
+                DEFAULT_DISCOVERY_BACKOFF_BASE,
+                "askWithin",
+            )?,
             cold_capacity_share: non_negative_or(
                 rules.cold_from,
                 DEFAULT_COLD_CAPACITY_SHARE,
--- a/src/discovery/endpoint_list.rs
+++ b/src/discovery/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! The endpoint list in discovery's form, as its answers and the configuration file hold it.
 
 use super::zone::zone_id;
-use crate::api::{Endpoint, EndpointState, ServerId, Time};
+use crate::api::{Endpoint, EndpointState, ServerId, Time, UpdateKind};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use thiserror::Error;
@@ -65,6 +65,14 @@
 }
 
 impl EndpointList {
+    /// How the balancer is to apply it.
+    pub fn update_kind(&self) -> UpdateKind {
+        match self.complete {
+            true => UpdateKind::Full,
+            false => UpdateKind::Delta,
+        }
+    }
+
     /// Reads a JSON value in discovery's form. Entries without a usable address are skipped.
     ///
     /// # Errors
--- a/src/discovery/watcher.rs
+++ b/src/discovery/watcher.rs
@@ -1,6 +1,6 @@
 //! Watches the endpoint list at discovery, poll by poll on one kept-alive connection.
 
-use crate::api::{Event, UpdateKind};
+use crate::api::Event;
 use crate::cluster::SharedEndpointList;
 use crate::discovery::endpoint_list::{EndpointList, EndpointListError};
 use crate::discovery::http::{Connection, HttpError, Response};
@@ -133,7 +133,7 @@
                 return self.report_failure(&error);
             }
             invariants::count("endpoint list watch on the agent ended");
-            tracing::debug!(%error, agent = %self.address, "endpoint list watch on agent ended");
+            tracing::debug!(%error, agent = %self.address, "poll of the discovery agent failed");
             sleep(AGENT_RETRY_PAUSE).await;
         }
     }
@@ -151,17 +151,17 @@
 
     /// Waits while another instance's list is current; continues from its revision then.
     async fn follow_shared_list(&mut self) {
-        tracing::info!("endpoint list followed through another instance");
+        tracing::info!("discovery polling suspended: list confirmed by another instance");
         let revision = match &self.shared_list {
             Some(shared_list) => shared_list.wait_until_stale().await,
             None => None,
         };
-        tracing::info!("endpoint list watched by this instance");
+        tracing::info!("discovery polling resumed: shared list is stale");
         self.revision = revision.or(self.revision);
     }
 
     fn report_failure(&self, error: &WatchError) {
-        tracing::info!(%error, discovery = %self.address, "endpoint list watch failed");
+        tracing::info!(%error, discovery = %self.address, "discovery poll failed");
         if let Some(shared_list) = &self.shared_list {
             shared_list.record_discovery_failure();
         }
@@ -249,10 +249,7 @@
         );
         self.revision = Some(list.revision);
         self.runtime.lifecycle.set_discovery_answered();
-        let kind = match list.complete {
-            true => UpdateKind::Full,
-            false => UpdateKind::Delta,
-        };
+        let kind = list.update_kind();
         if let Some(shared_list) = &self.shared_list {
             shared_list.record_discovered(&list);
         }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -22,12 +22,12 @@
 //! let mut balancer = Balancer::new(config, 7);
 //! let mut actions = Vec::new();
 //!
-//! let servers: Arc<[Endpoint]> = ["10.0.0.1:80", "10.0.0.2:80"]
+//! let servers: Arc<[Endpoint]> = ["server-1", "server-2"]
 //!     .map(|name| Endpoint { id: ServerId::of(name), zone: 0, state: EndpointState::Ready, weight: 1.0, started_at: 0.0, cell: 0 })
 //!     .into();
 //! balancer.handle(0.0, &Event::EndpointsUpdated { kind: UpdateKind::Full, endpoints: servers }, &mut actions);
 //!
-//! let request = Request { key: Some(Key::of("till 4")), ..Request::new(RequestId(1), 0, 2.0) };
+//! let request = Request { key: Some(Key::of("group 4")), ..Request::new(RequestId(1), 0, 2.0) };
 //! balancer.handle(0.1, &Event::Request(request), &mut actions);
 //! for action in actions.drain(..) {
 //!     match action {
--- a/src/lifecycle/hot_restart/peer.rs
+++ b/src/lifecycle/hot_restart/peer.rs
@@ -1,7 +1,6 @@
 //! What both processes of a hot restart do on their link: they pass on updates, and report the descriptors that their
 //! clients hold.
 
-use crate::api::UpdateKind;
 use crate::discovery::endpoint_list::EndpointList;
 use crate::invariants;
 use crate::runtime::Runtime;
@@ -83,9 +82,6 @@
     if list.revision <= runtime.list_revision() {
         return;
     }
-    let kind = match list.complete {
-        true => UpdateKind::Full,
-        false => UpdateKind::Delta,
-    };
+    let kind = list.update_kind();
     runtime.update_endpoints(kind, list);
 }
--- a/src/lifecycle/hot_restart/successor.rs
+++ b/src/lifecycle/hot_restart/successor.rs
@@ -129,7 +129,7 @@
     /// Notifies the predecessor that this process accepts the clients, and takes over its connections from here on.
     pub async fn take_clients(self, runtime: Rc<Runtime>) {
         if self.sender.send(&Frame::Ready, &[]).await.is_err() {
-            tracing::warn!("predecessor has exited before this process was ready");
+            tracing::warn!("link to predecessor closed before this process was ready");
         }
         spawn_local(self.serve(runtime));
     }
@@ -149,7 +149,7 @@
         runtime.peer_processes.set_descriptors(0);
         tracing::info!(
             established = runtime.established_requests().len(),
-            "predecessor has exited"
+            "link to predecessor closed"
         );
     }
 }
--- a/src/runtime/endpoints.rs
+++ b/src/runtime/endpoints.rs
@@ -27,10 +27,7 @@
     /// Applies a list that control instances distributed in place of discovery, and passes it on to the other processes
     /// of this balancer as if it had come from discovery.
     pub fn update_from_distribution(self: &Rc<Self>, list: EndpointList) {
-        let kind = match list.complete {
-            true => UpdateKind::Full,
-            false => UpdateKind::Delta,
-        };
+        let kind = list.update_kind();
         tracing::debug!(
             revision = list.revision,
             complete = list.complete,
--- a/tests/cluster/main.rs
+++ b/tests/cluster/main.rs
@@ -112,8 +112,9 @@
         (0..3)
             .filter(|i| {
                 let log = cluster.log(*i);
-                let on = log.rfind("endpoint list followed through another instance");
-                on.is_some() && on > log.rfind("endpoint list watched by this instance")
+                let on =
+                    log.rfind("discovery polling suspended: list confirmed by another instance");
+                on.is_some() && on > log.rfind("discovery polling resumed: shared list is stale")
             })
             .collect()
     };
@@ -143,7 +144,11 @@
     // The one that watches dies: the others ask themselves once its news is too old, and one takes the duty.
     cluster.kill(leader);
     let again = |cluster: &Cluster| {
-        let takes = |i: &&usize| cluster.log(**i).contains("watches discovery for all");
+        let takes = |i: &&usize| {
+            cluster
+                .log(**i)
+                .contains("list lease held: publishing the endpoint list")
+        };
         others.iter().filter(takes).count()
     };
     wait_until("another one takes the watch", || again(&cluster) == 1);
--- a/tests/distribution/main.rs
+++ b/tests/distribution/main.rs
@@ -99,8 +99,8 @@
     fn rests(&self, when: &str) {
         let rests = |i: usize| {
             let log = self.cluster.log(i);
-            let on = log.rfind("endpoint list followed through another instance");
-            on.is_some() && on > log.rfind("endpoint list watched by this instance")
+            let on = log.rfind("discovery polling suspended: list confirmed by another instance");
+            on.is_some() && on > log.rfind("discovery polling resumed: shared list is stale")
         };
         // After a change of hands all rows travel anew: none is still on its way.
         let same = || {
--- a/tests/life.rs
+++ b/tests/life.rs
@@ -412,7 +412,7 @@
 fn polled_discovery_is_polled_at_the_start_and_with_bounded_backoff_after_failures() {
     let polled = BalancerConfig {
         discovery_mode: DiscoveryMode::Polled,
-        poll_interval: 10.0,
+        discovery_backoff_base: 10.0,
         ..config()
     };
     let mut backoffs = Vec::new();
