--- a/tests/sockets/fleet.rs
+++ b/tests/sockets/fleet.rs
@@ -14,34 +14,34 @@
     /// After all have started it stays down for so long.
     const DOWN: Duration = Duration::from_secs(2);
     let (backend, discovery) = (
-        obliging("s-1"),
+        echo_backend("s-1"),
         TcpListener::bind("127.0.0.1:0").expect("a port"),
     );
     let (at, entry) = (
         discovery.local_addr().expect("bound"),
-        backend.entry("SERVING"),
+        backend.endpoint("SERVING"),
     );
     let began = Instant::now();
     // Nothing is known from before: each needs an answer of its own.
     let processes: Vec<Balancer> = (0..PROCESSES)
-        .map(|_| Balancer::begin_as(at, &[], &[]))
+        .map(|_| Balancer::spawn_with_settings(at, &[], &[]))
         .collect();
     std::thread::spawn(move || {
-        let whole = http(&list(1, true, &[entry]));
+        let whole = http_response(&endpoint_list(1, true, &[entry]));
         for stream in discovery.incoming().flatten() {
             if began.elapsed() < DOWN {
                 continue;
             }
             std::thread::sleep(CALL);
             let mut peer = Peer::new(stream);
-            while peer.line().trim() != "" {}
+            while peer.read_line().trim() != "" {}
             let _ = peer.stream().write_all(whole.as_bytes());
         }
     });
     let ready = |process: &Balancer| {
         let mut front = process.connect();
-        front.say("PING\r\n");
-        front.line() == "PONG\r\n" && began.elapsed() < Duration::from_secs(10)
+        front.send("PING\r\n");
+        front.read_line() == "PONG\r\n" && began.elapsed() < Duration::from_secs(10)
     };
     let ready = std::thread::scope(|scope| {
         let asked: Vec<_> = processes
@@ -64,18 +64,21 @@
     const COLD_FROM: f64 = 0.2;
     /// Ten connections of the load that is held usual fill a unit of size.
     const FILL: f64 = 100.0;
-    let warm: Vec<Backend> = ["s-1", "s-2", "s-3"].into_iter().map(obliging).collect();
+    let warm: Vec<Backend> = ["s-1", "s-2", "s-3"]
+        .into_iter()
+        .map(echo_backend)
+        .collect();
     let cold = Backend::new("s-cold");
     // Who comes to it, and when.
-    let (came, counted) = (Arc::new(Mutex::new(Vec::new())), cold.listener());
+    let (came, counted) = (Arc::new(Mutex::new(Vec::new())), cold.clone_listener());
     let seen = came.clone();
     std::thread::spawn(move || {
         let mut held = Vec::new();
         for stream in counted.incoming().flatten() {
             seen.lock().expect("whole").push(Instant::now());
             let mut peer = Peer::new(stream);
-            peer.line();
-            peer.say("UP r1\r\n");
+            peer.read_line();
+            peer.send("UP r1\r\n");
             held.push(peer);
         }
     });
@@ -86,9 +89,9 @@
         format!(r#""up_since_ms":{}"#, unix.as_millis()),
         Instant::now(),
     );
-    let mut known: Vec<String> = warm.iter().map(|one| one.entry("SERVING")).collect();
+    let mut known: Vec<String> = warm.iter().map(|one| one.endpoint("SERVING")).collect();
     known.push(
-        cold.entry("SERVING")
+        cold.endpoint("SERVING")
             .replace(r#""up_since_ms":0"#, &started),
     );
     let known: Vec<String> = known
@@ -102,22 +105,22 @@
         .map(|n| {
             let fleet = format!(r#""balancers":{PROCESSES},"myNumber":{n}"#);
             let other = [
-                UNHURRIED,
+                LENIENT_MESSAGE_AIM,
                 (r#""balancers":1"#, &fleet[..]),
                 (r#""askWithin":1.0"#, &rules[..]),
             ];
-            Balancer::begin_as(no_discovery(), &known, &other)
+            Balancer::spawn_with_settings(unresponsive_discovery(), &known, &other)
         })
         .collect();
     // Clients of 500 groups come to all processes in turn; each stays where it is put.
     let mut clients = Vec::new();
     for n in 0..1200_u64 {
         let mut client = processes[n as usize % PROCESSES].connect();
-        client.say(&format!(
+        client.send(&format!(
             "OPEN {n:016x} 7f3a c=live,d=1000,g={}\r\n",
             n % 500
         ));
-        assert_eq!(client.line(), "UP r1\r\n");
+        assert_eq!(client.read_line(), "UP r1\r\n");
         clients.push(client);
         std::thread::sleep(Duration::from_millis(3));
     }
--- a/tests/sockets/peers.rs
+++ b/tests/sockets/peers.rs
@@ -9,18 +9,20 @@
 use std::time::{Duration, Instant};
 
 /// No step takes longer; a story that would hang fails instead.
-const PATIENCE: Duration = Duration::from_secs(15);
+const STEP_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// One end of a connection that speaks lines.
 pub struct Peer(BufReader<TcpStream>);
 
 impl Peer {
     pub fn new(stream: TcpStream) -> Self {
-        stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+        stream
+            .set_read_timeout(Some(STEP_TIMEOUT))
+            .expect("a timeout");
         Self(BufReader::new(stream))
     }
 
-    pub fn say(&mut self, text: &str) {
+    pub fn send(&mut self, text: &str) {
         self.0
             .get_mut()
             .write_all(text.as_bytes())
@@ -28,7 +30,7 @@
     }
 
     /// The next line with its end, or "" at the end of the stream; "reset" where it broke.
-    pub fn line(&mut self) -> String {
+    pub fn read_line(&mut self) -> String {
         let mut line = String::new();
         match self.0.read_line(&mut line) {
             Ok(_) => line,
@@ -56,12 +58,12 @@
         }
     }
 
-    pub fn entry(&self, phase: &str) -> String {
-        self.entry_at(phase, self.at())
+    pub fn endpoint(&self, phase: &str) -> String {
+        self.endpoint_at(phase, self.address())
     }
 
     /// Its entry with another address.
-    pub fn entry_at(&self, phase: &str, at: SocketAddr) -> String {
+    pub fn endpoint_at(&self, phase: &str, at: SocketAddr) -> String {
         let id = self.id;
         format!(
             r#"{{"id":"{id}","host_port":"{at}","locality":"a","flavor":"m","cell":0,"phase":"{phase}","size":1.0,"up_since_ms":0}}"#
@@ -69,53 +71,53 @@
     }
 
     /// Another hold of where clients come, for a thread of the story's own.
-    pub fn listener(&self) -> TcpListener {
+    pub fn clone_listener(&self) -> TcpListener {
         self.listener.try_clone().expect("a socket")
     }
 
-    pub fn at(&self) -> SocketAddr {
+    pub fn address(&self) -> SocketAddr {
         self.listener.local_addr().expect("bound")
     }
 
     /// The next connection, and the first line on it.
     #[track_caller]
     pub fn accept(&self) -> (Peer, String) {
-        next_of(&[self])
+        accept_any(&[self])
     }
 
     /// The next call, where this stands for discovery: its first line, all of its head read.
-    pub fn call(&self) -> (Peer, String) {
+    pub fn accept_request(&self) -> (Peer, String) {
         let (mut peer, call) = self.accept();
-        while peer.line().trim() != "" {}
+        while peer.read_line().trim() != "" {}
         (peer, call)
     }
 
     /// The next call on a connection that is kept.
-    pub fn next_call(&self, peer: &mut Peer) -> String {
-        let call = peer.line();
-        while peer.line().trim() != "" {}
+    pub fn read_request(&self, peer: &mut Peer) -> String {
+        let call = peer.read_line();
+        while peer.read_line().trim() != "" {}
         call
     }
 
     /// The next call, on this connection or another one.
-    pub fn call_on(&self, mut peer: Peer) -> (Peer, String) {
-        let call = peer.line();
+    pub fn next_request(&self, mut peer: Peer) -> (Peer, String) {
+        let call = peer.read_line();
         if call.is_empty() || call == "reset" {
-            return self.call();
+            return self.accept_request();
         }
-        while peer.line().trim() != "" {}
+        while peer.read_line().trim() != "" {}
         (peer, call)
     }
 
     /// The next connection within a while, its first line read.
-    pub fn takes(&self, span: Duration) -> Option<Peer> {
+    pub fn accept_within(&self, span: Duration) -> Option<Peer> {
         self.listener.set_nonblocking(true).expect("settable");
         let end = Instant::now() + span;
         while Instant::now() < end {
             if let Ok((stream, _)) = self.listener.accept() {
                 stream.set_nonblocking(false).expect("settable");
                 let mut peer = Peer::new(stream);
-                return (!peer.line().is_empty()).then_some(peer);
+                return (!peer.read_line().is_empty()).then_some(peer);
             }
             std::thread::sleep(Duration::from_millis(5));
         }
@@ -123,12 +125,12 @@
     }
 
     /// Whether nobody says anything here for a while, whoever connects.
-    pub fn hears_no_line(&self, span: Duration) -> bool {
-        self.takes(span).is_none()
+    pub fn receives_no_line(&self, span: Duration) -> bool {
+        self.accept_within(span).is_none()
     }
 
     /// Whether nobody connects for a while.
-    pub fn is_left_alone(&self, span: Duration) -> bool {
+    pub fn receives_no_connection(&self, span: Duration) -> bool {
         self.listener.set_nonblocking(true).expect("settable");
         let end = Instant::now() + span;
         while Instant::now() < end {
@@ -143,7 +145,7 @@
 
 /// The next connection at any of them, and the first line on it.
 #[track_caller]
-pub fn next_of(backends: &[&Backend]) -> (Peer, String) {
+pub fn accept_any(backends: &[&Backend]) -> (Peer, String) {
     let mut next = None;
     wait_until(|| {
         next = backends.iter().find_map(|backend| {
@@ -155,34 +157,34 @@
     let stream = next.expect("a connection").0;
     stream.set_nonblocking(false).expect("settable");
     let mut peer = Peer::new(stream);
-    let line = peer.line();
+    let line = peer.read_line();
     (peer, line)
 }
 
 /// Takes the answers that the story prepares, one for each call, and says what was called.
 pub struct Discovery {
     pub address: SocketAddr,
-    pub calls: Arc<Mutex<Vec<String>>>,
-    answers: std::sync::mpsc::Sender<String>,
+    pub requests: Arc<Mutex<Vec<String>>>,
+    responses: std::sync::mpsc::Sender<String>,
 }
 
 impl Discovery {
     pub fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("bound");
-        let calls = Arc::new(Mutex::new(Vec::new()));
-        let (answers, prepared) = std::sync::mpsc::channel::<String>();
-        let seen = calls.clone();
+        let requests = Arc::new(Mutex::new(Vec::new()));
+        let (responses, prepared) = std::sync::mpsc::channel::<String>();
+        let received = requests.clone();
         std::thread::spawn(move || {
             while let Ok((stream, _)) = listener.accept() {
                 let mut peer = Peer(BufReader::new(stream));
                 loop {
-                    let call = peer.line();
+                    let call = peer.read_line();
                     if call.is_empty() || call == "reset" {
                         break;
                     }
-                    while peer.line().trim() != "" {}
-                    seen.lock().expect("whole").push(call);
+                    while peer.read_line().trim() != "" {}
+                    received.lock().expect("whole").push(call);
                     let Ok(answer) = prepared.recv() else { return };
                     if peer.0.get_mut().write_all(answer.as_bytes()).is_err() {
                         break;
@@ -195,33 +197,33 @@
         });
         Self {
             address,
-            calls,
-            answers,
+            requests,
+            responses,
         }
     }
 
     /// Prepares an answer with this list.
-    pub fn tell(&self, revision: u64, complete: bool, entries: &[String]) {
-        self.answer(&http(&list(revision, complete, entries)));
+    pub fn respond_with_list(&self, revision: u64, complete: bool, entries: &[String]) {
+        self.respond(&http_response(&endpoint_list(revision, complete, entries)));
     }
 
-    pub fn answer(&self, text: &str) {
-        self.answers.send(text.into()).expect("discovery runs");
+    pub fn respond(&self, text: &str) {
+        self.responses.send(text.into()).expect("discovery runs");
     }
 
-    pub fn wait_for_calls(&self, count: usize) {
-        wait_until(|| self.calls.lock().expect("whole").len() >= count);
+    pub fn wait_for_requests(&self, count: usize) {
+        wait_until(|| self.requests.lock().expect("whole").len() >= count);
     }
 }
 
 /// An answer with this body.
-pub fn http(body: &str) -> String {
+pub fn http_response(body: &str) -> String {
     let length = body.len();
     format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}")
 }
 
 /// Where nobody answers.
-pub fn no_discovery() -> SocketAddr {
+pub fn unresponsive_discovery() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = listener.local_addr().expect("bound");
     // Held to the end: nobody else may come to answer there.
@@ -231,7 +233,7 @@
 
 #[track_caller]
 pub fn wait_until(mut fact: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + STEP_TIMEOUT;
     while !fact() {
         assert!(Instant::now() < end, "waited in vain");
         std::thread::sleep(Duration::from_millis(10));
@@ -239,7 +241,7 @@
 }
 
 /// A list in discovery's form.
-pub fn list(revision: u64, complete: bool, entries: &[String]) -> String {
+pub fn endpoint_list(revision: u64, complete: bool, entries: &[String]) -> String {
     let members = entries.join(",");
     format!(r#"{{"revision":{revision},"complete":{complete},"members":[{members}]}}"#)
 }
@@ -260,7 +262,7 @@
         "limits":{"maxAttempts":3,"connectTimeout":0.25,"cancel":true},"rules":{"askWithin":1.0}}"#;
 
 /// A backend that a busy machine makes slow for a moment is not left alone for it: for stories of something else.
-pub const UNHURRIED: (&str, &str) = (r#""messageAim":[0.25]"#, r#""messageAim":[25.0]"#);
+pub const LENIENT_MESSAGE_AIM: (&str, &str) = (r#""messageAim":[0.25]"#, r#""messageAim":[25.0]"#);
 
 /// What a story and its processes share: the temporary folder, the log, and what is configured.
 pub struct Folder {
@@ -319,33 +321,41 @@
 impl Balancer {
     /// Starts one that knows these servers, and waits until it is ready.
     pub fn start(discovery: &Discovery, known: &[String]) -> Self {
-        Self::start_as(discovery.address, known, &[])
+        Self::start_with_settings(discovery.address, known, &[])
     }
 
     /// The same with other settings: each text in place of the one before it.
-    pub fn start_as(discovery: SocketAddr, known: &[String], other: &[(&str, &str)]) -> Self {
-        let balancer = Self::begin_as(discovery, known, other);
+    pub fn start_with_settings(
+        discovery: SocketAddr,
+        known: &[String],
+        other: &[(&str, &str)],
+    ) -> Self {
+        let balancer = Self::spawn_with_settings(discovery, known, other);
         let mut front = balancer.connect();
-        front.say("PING\r\n");
-        assert_eq!(front.line(), "PONG\r\n");
+        front.send("PING\r\n");
+        assert_eq!(front.read_line(), "PONG\r\n");
         balancer
     }
 
     /// The same, once it listens.
-    pub fn begin_as(discovery: SocketAddr, known: &[String], other: &[(&str, &str)]) -> Self {
+    pub fn spawn_with_settings(
+        discovery: SocketAddr,
+        known: &[String],
+        other: &[(&str, &str)],
+    ) -> Self {
         let [address, operator] = free_ports();
         let mut folder = Folder::new(address);
         for (from, to) in other {
             assert!(folder.settings.contains(from), "no {from} in the settings");
             folder.settings = folder.settings.replace(from, to);
         }
-        let balancer = Self::begin(Arc::new(folder), address, operator, None, discovery, known);
+        let balancer = Self::spawn(Arc::new(folder), address, operator, None, discovery, known);
         wait_until(|| TcpStream::connect(address).is_ok());
         balancer
     }
 
     /// Neither reads, writes nor hears the time while `meanwhile` runs: all that happens in it comes at once.
-    pub fn at_once<T>(&self, meanwhile: impl FnOnce() -> T) -> T {
+    pub fn while_stopped<T>(&self, meanwhile: impl FnOnce() -> T) -> T {
         self.signal("-STOP");
         let stopped = format!("/proc/{}/stat", self.pid());
         wait_until(|| std::fs::read_to_string(&stopped).is_ok_and(|stat| stat.contains(") T ")));
@@ -355,7 +365,7 @@
     }
 
     /// Starts one, and does not wait; with `held`, clients come to that socket, as descriptor 4.
-    pub fn begin(
+    pub fn spawn(
         folder: Arc<Folder>,
         address: SocketAddr,
         operator: SocketAddr,
@@ -393,24 +403,24 @@
     }
 
     /// Calls the staff's address: the status, and what was said.
-    pub fn call(&self, call: &str, body: &str) -> (u16, String) {
+    pub fn admin_request(&self, call: &str, body: &str) -> (u16, String) {
         let method = if call == "/_ready" { "GET" } else { "POST" };
         let length = body.len();
-        self.call_raw(&format!(
+        self.admin_request_raw(&format!(
             "{method} {call} HTTP/1.1\r\nHost: x\r\nContent-Length: {length}\r\n\r\n{body}"
         ))
     }
 
-    pub fn call_raw(&self, text: &str) -> (u16, String) {
-        let mut peer = self.caller();
-        peer.say(text);
-        let answer = rest(peer);
+    pub fn admin_request_raw(&self, text: &str) -> (u16, String) {
+        let mut peer = self.connect_admin();
+        peer.send(text);
+        let answer = read_to_end(peer);
         let status = answer.get(9..12).and_then(|code| code.parse().ok());
         (status.unwrap_or(0), answer)
     }
 
     /// A connection to the staff's address.
-    pub fn caller(&self) -> Peer {
+    pub fn connect_admin(&self) -> Peer {
         Peer::new(TcpStream::connect(self.operator).expect("accepted"))
     }
 
@@ -445,17 +455,17 @@
     /// A client that asks for a connection and will wait for `ms`.
     pub fn open(&self, id: u64, ms: u64) -> Peer {
         let mut client = self.connect();
-        client.say(&format!("OPEN {id:016x} 7f3a c=live,d={ms},g=5c0f,x=1\r\n"));
+        client.send(&format!("OPEN {id:016x} 7f3a c=live,d={ms},g=5c0f,x=1\r\n"));
         client
     }
 
     /// A client whose connection stands, with its backend.
     #[track_caller]
-    pub fn standing(&self, id: u64, backend: &Backend) -> (Peer, Peer) {
+    pub fn establish(&self, id: u64, backend: &Backend) -> (Peer, Peer) {
         let mut client = self.open(id, 2000);
         let (mut server, _) = backend.accept();
-        server.say("UP r1\r\n");
-        assert_eq!(client.line(), "UP r1\r\n");
+        server.send("UP r1\r\n");
+        assert_eq!(client.read_line(), "UP r1\r\n");
         (client, server)
     }
 
@@ -480,7 +490,7 @@
     }
 
     /// How the process ended.
-    pub fn exit(mut self) -> Option<i32> {
+    pub fn wait_for_exit(mut self) -> Option<i32> {
         let mut code = None;
         wait_until(|| {
             let ended = self.child.try_wait().expect("a child");
@@ -491,7 +501,11 @@
 }
 
 pub fn write_config(folder: &Folder, listen: SocketAddr, discovery: &str, known: &[String]) {
-    let (known, sockets, settings) = (list(1, true, known), folder.sockets, &folder.settings);
+    let (known, sockets, settings) = (
+        endpoint_list(1, true, known),
+        folder.sockets,
+        &folder.settings,
+    );
     let text = format!(
         r#"{{"name":"n0","listen":"{listen}","discovery":"{discovery}","seed":"7",
         "limits":{{"sockets":{sockets}}},"known":{known},"settings":{settings}}}"#
@@ -500,21 +514,21 @@
 }
 
 /// Reads until the stream ends.
-pub fn rest(mut peer: Peer) -> String {
+pub fn read_to_end(mut peer: Peer) -> String {
     let mut text = String::new();
     let _ = peer.0.read_to_string(&mut text);
     text
 }
 
 /// A backend that takes everyone and answers each line, on threads of its own.
-pub fn obliging(id: &'static str) -> Backend {
+pub fn echo_backend(id: &'static str) -> Backend {
     let backend = Backend::new(id);
-    let listener = backend.listener();
+    let listener = backend.clone_listener();
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             std::thread::spawn(move || {
                 let mut peer = Peer::new(stream);
-                peer.line();
+                peer.read_line();
                 let mut answer = "UP r1\r\n".to_owned();
                 while peer.0.get_mut().write_all(answer.as_bytes()).is_ok() {
                     let mut line = String::new();
--- a/tests/sockets/replace.rs
+++ b/tests/sockets/replace.rs
@@ -21,13 +21,15 @@
     fn new(backends: &[&Backend]) -> Self {
         let [address, _] = free_ports();
         let mut folder = Folder::new(address);
-        folder.settings = folder.settings.replace(UNHURRIED.0, UNHURRIED.1);
+        folder.settings = folder
+            .settings
+            .replace(LENIENT_MESSAGE_AIM.0, LENIENT_MESSAGE_AIM.1);
         Self {
             address,
             held: TcpListener::bind(address).expect("free"),
             folder: Arc::new(folder),
             discovery: Discovery::new(),
-            known: backends.iter().map(|one| one.entry("SERVING")).collect(),
+            known: backends.iter().map(|one| one.endpoint("SERVING")).collect(),
         }
     }
 
@@ -37,7 +39,7 @@
         let [_, operator] = free_ports();
         let folder = self.folder.clone();
         let held = Some(&self.held);
-        let process = Balancer::begin(
+        let process = Balancer::spawn(
             folder,
             self.address,
             operator,
@@ -46,7 +48,7 @@
             &self.known,
         );
         wait_until(|| TcpStream::connect(operator).is_ok());
-        wait_until(|| process.call("/_ready", "").0 == 200);
+        wait_until(|| process.admin_request("/_ready", "").0 == 200);
         process
     }
 
@@ -54,7 +56,7 @@
     fn replace(&self, old: Balancer) -> Balancer {
         let new = self.start();
         old.signal("-TERM");
-        assert_eq!(old.exit(), Some(0));
+        assert_eq!(old.wait_for_exit(), Some(0));
         new
     }
 
@@ -72,8 +74,8 @@
 }
 
 fn echo(client: &mut Peer, text: &str) {
-    client.say(text);
-    assert_eq!(client.line(), text);
+    client.send(text);
+    assert_eq!(client.read_line(), text);
 }
 
 #[test]
@@ -81,43 +83,46 @@
     let backend = Backend::new("s-1");
     let place = Place::new(&[&backend]);
     let old = place.start();
-    let (mut client, mut server) = old.standing(0x11, &backend);
+    let (mut client, mut server) = old.establish(0x11, &backend);
     // Half a line each way, half a first line, and a front that asks again on its connection.
-    client.say("M 1\r\nM");
-    assert_eq!(server.line(), "M 1\r\n");
-    server.say("R");
+    client.send("M 1\r\nM");
+    assert_eq!(server.read_line(), "M 1\r\n");
+    server.send("R");
     let mut half = old.connect();
-    half.say("OPEN 00000000000000");
+    half.send("OPEN 00000000000000");
     let mut front = old.connect();
-    front.say("PING\r\n");
-    assert_eq!(front.line(), "PONG\r\n");
+    front.send("PING\r\n");
+    assert_eq!(front.read_line(), "PONG\r\n");
     let new = place.replace(old);
-    server.say(" 1\r\n");
-    assert_eq!(client.line(), "R 1\r\n");
-    client.say(" 2\r\n");
-    assert_eq!(server.line(), "M 2\r\n");
-    half.say("12 7f3a c=live,d=2000,g=5c0f\r\n");
+    server.send(" 1\r\n");
+    assert_eq!(client.read_line(), "R 1\r\n");
+    client.send(" 2\r\n");
+    assert_eq!(server.read_line(), "M 2\r\n");
+    half.send("12 7f3a c=live,d=2000,g=5c0f\r\n");
     let (mut other, line) = backend.accept();
     assert!(line.starts_with("OPEN 0000000000000012 "), "{line}");
-    other.say("UP r2\r\n");
-    assert_eq!(half.line(), "UP r2\r\n");
-    front.say("PING\r\n");
-    assert_eq!(front.line(), "PONG\r\n");
+    other.send("UP r2\r\n");
+    assert_eq!(half.read_line(), "UP r2\r\n");
+    front.send("PING\r\n");
+    assert_eq!(front.read_line(), "PONG\r\n");
     let third = place.replace(new);
-    client.say("M 3\r\n");
-    assert_eq!(server.line(), "M 3\r\n");
+    client.send("M 3\r\n");
+    assert_eq!(server.read_line(), "M 3\r\n");
     // A process that leaves with nobody to follow moves them, as ever.
     third.signal("-TERM");
     for mut one in [client, half] {
-        assert_eq!((one.line(), one.line()), ("MOVE\r\n".into(), String::new()));
+        assert_eq!(
+            (one.read_line(), one.read_line()),
+            ("MOVE\r\n".into(), String::new())
+        );
     }
     drop(front);
-    assert_eq!(third.exit(), Some(0));
+    assert_eq!(third.wait_for_exit(), Some(0));
 }
 
 #[test]
 fn under_load_no_client_is_refused_reset_or_left_unread() {
-    let (one, two) = (obliging("s-1"), obliging("s-2"));
+    let (one, two) = (echo_backend("s-1"), echo_backend("s-2"));
     let place = Place::new(&[&one, &two]);
     let mut process = place.start();
     let address = place.address;
@@ -128,8 +133,8 @@
                 for n in 0..24 {
                     let mut client = Peer::new(TcpStream::connect(address).expect("accepted"));
                     let id = 0x1000 * (thread + 1) + n;
-                    client.say(&format!("OPEN {id:016x} {id:x} c=live,d=2000,g={id:x}\r\n"));
-                    assert_eq!(client.line(), "UP r1\r\n", "client {id:x}");
+                    client.send(&format!("OPEN {id:016x} {id:x} c=live,d=2000,g={id:x}\r\n"));
+                    assert_eq!(client.read_line(), "UP r1\r\n", "client {id:x}");
                     standing.push(client);
                     std::thread::sleep(Duration::from_millis(30));
                     // Those that stand are as they were.
@@ -158,36 +163,36 @@
 
 #[test]
 fn what_is_out_or_emptied_stays_so_through_a_replacement() {
-    let (one, two) = (Backend::new("s-1"), obliging("s-2"));
+    let (one, two) = (Backend::new("s-1"), echo_backend("s-2"));
     let place = Place::new(&[&one, &two]);
     let old = place.start();
-    assert_eq!(old.call("/_stream-servers/detach", "s-1").0, 200);
-    assert_eq!(old.call("/_lameduck/on", "").0, 200);
+    assert_eq!(old.admin_request("/_stream-servers/detach", "s-1").0, 200);
+    assert_eq!(old.admin_request("/_lameduck/on", "").0, 200);
     // It takes over all the same: its yes is for the replacement, its answer to the front is no.
     let new = place.replace(old);
     let ping = |process: &Balancer| {
         let mut front = process.connect();
-        front.say("PING\r\n");
-        front.line()
+        front.send("PING\r\n");
+        front.read_line()
     };
     assert_ne!(ping(&new), "PONG\r\n");
-    assert_eq!(new.call("/_lameduck/off", "").0, 200);
+    assert_eq!(new.admin_request("/_lameduck/off", "").0, 200);
     assert_eq!(ping(&new), "PONG\r\n");
     for id in 0x21..0x29 {
-        assert_eq!(new.open(id, 2000).line(), "UP r1\r\n");
+        assert_eq!(new.open(id, 2000).read_line(), "UP r1\r\n");
     }
-    assert!(one.is_left_alone(Duration::from_millis(50)));
-    assert_eq!(new.call("/_stream-servers/attach", "s-1").0, 200);
+    assert!(one.receives_no_connection(Duration::from_millis(50)));
+    assert_eq!(new.admin_request("/_stream-servers/attach", "s-1").0, 200);
 }
 
 #[test]
 fn one_that_dies_on_the_way_leaves_the_other_serving() {
-    let backend = obliging("s-1");
+    let backend = echo_backend("s-1");
     let place = Place::new(&[&backend]);
     let process = place.start();
     let mut client = process.open(0x31, 2000);
-    assert_eq!(client.line(), "UP r1\r\n");
-    let serves = |id| assert_eq!(process.open(id, 2000).line(), "UP r1\r\n");
+    assert_eq!(client.read_line(), "UP r1\r\n");
+    let serves = |id| assert_eq!(process.open(id, 2000).read_line(), "UP r1\r\n");
     // Nonsense, another version, one that dies before its yes.
     place
         .come(&[])
@@ -200,12 +205,12 @@
     serves(0x32);
     // One that says yes, and takes nothing: clients come to nobody until it has gone.
     let mut dead = place.come(&[Frame::Hello { version: VERSION }, Frame::Ready]);
-    wait_until(|| process.call("/_ready", "").0 == 503);
+    wait_until(|| process.admin_request("/_ready", "").0 == 503);
     drop(dead);
     serves(0x33);
     // One that says yes and dies while it is given what stands: it is moved then.
     dead = place.come(&[Frame::Hello { version: VERSION }, Frame::Ready]);
-    wait_until(|| process.call("/_ready", "").0 == 503);
+    wait_until(|| process.admin_request("/_ready", "").0 == 503);
     process.signal("-TERM");
     wait_until(|| place.folder.log().contains("command=TransferTo("));
     let mut some = [0; 64];
@@ -213,31 +218,31 @@
     drop(dead);
     echo_or_move(&mut client);
     drop(client);
-    assert_eq!(process.exit(), Some(0));
+    assert_eq!(process.wait_for_exit(), Some(0));
 }
 
 /// The connection goes on where it was, until it is moved.
 fn echo_or_move(client: &mut Peer) {
-    client.say("M 1\r\n");
-    let mut line = client.line();
+    client.send("M 1\r\n");
+    let mut line = client.read_line();
     if line == "M 1\r\n" {
-        line = client.line();
+        line = client.read_line();
     }
     assert_eq!(line, "MOVE\r\n");
 }
 
 #[test]
 fn one_that_dies_before_it_is_replaced_costs_the_next_one_nothing() {
-    let backend = obliging("s-1");
+    let backend = echo_backend("s-1");
     let place = Place::new(&[&backend]);
     let old = place.start();
-    assert_eq!(old.call("/_stream-servers/detach", "s-1").0, 200);
+    assert_eq!(old.admin_request("/_stream-servers/detach", "s-1").0, 200);
     old.kill();
     // Its socket's name is left, and nobody is there.
     let new = place.start();
-    assert!(new.open(0x41, 300).line().starts_with("BUSY"));
-    assert_eq!(new.call("/_stream-servers/attach", "s-1").0, 200);
-    assert_eq!(new.open(0x42, 2000).line(), "UP r1\r\n");
+    assert!(new.open(0x41, 300).read_line().starts_with("BUSY"));
+    assert_eq!(new.admin_request("/_stream-servers/attach", "s-1").0, 200);
+    assert_eq!(new.open(0x42, 2000).read_line(), "UP r1\r\n");
 }
 
 /// Measures a replacement at growing numbers of standing connections, and the same end without a successor.
@@ -297,7 +302,7 @@
 }
 
 fn measure(count: usize, followed: bool) -> Row {
-    let backends = ["s-1", "s-2"].map(obliging);
+    let backends = ["s-1", "s-2"].map(echo_backend);
     let mut place = Place::new(&[&backends[0], &backends[1]]);
     let folder = Arc::get_mut(&mut place.folder).expect("alone");
     (folder.sockets, folder.log_level) = (16_000, "info");
@@ -305,7 +310,7 @@
     // One after the other: the stand-ins' listeners hold few that wait, and who waits too long is refused.
     let open = |id| {
         let mut client = old.open(id, 2000);
-        assert_eq!(client.line(), "UP r1\r\n");
+        assert_eq!(client.read_line(), "UP r1\r\n");
         client
     };
     let mut clients: Vec<Peer> = (0..count as u64).map(open).collect();
@@ -324,7 +329,7 @@
     let told = Instant::now();
     old.signal("-TERM");
     let exit = std::thread::spawn(move || {
-        assert_eq!(old.exit(), Some(0));
+        assert_eq!(old.wait_for_exit(), Some(0));
         ms(told)
     });
     let (mut pause, mut moved) = (0.0, 0);
@@ -342,7 +347,7 @@
             .for_each(|client| echo(client, "M 2\r\n"));
     } else {
         for client in &mut clients {
-            moved += usize::from(client.line() == "MOVE\r\n");
+            moved += usize::from(client.read_line() == "MOVE\r\n");
         }
         clients.clear();
     }
--- a/tests/sockets/service.rs
+++ b/tests/sockets/service.rs
@@ -12,60 +12,60 @@
 #[test]
 fn a_server_taken_out_gets_nothing_whatever_the_list_says_until_one_call_back() {
     let (discovery, backend) = (Discovery::new(), Backend::new("s-1"));
-    let balancer = Balancer::start(&discovery, &[backend.entry("SERVING")]);
-    let (mut client, mut server) = balancer.standing(0xd1, &backend);
-    assert_eq!(balancer.call(DETACH, "s-9").0, 404);
-    assert_eq!(balancer.call(ATTACH, "s-9").0, 404);
-    assert_eq!(balancer.call(DETACH, "s-1\n").0, 200);
-    assert_eq!(balancer.call(DETACH, "s-1").0, 200);
+    let balancer = Balancer::start(&discovery, &[backend.endpoint("SERVING")]);
+    let (mut client, mut server) = balancer.establish(0xd1, &backend);
+    assert_eq!(balancer.admin_request(DETACH, "s-9").0, 404);
+    assert_eq!(balancer.admin_request(ATTACH, "s-9").0, 404);
+    assert_eq!(balancer.admin_request(DETACH, "s-1\n").0, 200);
+    assert_eq!(balancer.admin_request(DETACH, "s-1").0, 200);
     let refused = |id| {
-        assert!(balancer.open(id, 400).line().starts_with("BUSY"));
-        assert!(backend.is_left_alone(Duration::from_millis(50)));
+        assert!(balancer.open(id, 400).read_line().starts_with("BUSY"));
+        assert!(backend.receives_no_connection(Duration::from_millis(50)));
     };
     refused(0xd2);
     // The list goes on naming it, drops it, and names it again.
-    discovery.tell(2, true, &[backend.entry("SERVING")]);
-    discovery.wait_for_calls(2);
+    discovery.respond_with_list(2, true, &[backend.endpoint("SERVING")]);
+    discovery.wait_for_requests(2);
     refused(0xd3);
-    discovery.tell(3, true, &[]);
-    discovery.tell(4, true, &[backend.entry("SERVING")]);
-    discovery.wait_for_calls(4);
+    discovery.respond_with_list(3, true, &[]);
+    discovery.respond_with_list(4, true, &[backend.endpoint("SERVING")]);
+    discovery.wait_for_requests(4);
     refused(0xd4);
     // Put back while no list names it, and taken out once more.
-    discovery.tell(5, true, &[]);
-    discovery.wait_for_calls(5);
-    assert_eq!(balancer.call(ATTACH, "s-1").0, 200);
-    assert_eq!(balancer.call(DETACH, "s-1").0, 200);
-    discovery.tell(6, true, &[backend.entry("SERVING")]);
-    discovery.wait_for_calls(6);
+    discovery.respond_with_list(5, true, &[]);
+    discovery.wait_for_requests(5);
+    assert_eq!(balancer.admin_request(ATTACH, "s-1").0, 200);
+    assert_eq!(balancer.admin_request(DETACH, "s-1").0, 200);
+    discovery.respond_with_list(6, true, &[backend.endpoint("SERVING")]);
+    discovery.wait_for_requests(6);
     refused(0xd6);
     // What stands there may go on until the server ends it.
-    client.say("M 1\r\n");
-    assert_eq!(server.line(), "M 1\r\n");
-    assert_eq!(balancer.call(ATTACH, "s-1").0, 200);
-    assert_eq!(balancer.call(ATTACH, "s-1").0, 200);
-    balancer.standing(0xd5, &backend);
+    client.send("M 1\r\n");
+    assert_eq!(server.read_line(), "M 1\r\n");
+    assert_eq!(balancer.admin_request(ATTACH, "s-1").0, 200);
+    assert_eq!(balancer.admin_request(ATTACH, "s-1").0, 200);
+    balancer.establish(0xd5, &backend);
 }
 
 #[test]
 fn a_retry_does_not_go_to_a_server_taken_out_while_the_attempt_before_was_out() {
     let (discovery, one, two) = (Discovery::new(), Backend::new("s-1"), Backend::new("s-2"));
-    let fleet = [one.entry("SERVING"), two.entry("SERVING")];
+    let fleet = [one.endpoint("SERVING"), two.endpoint("SERVING")];
     let balancer = Balancer::start(&discovery, &fleet);
     let mut client = balancer.open(0xc1, 1500);
-    let (mut server, _) = next_of(&[&one, &two]);
+    let (mut server, _) = accept_any(&[&one, &two]);
     let at = server.stream().local_addr().expect("bound");
-    let (asked, other) = if one.at() == at {
+    let (asked, other) = if one.address() == at {
         (&one, &two)
     } else {
         (&two, &one)
     };
-    assert_eq!(balancer.call(DETACH, other.id).0, 200);
-    server.say("BUSY\r\n");
-    assert!(client.line().starts_with("BUSY"));
-    assert!(other.is_left_alone(Duration::from_millis(50)));
+    assert_eq!(balancer.admin_request(DETACH, other.id).0, 200);
+    server.send("BUSY\r\n");
+    assert!(client.read_line().starts_with("BUSY"));
+    assert!(other.receives_no_connection(Duration::from_millis(50)));
     // The file is there before the yes: one killed in between has it out as well, and a second call is a yes.
-    assert_eq!(balancer.call(DETACH, asked.id).0, 200);
+    assert_eq!(balancer.admin_request(DETACH, asked.id).0, 200);
     let kept = std::fs::read(balancer.folder().path.join("spanspur-n0.outs")).expect("the file");
     let kept = spanspur_admin::maintenance::MaintenanceSet::parse(&kept).expect("whole");
     assert_eq!(kept.names().count(), 2);
@@ -74,11 +74,11 @@
 #[test]
 fn what_is_out_outlives_a_kill_and_a_torn_file_is_set_aside() {
     let (discovery, one, two) = (Discovery::new(), Backend::new("s-1"), Backend::new("s-2"));
-    let known = [one.entry("SERVING"), two.entry("SERVING")];
+    let known = [one.endpoint("SERVING"), two.endpoint("SERVING")];
     let [address, operator] = free_ports();
     let folder = std::sync::Arc::new(Folder::new(address));
     let start = || {
-        let balancer = Balancer::begin(
+        let balancer = Balancer::spawn(
             folder.clone(),
             address,
             operator,
@@ -87,21 +87,21 @@
             &known,
         );
         wait_until(|| std::net::TcpStream::connect(operator).is_ok());
-        assert_eq!(balancer.call("/_ready", "").0, 200);
+        assert_eq!(balancer.admin_request("/_ready", "").0, 200);
         balancer
     };
     let balancer = start();
-    assert_eq!(balancer.call(DETACH, "s-1").0, 200);
+    assert_eq!(balancer.admin_request(DETACH, "s-1").0, 200);
     balancer.kill();
     let balancer = start();
     // All stay open: a backend that ends several of its connections is left alone for a while.
     let mut open = Vec::new();
     for id in 0xe0..0xe8 {
         let (client, mut server) = (balancer.open(id, 2000), two.accept().0);
-        server.say("UP r1\r\n");
+        server.send("UP r1\r\n");
         open.push((client, server));
     }
-    assert!(one.is_left_alone(Duration::from_millis(50)));
+    assert!(one.receives_no_connection(Duration::from_millis(50)));
     balancer.kill();
     let file = folder.path.join("spanspur-n0.outs");
     let whole = std::fs::read(&file).expect("the file");
@@ -116,27 +116,27 @@
     );
     assert!(folder.path.join("spanspur-n0.outs.bad").exists());
     // It starts, and what it held is lost: the staff is told by the log.
-    assert_eq!(balancer.call(DETACH, "s-2").0, 200);
+    assert_eq!(balancer.admin_request(DETACH, "s-2").0, 200);
     let (_client, mut server) = (balancer.open(0xe9, 2000), one.accept().0);
-    server.say("UP r1\r\n");
+    server.send("UP r1\r\n");
 }
 
 #[test]
 fn calls_are_answered_in_a_crowd_and_among_callers_that_finish_nothing() {
     let (discovery, backend) = (Discovery::new(), Backend::new("s-1"));
-    let balancer = Balancer::start(&discovery, &[backend.entry("SERVING")]);
+    let balancer = Balancer::start(&discovery, &[backend.endpoint("SERVING")]);
     let crowd: Vec<Peer> = (0..300).map(|_| balancer.connect()).collect();
     let stalled: Vec<Peer> = (0..20)
         .map(|n| {
-            let mut caller = balancer.caller();
-            caller.say(["", "POST /_lameduck/on HTTP/1.1\r\n"][n % 2]);
+            let mut caller = balancer.connect_admin();
+            caller.send(["", "POST /_lameduck/on HTTP/1.1\r\n"][n % 2]);
             caller
         })
         .collect();
     let start = Instant::now();
-    assert_eq!(balancer.call("/_ready", "").0, 200);
-    assert_eq!(balancer.call(DETACH, "s-1").0, 200);
-    assert_eq!(balancer.call(ATTACH, "s-1").0, 200);
+    assert_eq!(balancer.admin_request("/_ready", "").0, 200);
+    assert_eq!(balancer.admin_request(DETACH, "s-1").0, 200);
+    assert_eq!(balancer.admin_request(ATTACH, "s-1").0, 200);
     assert!(
         start.elapsed() < Duration::from_secs(2),
         "{:?}",
@@ -150,35 +150,35 @@
         ("nonsense\r\n\r\n", 400),
     ];
     for (text, status) in bad {
-        assert_eq!(balancer.call_raw(text).0, status, "{text}");
+        assert_eq!(balancer.admin_request_raw(text).0, status, "{text}");
     }
     let mut front = balancer.connect();
-    front.say("PING\r\n");
-    assert_eq!(front.line(), "PONG\r\n");
+    front.send("PING\r\n");
+    assert_eq!(front.read_line(), "PONG\r\n");
 }
 
 #[test]
 fn an_emptied_balancer_says_no_moves_all_in_time_and_serves_again() {
     let (discovery, backend) = (Discovery::new(), Backend::new("s-1"));
-    let balancer = Balancer::start(&discovery, &[backend.entry("SERVING")]);
-    let (mut client, _server) = balancer.standing(0xf1, &backend);
+    let balancer = Balancer::start(&discovery, &[backend.endpoint("SERVING")]);
+    let (mut client, _server) = balancer.establish(0xf1, &backend);
     // The front has asked before, on the same connection.
     let mut front = balancer.connect();
     let ask = |front: &mut Peer| {
-        front.say("PING\r\n");
-        front.line()
+        front.send("PING\r\n");
+        front.read_line()
     };
     assert_eq!(ask(&mut front), "PONG\r\n");
     let told = Instant::now();
-    assert_eq!(balancer.call("/_lameduck/on", "").0, 200);
-    assert_eq!(balancer.call("/_lameduck/on", "").0, 200);
+    assert_eq!(balancer.admin_request("/_lameduck/on", "").0, 200);
+    assert_eq!(balancer.admin_request("/_lameduck/on", "").0, 200);
     assert_ne!(ask(&mut front), "PONG\r\n");
-    assert_eq!(balancer.call("/_ready", "").0, 503);
+    assert_eq!(balancer.admin_request("/_ready", "").0, 503);
     // Who comes all the same is served, and moved.
-    let (mut late, _late_server) = balancer.standing(0xf2, &backend);
+    let (mut late, _late_server) = balancer.establish(0xf2, &backend);
     for client in [&mut client, &mut late] {
         assert_eq!(
-            (client.line(), client.line()),
+            (client.read_line(), client.read_line()),
             ("MOVE\r\n".into(), String::new())
         );
     }
@@ -187,18 +187,18 @@
         "{:?}",
         told.elapsed()
     );
-    assert_eq!(balancer.call("/_lameduck/off", "").0, 200);
+    assert_eq!(balancer.admin_request("/_lameduck/off", "").0, 200);
     assert_eq!(ask(&mut front), "PONG\r\n");
-    assert_eq!(balancer.call("/_ready", "").0, 200);
+    assert_eq!(balancer.admin_request("/_ready", "").0, 200);
     // On, off and on again; then the process is told to stop as well.
-    let (mut client, _server) = balancer.standing(0xf3, &backend);
+    let (mut client, _server) = balancer.establish(0xf3, &backend);
     for call in ["/_lameduck/on", "/_lameduck/off", "/_lameduck/on"] {
-        assert_eq!(balancer.call(call, "").0, 200);
+        assert_eq!(balancer.admin_request(call, "").0, 200);
     }
     balancer.signal("-TERM");
-    assert_eq!(client.line(), "MOVE\r\n");
+    assert_eq!(client.read_line(), "MOVE\r\n");
     drop((client, late, front));
-    assert_eq!(balancer.exit(), Some(0));
+    assert_eq!(balancer.wait_for_exit(), Some(0));
 }
 
 #[test]
@@ -221,7 +221,7 @@
     for (fd, what) in wrong {
         let held = TcpListener::from(fd);
         let start = (folder.clone(), address, operator);
-        let process = Balancer::begin(
+        let process = Balancer::spawn(
             start.0,
             start.1,
             start.2,
@@ -229,7 +229,7 @@
             discovery.address,
             &[],
         );
-        assert_eq!(process.exit(), Some(1));
+        assert_eq!(process.wait_for_exit(), Some(1));
         let log = std::fs::read_to_string(folder.path.join("log")).expect("a log");
         assert!(
             log.contains(&format!("BALANCER_ACCEPT_FD: {what}")),
@@ -258,8 +258,8 @@
     let [address, operator] = free_ports();
     let held = TcpListener::bind(address).expect("free");
     let folder = std::sync::Arc::new(Folder::new(address));
-    let entry = backend.entry("SERVING");
-    let balancer = Balancer::begin(
+    let entry = backend.endpoint("SERVING");
+    let balancer = Balancer::spawn(
         folder,
         address,
         operator,
@@ -268,12 +268,12 @@
         &[entry],
     );
     wait_until(|| std::net::TcpStream::connect(operator).is_ok());
-    assert_eq!(balancer.call("/_ready", "").0, 200);
-    let (mut client, _server) = balancer.standing(0x11, &backend);
+    assert_eq!(balancer.admin_request("/_ready", "").0, 200);
+    let (mut client, _server) = balancer.establish(0x11, &backend);
     balancer.signal("-TERM");
-    assert_eq!(client.line(), "MOVE\r\n");
+    assert_eq!(client.read_line(), "MOVE\r\n");
     drop(client);
-    assert_eq!(balancer.exit(), Some(0));
+    assert_eq!(balancer.wait_for_exit(), Some(0));
     // The socket is the platform's: it goes on listening.
     let mut waiting = std::net::TcpStream::connect(address).expect("listens");
     waiting.write_all(b"PING\r\n").expect("queued");
