--- a/src/admin/maintenance_store.rs
+++ b/src/admin/maintenance_store.rs
@@ -31,7 +31,7 @@
     }
 
     /// The path of something else that is kept beside the file.
-    pub fn path_beside(&self, extension: &str) -> Option<PathBuf> {
+    pub fn sibling_path(&self, extension: &str) -> Option<PathBuf> {
         let path = self.path.as_ref()?;
         Some(path.with_extension(extension))
     }
--- a/src/lifecycle/accept.rs
+++ b/src/lifecycle/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts clients while this process is to accept them.
+//! Accepts client connections while this process is in the accepting state.
 
 use crate::invariants;
 use crate::proxy::client_reader::ClientReader;
@@ -10,10 +10,10 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::sleep;
 
-/// Pause after accepting failed: descriptors that ran out come back when connections end.
+/// Pause after a failed accept. Exhausted descriptors become free when connections end.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Accepts clients, as long as the process lives.
+/// Accepts clients until the process exits.
 pub async fn run(runtime: Rc<Runtime>, listener: TcpListener) {
     let mut accepting = runtime.lifecycle.subscribe_accepting();
     loop {
@@ -28,7 +28,7 @@
         match accepted {
             Ok((stream, _)) => {
                 serve(&runtime, stream);
-                // In a crowd, those that are evicted for the next client have to be gone before it is accepted.
+                // At the descriptor limit, lets the evicted connection close before the next client is accepted.
                 yield_now().await;
             }
             Err(error) => {
@@ -40,7 +40,7 @@
     }
 }
 
-/// Serves a client, or rejects it where descriptors are exhausted.
+/// Serves a client, or rejects it if no descriptor can be freed for it.
 fn serve(runtime: &Rc<Runtime>, stream: TcpStream) {
     let limit = runtime.descriptor_limit();
     let Some(permit) = runtime.connection_limit.acquire_for_client(limit) else {
--- a/src/lifecycle/draining.rs
+++ b/src/lifecycle/draining.rs
@@ -1,4 +1,4 @@
-//! Drains the balancer by a call of the staff: its clients are migrated, and the process runs on.
+//! Draining on an admin request: migrates all clients while the process keeps running.
 
 use super::migration::{MIGRATION_INTERVAL, Migrator};
 use crate::runtime::Runtime;
@@ -6,14 +6,14 @@
 use std::rc::Rc;
 use tokio::time::sleep;
 
-/// Seconds in which clients may still arrive: the front asks ten times a second and stops sending 0.2 s after a no. A
-/// client migrated before that could come back here.
+/// Seconds for which clients may still arrive. The front proxy polls readiness ten times a second and stops sending
+/// clients 0.2 s after a negative response. A client migrated earlier than this could be sent back here.
 const ARRIVAL_TIME: f64 = 0.4;
-/// Seconds until all connections have been told to migrate. All have to be gone after 4 s: this leaves half a second for
-/// clients that arrive late.
+/// Seconds until all connections have been told to migrate. All connections must be closed after 4 s, which leaves half
+/// a second for clients that arrive late.
 const DRAIN_TIME: f64 = 3.5;
 
-/// Drains the balancer whenever it is told to, until it is told to take clients again.
+/// Drains the balancer each time draining is requested, until the request is withdrawn.
 pub async fn run(runtime: Rc<Runtime>) {
     let mut draining = runtime.lifecycle.subscribe_draining();
     loop {
--- a/src/lifecycle/error.rs
+++ b/src/lifecycle/error.rs
@@ -1,4 +1,4 @@
-//! Errors that end the process at its start, or keep a reload from being carried out. Their texts go to the log.
+//! Errors that prevent the process from starting or a reload from being applied. Their texts are logged.
 
 use crate::cluster::ClusterError;
 use crate::config::ConfigError;
@@ -20,12 +20,12 @@
         /// Why it cannot be read.
         source: io::Error,
     },
-    /// The file has faults.
+    /// The file is not valid.
     #[error("{}: {faults}", path.display())]
     Invalid {
         /// The file.
         path: PathBuf,
-        /// All of its faults.
+        /// All faults found.
         faults: Faults,
     },
 }
@@ -39,35 +39,35 @@
     /// The configuration cannot be used.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The inherited descriptor is no listening socket.
+    /// The inherited descriptor is not a listening socket.
     #[error("BALANCER_ACCEPT_FD: {0}")]
     InheritedSocket(#[from] InheritedSocketError),
-    /// The inherited socket cannot be accepted from.
+    /// The inherited socket cannot be set up for accepting clients.
     #[error("BALANCER_ACCEPT_FD: {0}")]
     InheritedListener(#[source] io::Error),
-    /// The clients' address cannot be listened at.
+    /// The client address cannot be bound.
     #[error("key 'listen': {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why it cannot be listened at.
+        /// Why it cannot be bound.
         source: io::Error,
     },
-    /// The admin address cannot be listened at.
+    /// The admin address cannot be bound.
     #[error("key 'operator': {0}")]
     AdminListen(#[source] io::Error),
     /// The event loop cannot be created.
-    #[error("no runtime: {0}")]
+    #[error("cannot create the event loop: {0}")]
     EventLoop(#[source] io::Error),
-    /// Signals cannot be handled.
-    #[error("no signals: {0}")]
+    /// The signal handlers cannot be registered.
+    #[error("cannot register signal handlers: {0}")]
     Signals(#[source] io::Error),
     /// The cluster or the distribution of lists cannot be started.
     #[error(transparent)]
     Cluster(#[from] ClusterError),
 }
 
-/// Why a reload is not carried out.
+/// Why a reload is rejected.
 #[derive(Debug, Error)]
 pub enum ReloadError {
     /// The configuration cannot be used.
@@ -76,7 +76,7 @@
     /// The operator's file cannot be used.
     #[error(transparent)]
     OperatorFile(#[from] OperatorFileError),
-    /// The operator's file changes what is fixed while the process runs.
+    /// The operator's file changes settings that require a restart.
     #[error(transparent)]
     FixedSettings(Faults),
 }
--- a/src/lifecycle/graceful_shutdown.rs
+++ b/src/lifecycle/graceful_shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown after SIGTERM: clients that still arrive are served, established connections are migrated or
-//! transferred to the successor, all requests get their final response, and the process exits.
+//! Graceful shutdown after SIGTERM: serves clients that still arrive, migrates established connections or transfers
+//! them to the successor, sends every request its final response, and lets the process exit.
 
 use super::hot_restart::HotRestart;
 use super::migration::{MIGRATION_INTERVAL, Migrator};
@@ -12,24 +12,25 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// New connections arrive for up to 0.4 s more; a client migrated before that could come back here.
+/// New connections may arrive for up to 0.4 s after SIGTERM. A client migrated earlier could be sent back here.
 const ARRIVAL_TIME: Duration = Duration::from_millis(450);
-/// Migrations are spread over this time, so that the clients do not reach the other balancers in one wave.
+/// Migrations are spread over this time, so that the clients do not reconnect to the other balancers all at once.
 const MIGRATION_TIME: Duration = Duration::from_millis(1000);
-/// SIGKILL comes no earlier after SIGTERM than the longest wait of a client, counted as this at most, and a grace period.
+/// SIGKILL follows SIGTERM no earlier than the longest client wait, capped at this, plus [`KILL_GRACE`].
 const MAX_CLIENT_WAIT: Duration = Duration::from_secs(3);
-/// The grace period.
+/// Grace period before SIGKILL, added to the longest client wait.
 const KILL_GRACE: Duration = Duration::from_millis(700);
 /// Time before SIGKILL at which the final responses are sent.
 const FINAL_RESPONSES_BEFORE_KILL: Duration = Duration::from_millis(450);
 /// Time before SIGKILL at which the process stops waiting for requests.
 const EXIT_BEFORE_KILL: Duration = Duration::from_millis(250);
-/// Time for clients that have their response to close their side: an exit over unread bytes resets the connection.
+/// Time for clients that have their response to close their side. Exiting with unread bytes would reset the connection.
 const CLOSE_TIME: Duration = Duration::from_millis(200);
-/// The process is idle after so many ticks in a row without a client: at the first one a client may wait to be accepted.
+/// Consecutive ticks without a client until the process counts as idle. At the first one, a client may still be waiting
+/// to be accepted.
 const IDLE_TICKS: u32 = 2;
 
-/// Shuts the process down; returns when it may exit.
+/// Shuts down gracefully; returns when the process may exit.
 pub async fn run(runtime: Rc<Runtime>, hot_restart: Option<&HotRestart>) {
     runtime.lifecycle.set_shutting_down();
     if let Some(hot_restart) = hot_restart {
@@ -50,12 +51,12 @@
 struct GracefulShutdown {
     runtime: Rc<Runtime>,
     arrivals_end: Instant,
-    /// The earliest time of SIGKILL.
+    /// The earliest time at which SIGKILL may arrive.
     kill: Instant,
     migrator: Migrator,
-    /// Established connections that the migrator has not told yet, at its last tick.
+    /// Established connections that had not been told to migrate at the last tick.
     not_migrated: usize,
-    /// Requests whose connection was offered to the successor.
+    /// Requests whose connection has been offered to the successor.
     offered: HashSet<RequestId>,
     idle_ticks: u32,
 }
@@ -80,13 +81,13 @@
         }
     }
 
-    /// Serves, migrates and transfers until no client is left, or SIGKILL is near.
+    /// Serves, migrates and transfers connections until no client is left or SIGKILL is near.
     async fn finish_requests(&mut self) {
         while Instant::now() < self.kill - EXIT_BEFORE_KILL {
             sleep(MIGRATION_INTERVAL).await;
             let now = Instant::now();
             if self.runtime.peer_processes.has_successor() {
-                // The successor continues with the established connections, and nobody arrives here any more.
+                // The successor takes over the established connections, and no client arrives here any more.
                 self.transfer_established();
             } else if now < self.arrivals_end {
                 continue;
@@ -110,22 +111,23 @@
         }
     }
 
-    /// Whether no client is left, and none can arrive.
+    /// Returns whether no client is left and none can arrive.
     fn is_finished(&mut self) -> bool {
         let idle = self.is_idle();
         self.idle_ticks = if idle { self.idle_ticks + 1 } else { 0 };
-        // Where a successor accepts the clients, none is accepted here.
+        // Once a successor accepts the clients, this process accepts none.
         self.idle_ticks >= IDLE_TICKS || (idle && self.runtime.peer_processes.has_successor())
     }
 
-    /// Whether no client is served. One that has not sent its request yet may take its time, and is owed a response.
+    /// Returns whether no client is served. A client that has not sent its request yet still has time to do so and must
+    /// get a response.
     fn is_idle(&self) -> bool {
         self.runtime.established_requests().is_empty()
             && self.runtime.pending_requests().is_empty()
             && self.runtime.lifecycle.clients_without_request.count() == 0
     }
 
-    /// Rejects or fails what is pending: the balancer knows which, by what may have been executed.
+    /// Ends all pending requests. The balancer rejects or fails each, depending on whether it may have been executed.
     fn send_final_responses(&self) {
         for id in self.runtime.pending_requests() {
             self.runtime.handle_event(Event::ShutdownDeadline(id));
--- a/src/lifecycle/hot_restart/mod.rs
+++ b/src/lifecycle/hot_restart/mod.rs
@@ -1,7 +1,8 @@
-//! Hot restart: the driver of `spanspur-hot-restart`.
+//! Hot restart: drives the protocol of `spanspur-hot-restart`.
 //!
-//! A process listens on a Unix socket under `$TMPDIR`. A newer process of the same balancer connects to it, continues from
-//! its snapshot, accepts the clients, and takes over its connections when the older process is told to shut down.
+//! A process listens on a Unix socket under `$TMPDIR`. A newer process of the same balancer connects to the socket,
+//! restores the snapshot it receives and starts to accept clients. When the older process is told to shut down, it
+//! transfers its connections to the newer one.
 
 mod peer;
 mod predecessor;
@@ -17,7 +18,7 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// The part of this process in hot restarts: first as a successor, then as a predecessor.
+/// Hot restarts of this process, which is first a successor and later a predecessor.
 pub struct HotRestart {
     runtime: Rc<Runtime>,
     socket_path: PathBuf,
@@ -27,7 +28,7 @@
 }
 
 impl HotRestart {
-    /// Hot restarts over the Unix socket at this path.
+    /// Creates the state for hot restarts over the Unix socket at `socket_path`.
     pub fn new(runtime: Rc<Runtime>, socket_path: PathBuf) -> Rc<Self> {
         Rc::new(Self {
             runtime,
@@ -37,21 +38,21 @@
         })
     }
 
-    /// Connects to the process that serves now and continues from its state; `None` if there is none that it can
-    /// continue from: then this process begins on its own.
+    /// Connects to the running process and restores its state. Returns `None` if there is no process to continue from:
+    /// this process then starts on its own.
     pub async fn connect_to_predecessor(&self) -> Option<PredecessorLink> {
         successor::connect(&self.runtime, &self.socket_path).await
     }
 
-    /// Listens for the next successor, and notifies the predecessor that this process accepts the clients.
-    pub async fn take_clients(self: &Rc<Self>, predecessor: Option<PredecessorLink>) {
+    /// Listens for the next successor, and notifies the predecessor that this process accepts clients.
+    pub async fn start_accepting(self: &Rc<Self>, predecessor: Option<PredecessorLink>) {
         self.listen_for_successors();
         if let Some(predecessor) = predecessor {
-            predecessor.take_clients(self.runtime.clone()).await;
+            predecessor.notify_ready(self.runtime.clone()).await;
         }
     }
 
-    /// This process is told to shut down: a successor that is ready gets its connections.
+    /// Starts the shutdown: transfers the connections to the successor that is ready, if any.
     pub fn begin_shutdown(&self) {
         self.handle(Input::Shutdown);
     }
--- a/src/lifecycle/hot_restart/peer.rs
+++ b/src/lifecycle/hot_restart/peer.rs
@@ -1,5 +1,5 @@
-//! What both processes of a hot restart do on their link: they pass on updates, and report the descriptors that their
-//! clients hold.
+//! The part of the protocol that is the same in both processes of a hot restart: sending updates and reporting how many
+//! descriptors the clients of each process hold.
 
 use crate::discovery::endpoint_list::EndpointList;
 use crate::invariants;
@@ -12,16 +12,16 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-/// Time for the other process to send its first frame.
+/// Timeout for the first frame of the other process.
 pub const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
-/// Updates that may wait to be sent to the other process.
+/// Capacity of the queue of updates to the other process.
 pub const MAX_QUEUED_UPDATES: usize = 256;
-/// How often the number of descriptors that clients hold is reported, if it has changed.
+/// Interval at which the number of descriptors held by clients is reported, if it has changed.
 const REPORT_INTERVAL: Duration = Duration::from_millis(50);
-/// Descriptors that a process holds besides its clients': standard streams, the event loop, listeners, discovery, admin.
+/// Descriptors that a process holds apart from its clients': standard streams, event loop, listeners, discovery, admin.
 const OWN_DESCRIPTORS: usize = 20;
 
-/// Sends updates, and the number of descriptors that clients hold here, until the link breaks.
+/// Sends updates and the number of descriptors that clients hold in this process, until the link fails.
 pub async fn send_updates(
     sender: &Sender,
     mut updates: mpsc::Receiver<Frame>,
@@ -61,7 +61,7 @@
         Frame::Maintenance(text) => match MaintenanceSet::parse(text.as_bytes()) {
             Ok(maintenance) => runtime.merge_maintenance(&maintenance),
             Err(error) => {
-                tracing::warn!(%error, "unreadable maintenance update from other process");
+                tracing::warn!(%error, "invalid maintenance update from the other process");
             }
         },
         Frame::Draining(draining) => {
@@ -75,10 +75,10 @@
     let list: EndpointList = match postcard::from_bytes(payload) {
         Ok(list) => list,
         Err(error) => {
-            return tracing::warn!(%error, "unreadable endpoint list from other process");
+            return tracing::warn!(%error, "invalid endpoint list from the other process");
         }
     };
-    // Each process watches by itself: a newer list is not replaced by one that the other received earlier.
+    // Each process watches discovery itself and may already have a newer list than the one it is sent.
     if list.revision <= runtime.list_revision() {
         return;
     }
--- a/src/lifecycle/hot_restart/predecessor.rs
+++ b/src/lifecycle/hot_restart/predecessor.rs
@@ -1,4 +1,4 @@
-//! The older process: listens for successors, and sends them its state, updates and connections.
+//! The older process: listens for successors and sends them its state, updates and connections.
 
 use super::HotRestart;
 use super::peer::{HELLO_TIMEOUT, MAX_QUEUED_UPDATES, apply_update, send_updates};
@@ -17,34 +17,36 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Successors that may be connected: one that starts, one that may be stuck, and one that replaces that.
+/// Limit on connected successors. Covers one that is starting, one that is stuck, and one started to replace the stuck
+/// one.
 const MAX_SUCCESSORS: usize = 4;
-/// Pause after accepting a successor failed.
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Access to the socket: whoever connects is given the clients, so the owner's processes only.
+/// Permissions of the socket. Whoever connects receives the clients, so only the owner's processes may.
 const SOCKET_MODE: u32 = 0o600;
 
 impl HotRestart {
-    /// Lets successors connect from here on.
+    /// Starts listening for successors.
     pub(super) fn listen_for_successors(self: &Rc<Self>) {
         match self.bind() {
             Ok(listener) => drop(spawn_local(self.clone().accept_successors(listener))),
             Err(error) => {
                 invariants::count("no successor can connect");
                 let path = self.socket_path.display();
-                tracing::warn!(%path, %error, "hot restart socket not bound");
+                tracing::warn!(%path, %error, "cannot bind the hot restart socket");
             }
         }
     }
 
-    /// Binds a fresh socket and renames it, so that whoever connects finds the old socket or this one.
+    /// Binds a socket under a temporary name and renames it, so that a connecting process always finds a socket: the old
+    /// one or the new one.
     fn bind(&self) -> io::Result<UnixListener> {
         let extension = format!("sock{}", std::process::id());
-        let fresh = self.socket_path.with_extension(extension);
-        let _ = fs::remove_file(&fresh);
-        let listener = UnixListener::bind(&fresh)?;
-        fs::set_permissions(&fresh, Permissions::from_mode(SOCKET_MODE))?;
-        fs::rename(&fresh, &self.socket_path)?;
+        let temporary = self.socket_path.with_extension(extension);
+        let _ = fs::remove_file(&temporary);
+        let listener = UnixListener::bind(&temporary)?;
+        fs::set_permissions(&temporary, Permissions::from_mode(SOCKET_MODE))?;
+        fs::rename(&temporary, &self.socket_path)?;
         Ok(listener)
     }
 
@@ -56,7 +58,7 @@
                 }
                 Ok(_) => invariants::count("too many successors"),
                 Err(error) => {
-                    tracing::warn!(%error, "successor not accepted");
+                    tracing::warn!(%error, "failed to accept a successor");
                     sleep(ACCEPT_PAUSE).await;
                 }
             }
@@ -78,7 +80,7 @@
             return tracing::warn!(
                 version,
                 expected = VERSION,
-                "successor cannot continue from this process"
+                "successor not served: protocol versions differ or the link failed"
             );
         }
         let transfers = ConnectionSender::new(sender);
@@ -91,11 +93,11 @@
             () = self.receive(id, &transfers, receiver) => {}
             () = send_updates(transfers.link(), updates, held_descriptors) => {}
         }
-        self.successor_gone(id, &transfers);
+        self.remove_successor(id, &transfers);
     }
 
-    /// The state for a successor of this version. A state without a snapshot is understood by all versions: the successor
-    /// cannot continue from this process.
+    /// Returns the encoded snapshot for a successor of this version. It is empty if the versions differ: every version
+    /// understands from this that it cannot continue from this process.
     fn snapshot_for(&self, version: u32) -> Vec<u8> {
         match version {
             VERSION => postcard::to_stdvec(&self.runtime.snapshot()).unwrap_or_default(),
@@ -115,10 +117,10 @@
         }
     }
 
-    fn successor_gone(&self, id: SuccessorId, transfers: &ConnectionSender) {
+    fn remove_successor(&self, id: SuccessorId, transfers: &ConnectionSender) {
         transfers.close();
         self.successors.borrow_mut().remove(&id);
-        // One that disconnects while another is connected says nothing of the descriptors that the other holds.
+        // The count is reset with the last successor only: another one may still hold descriptors.
         if self.successors.borrow().is_empty() {
             self.runtime.peer_processes.set_descriptors(0);
         }
@@ -126,7 +128,7 @@
     }
 }
 
-/// The version of the successor; `None` if its first frame is not a hello, or late.
+/// Returns the version of the successor, or `None` if its first frame is late or not [`Frame::Hello`].
 async fn receive_hello(receiver: &mut Receiver) -> Option<u32> {
     let received = timeout(HELLO_TIMEOUT, receiver.next()).await;
     match received.ok()?.ok()??.frame {
--- a/src/lifecycle/hot_restart/successor.rs
+++ b/src/lifecycle/hot_restart/successor.rs
@@ -1,4 +1,4 @@
-//! The newer process: connects to its predecessor, continues from its state, and takes over its connections.
+//! The newer process: connects to its predecessor, restores its state, and takes over its connections.
 
 use super::peer::{HELLO_TIMEOUT, MAX_QUEUED_UPDATES, apply_update, send_updates};
 use crate::invariants;
@@ -19,56 +19,56 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// Why this process cannot continue from another one.
+/// Why the state of a predecessor cannot be taken over.
 #[derive(Debug, Error)]
 enum PredecessorError {
-    /// Nobody listens at the socket.
+    /// No process listens on the socket.
     #[error(transparent)]
     NotRunning(io::Error),
-    /// No answer in time.
-    #[error("no answer in time")]
+    /// The predecessor did not respond in time.
+    #[error("no response in time")]
     TimedOut,
     /// The link failed.
     #[error("the link failed: {0}")]
     Link(#[from] LinkError),
-    /// The link was closed without an answer.
-    #[error("the link was closed")]
+    /// The link was closed without a response.
+    #[error("the link was closed before a response")]
     Closed,
-    /// The first frame is not the state.
-    #[error("another frame than the state")]
+    /// The first frame is not [`Frame::State`].
+    #[error("expected the state, received another frame")]
     UnexpectedFrame,
-    /// The predecessor's protocol has another version.
-    #[error("version {theirs}, not {VERSION}")]
+    /// The predecessor uses another protocol version.
+    #[error("protocol version {theirs}, expected {VERSION}")]
     OtherVersion {
         /// The predecessor's version.
         theirs: u32,
     },
-    /// The state cannot be decoded.
-    #[error("unreadable snapshot: {0}")]
+    /// The snapshot cannot be decoded.
+    #[error("invalid snapshot: {0}")]
     InvalidSnapshot(#[from] postcard::Error),
 }
 
-/// The link to the older process, which still serves.
+/// The link to the older process, which still serves its connections.
 pub struct PredecessorLink {
     sender: Sender,
     receiver: Receiver,
     updates: mpsc::Receiver<Frame>,
-    /// Revision of the endpoint list taken over, if it is of the same discovery.
+    /// Revision of the restored endpoint list; `None` if it came from another discovery address.
     pub revision: Option<u64>,
 }
 
-/// Connects to the older process and continues from its state, if there is one.
+/// Connects to the older process, if one is running, and restores its state.
 pub async fn connect(runtime: &Rc<Runtime>, socket_path: &Path) -> Option<PredecessorLink> {
     match request_state(socket_path).await {
         Ok((sender, receiver, snapshot)) => {
-            Some(continue_from(runtime, snapshot, sender, receiver))
+            Some(restore_state(runtime, snapshot, sender, receiver))
         }
         Err(error @ PredecessorError::NotRunning(_)) => {
             tracing::info!(%error, "no predecessor is running");
             None
         }
         Err(error) => {
-            tracing::warn!(%error, "no hot restart from the predecessor");
+            tracing::warn!(%error, "cannot continue from the predecessor");
             None
         }
     }
@@ -79,13 +79,13 @@
 ) -> Result<(Sender, Receiver, Snapshot), PredecessorError> {
     let stream = UnixStream::connect(socket_path).await;
     let (sender, mut receiver) = link(stream.map_err(PredecessorError::NotRunning)?);
-    let answer = async {
+    let response = async {
         sender.send(&Frame::Hello { version: VERSION }, &[]).await?;
         receiver.next().await
     };
-    let answer = timeout(HELLO_TIMEOUT, answer).await;
-    let answer = answer.map_err(|_| PredecessorError::TimedOut)??;
-    match answer.ok_or(PredecessorError::Closed)?.frame {
+    let response = timeout(HELLO_TIMEOUT, response).await;
+    let response = response.map_err(|_| PredecessorError::TimedOut)??;
+    match response.ok_or(PredecessorError::Closed)?.frame {
         Frame::State {
             version: VERSION,
             snapshot,
@@ -95,7 +95,7 @@
     }
 }
 
-fn continue_from(
+fn restore_state(
     runtime: &Rc<Runtime>,
     snapshot: Snapshot,
     sender: Sender,
@@ -109,7 +109,7 @@
     );
     match MaintenanceSet::parse(snapshot.maintenance.as_bytes()) {
         Ok(maintenance) => runtime.merge_maintenance(&maintenance),
-        Err(error) => tracing::warn!(%error, "unreadable maintenance state of the predecessor"),
+        Err(error) => tracing::warn!(%error, "invalid maintenance state from the predecessor"),
     }
     runtime.lifecycle.set_draining(snapshot.draining);
     let same_discovery = snapshot.discovery == runtime.process_config().discovery;
@@ -126,8 +126,8 @@
 }
 
 impl PredecessorLink {
-    /// Notifies the predecessor that this process accepts the clients, and takes over its connections from here on.
-    pub async fn take_clients(self, runtime: Rc<Runtime>) {
+    /// Notifies the predecessor that this process accepts clients, and starts taking over its connections.
+    pub async fn notify_ready(self, runtime: Rc<Runtime>) {
         if self.sender.send(&Frame::Ready, &[]).await.is_err() {
             tracing::warn!("link to predecessor closed before this process was ready");
         }
@@ -154,7 +154,7 @@
     }
 }
 
-/// Takes over connections and applies updates until the link ends.
+/// Takes over connections and applies updates until the link closes.
 async fn receive(runtime: &Rc<Runtime>, sender: &Sender, mut receiver: Receiver) {
     while let Ok(Some(ReceivedFrame { frame, descriptors })) = receiver.next().await {
         let Frame::Connection { number, payload } = frame else {
@@ -162,19 +162,19 @@
             continue;
         };
         let taken_over = take_over(runtime, &payload, descriptors);
-        let answer = Frame::Acknowledge { number, taken_over };
-        if sender.send(&answer, &[]).await.is_err() {
+        let acknowledgement = Frame::Acknowledge { number, taken_over };
+        if sender.send(&acknowledgement, &[]).await.is_err() {
             return;
         }
     }
 }
 
-/// Continues with a connection of the predecessor; whether it can.
+/// Starts serving a connection of the predecessor. Returns `false` if the connection cannot be taken over.
 fn take_over(runtime: &Rc<Runtime>, payload: &[u8], descriptors: Vec<OwnedFd>) -> bool {
-    // They were counted at the predecessor until now.
-    let others = runtime.peer_processes.descriptors();
-    let others = others.saturating_sub(descriptors.len());
-    runtime.peer_processes.set_descriptors(others);
+    // Until now these descriptors were counted as the predecessor's.
+    let peer_descriptors = runtime.peer_processes.descriptors();
+    let peer_descriptors = peer_descriptors.saturating_sub(descriptors.len());
+    runtime.peer_processes.set_descriptors(peer_descriptors);
     let to_stream = |fd| TcpStream::from_std(std::net::TcpStream::from(fd)).ok();
     let mut streams = descriptors.into_iter().map_while(to_stream);
     let taken_over = match postcard::from_bytes(payload) {
@@ -189,7 +189,7 @@
             client.map(|client| serve_awaiting_request(runtime, client, received, time_left))
         }
         Err(error) => {
-            tracing::warn!(%error, "unreadable connection of the predecessor");
+            tracing::warn!(%error, "invalid connection state from the predecessor");
             None
         }
     };
--- a/src/lifecycle/logging.rs
+++ b/src/lifecycle/logging.rs
@@ -1,23 +1,23 @@
-//! The log of the process, on standard error.
+//! Logging to standard error.
 
 use spanspur_operator_config::LogFormat;
 use std::io::IsTerminal;
 use tracing_subscriber::EnvFilter;
 
-/// What is logged where `RUST_LOG` does not say.
+/// Filter used if `RUST_LOG` is unset or empty.
 const DEFAULT_FILTER: &str = "info";
 
-/// Starts the log; `RUST_LOG` selects what it holds.
+/// Initializes logging. `RUST_LOG` selects the targets and levels.
 pub fn start(format: LogFormat) {
-    let selected = std::env::var("RUST_LOG").ok();
-    let selected = selected.filter(|filter| !filter.is_empty());
-    let filter = EnvFilter::builder().parse_lossy(selected.as_deref().unwrap_or(DEFAULT_FILTER));
-    let log = tracing_subscriber::fmt()
+    let rust_log = std::env::var("RUST_LOG").ok();
+    let rust_log = rust_log.filter(|filter| !filter.is_empty());
+    let filter = EnvFilter::builder().parse_lossy(rust_log.as_deref().unwrap_or(DEFAULT_FILTER));
+    let subscriber = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_writer(std::io::stderr)
         .with_ansi(std::io::stderr().is_terminal());
     match format {
-        LogFormat::Text => log.init(),
-        LogFormat::Json => log.json().flatten_event(true).init(),
+        LogFormat::Text => subscriber.init(),
+        LogFormat::Json => subscriber.json().flatten_event(true).init(),
     }
 }
--- a/src/lifecycle/migration.rs
+++ b/src/lifecycle/migration.rs
@@ -1,4 +1,4 @@
-//! Migrates established connections at a pace, so that their clients do not reach the other balancers in one wave.
+//! Migrates established connections gradually, so that their clients do not reconnect to the other balancers at once.
 
 use crate::api::RequestId;
 use crate::runtime::{Command, Runtime};
@@ -7,10 +7,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Interval between the calls of [`Migrator::migrate_due`].
+/// Interval between calls of [`Migrator::migrate_due`].
 pub const MIGRATION_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Migrates each established connection once, by a schedule.
+/// Migrates each established connection once, according to a schedule.
 pub struct Migrator {
     runtime: Rc<Runtime>,
     schedule: DrainSchedule,
@@ -18,7 +18,7 @@
 }
 
 impl Migrator {
-    /// A migrator that has migrated nothing yet.
+    /// Creates a migrator that has not migrated any connection.
     pub fn new(runtime: Rc<Runtime>, schedule: DrainSchedule) -> Self {
         let migrated = HashSet::new();
         Self {
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Migrates the connections that are due, where the next call comes after [`MIGRATION_INTERVAL`]. Returns how many
-    /// established connections are left to migrate.
+    /// Migrates the connections that are due; to be called every [`MIGRATION_INTERVAL`]. Returns the number of
+    /// established connections that are still to be migrated.
     pub fn migrate_due(&mut self) -> usize {
         let mut remaining = self.runtime.established_requests();
         remaining.retain(|id| !self.migrated.contains(id));
--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -1,4 +1,4 @@
-//! The life of the process: startup, signals, configuration reload, draining, graceful shutdown and hot restart.
+//! Process lifecycle: startup, signals, configuration reload, draining, graceful shutdown and hot restart.
 
 pub mod accept;
 pub mod draining;
--- a/src/lifecycle/operator_file.rs
+++ b/src/lifecycle/operator_file.rs
@@ -1,13 +1,13 @@
-//! Reads the operator's file that the command line names.
+//! Reads the operator's file named on the command line.
 
 use super::error::OperatorFileError;
 use crate::cli::Serve;
 use spanspur_operator_config::OperatorConfig;
 
-/// The operator's file, or its defaults if none is named.
+/// Returns the operator's settings, or the defaults if no file is named.
 ///
 /// # Errors
-/// If the file cannot be read, or has faults.
+/// If the file cannot be read or is invalid.
 pub fn read(options: &Serve) -> Result<OperatorConfig, OperatorFileError> {
     let Some(path) = &options.operator else {
         return Ok(OperatorConfig::default());
--- a/src/lifecycle/reload.rs
+++ b/src/lifecycle/reload.rs
@@ -1,4 +1,4 @@
-//! Reload at SIGHUP: the configuration and the operator's file as they are now come into effect.
+//! Reload on SIGHUP: reads the configuration and the operator's file again and applies them.
 
 use super::error::ReloadError;
 use super::operator_file;
@@ -11,29 +11,28 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// What a reload brings into effect, and where.
+/// The state that a reload replaces, and the components that it updates.
 pub struct Reload {
-    /// The runtime of the process.
+    /// Applies the configuration.
     pub runtime: Rc<Runtime>,
-    /// The address of discovery.
+    /// Sends the discovery address to the watcher.
     pub discovery: watch::Sender<SocketAddr>,
-    /// The options of the command line.
+    /// The command-line options.
     pub options: Serve,
-    /// The operator's file as it is in effect.
+    /// The operator's settings currently in effect.
     pub operator: OperatorConfig,
-    /// The membership of this process in a cluster.
+    /// The cluster member of this process, if any.
     pub cluster_member: Option<Rc<ClusterMember>>,
-    /// The control instances that this process follows.
+    /// The follower of the control instances, if any.
     pub list_follower: Option<Rc<ListFollower>>,
 }
 
 impl Reload {
-    /// All or nothing: a file that is unreadable or invalid must not replace the old state, nor keep half of the other
-    /// file's changes.
+    /// Reloads both files, or neither: if one of them is unreadable or invalid, no change of the other one is applied.
     pub fn run(&mut self) {
         match self.read() {
             Ok((config, operator)) => self.apply(config, operator),
-            Err(error) => tracing::error!(%error, "not reloaded, configuration unchanged"),
+            Err(error) => tracing::error!(%error, "reload failed, configuration unchanged"),
         }
     }
 
@@ -49,7 +48,7 @@
 
     fn apply(&mut self, config: ProcessConfig, operator: OperatorConfig) {
         tracing::info!(discovery = %config.discovery, "configuration reloaded");
-        // First the address, then the balancer's request to poll it.
+        // The address must be set before the new configuration makes the balancer poll it.
         let discovery = config.discovery;
         self.discovery
             .send_if_modified(|address| std::mem::replace(address, discovery) != discovery);
--- a/src/lifecycle/signals.rs
+++ b/src/lifecycle/signals.rs
@@ -1,17 +1,17 @@
-//! The signals of the process: SIGHUP reloads the configuration, SIGTERM ends the process.
+//! Signal handling: SIGHUP reloads the configuration, SIGTERM starts the graceful shutdown.
 
 use super::reload::Reload;
 use std::io;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// The signals that are handled. None of them ends the process by itself any more, also not a SIGHUP after SIGTERM.
+/// Handlers for SIGHUP and SIGTERM. They replace the default actions: a SIGHUP after SIGTERM does not end the process.
 pub struct Signals {
     hangup: Signal,
     terminate: Signal,
 }
 
 impl Signals {
-    /// Keeps signals from here on until they are handled.
+    /// Registers the handlers. Signals that arrive from now on are kept until [`Self::reload_until_terminated`] runs.
     ///
     /// # Errors
     /// If a handler cannot be registered.
@@ -22,7 +22,7 @@
         })
     }
 
-    /// Reloads at each SIGHUP; returns at SIGTERM.
+    /// Reloads on each SIGHUP; returns on SIGTERM.
     pub async fn reload_until_terminated(mut self, mut reload: Reload) {
         loop {
             tokio::select! {
--- a/src/lifecycle/sockets.rs
+++ b/src/lifecycle/sockets.rs
@@ -6,19 +6,19 @@
 use socket2::Socket;
 use tokio::net::TcpListener;
 
-/// The listening sockets.
+/// Listening sockets for clients and for admin requests.
 pub struct ListeningSockets {
-    /// For clients.
+    /// Accepts clients.
     pub clients: TcpListener,
-    /// For the staff, if there is an address for them.
+    /// Accepts admin requests, if an admin address is configured.
     pub admin: Option<TcpListener>,
 }
 
 impl ListeningSockets {
-    /// Listens at the configured addresses; for clients on the inherited socket, if there is one.
+    /// Binds the configured addresses. Clients are accepted on the inherited socket instead, if there is one.
     ///
     /// # Errors
-    /// If an address cannot be listened at.
+    /// If an address cannot be bound or the inherited socket cannot be used.
     pub fn open(config: &ProcessConfig, inherited: Option<Socket>) -> Result<Self, StartupError> {
         let address = config.listen;
         let clients = match inherited {
--- a/src/lifecycle/startup.rs
+++ b/src/lifecycle/startup.rs
@@ -1,4 +1,4 @@
-//! Startup of the process: command line, configuration, log, sockets, then the tasks that serve until SIGTERM.
+//! Process startup: command line, configuration, logging, sockets, then the tasks that serve until SIGTERM.
 
 use super::error::StartupError;
 use super::hot_restart::{HotRestart, PredecessorLink};
@@ -24,10 +24,10 @@
 use tokio::sync::watch;
 use tokio::task::{LocalSet, spawn_local};
 
-/// Extension of the hot restart socket, which is beside the maintenance file.
+/// File extension of the hot restart socket, which is in the same directory as the maintenance file.
 const SOCKET_EXTENSION: &str = "sock";
 
-/// Runs the program: a sub-command, or the balancer until it is told to stop.
+/// Runs the program: a subcommand, or the balancer until SIGTERM.
 pub fn run() -> ExitCode {
     let options = match Cli::run() {
         Invocation::Finished(exit_code) => return exit_code,
@@ -35,11 +35,11 @@
     };
     let operator = operator_file::read(&options);
     logging::start(operator.as_ref().map_or(LogFormat::Text, |o| o.log.format));
-    let served = operator
+    let result = operator
         .map_err(StartupError::from)
         .and_then(|operator| serve(options, operator));
     invariants::log_counters();
-    match served {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             tracing::error!("{error}");
@@ -50,7 +50,7 @@
 
 fn serve(options: Serve, operator: OperatorConfig) -> Result<(), StartupError> {
     let config = ProcessConfig::from_env(LoadReason::Start)?;
-    // Before anything is opened here: the number of a closed descriptor would be given to something else.
+    // Must come before this process opens a descriptor: if the configured number is closed, the kernel would reuse it.
     let inherited = config.accept_fd.map(take_listening_socket).transpose()?;
     let event_loop = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -78,7 +78,7 @@
     let (discovery, discovery_changes) = watch::channel(config.discovery);
     let runtime = Rc::new(Runtime::new(config));
 
-    let (hot_restart, predecessor) = continue_balancer(&runtime, sockets.admin).await;
+    let (hot_restart, predecessor) = start_admin_and_hot_restart(&runtime, sockets.admin).await;
     let revision = match &predecessor {
         Some(predecessor) => predecessor.revision,
         None => start_from_cache(&runtime, cached, &operator),
@@ -89,7 +89,7 @@
     spawn_local(watch);
     spawn_local(accept::run(runtime.clone(), sockets.clients));
     if let Some(hot_restart) = &hot_restart {
-        hot_restart.take_clients(predecessor).await;
+        hot_restart.start_accepting(predecessor).await;
     }
     runtime.lifecycle.set_accepting(true);
 
@@ -109,8 +109,8 @@
     Ok(())
 }
 
-/// Continues from the maintenance file and from a predecessor, and answers the staff.
-async fn continue_balancer(
+/// Restores the maintenance file and the state of a running predecessor, then starts the admin server.
+async fn start_admin_and_hot_restart(
     runtime: &Rc<Runtime>,
     listener: Option<TcpListener>,
 ) -> (Option<Rc<HotRestart>>, Option<PredecessorLink>) {
@@ -121,7 +121,7 @@
         Some(hot_restart) => hot_restart.connect_to_predecessor().await,
         None => None,
     };
-    // The predecessor accepts the clients until this process is ready.
+    // The predecessor keeps accepting clients until this process is ready.
     runtime.lifecycle.set_accepting(predecessor.is_none());
     if let Some(listener) = listener {
         spawn_local(admin::server::run(runtime.clone(), listener, store));
@@ -130,7 +130,7 @@
     (hot_restart, predecessor)
 }
 
-/// Brings the maintenance file into effect.
+/// Loads the maintenance file and applies it.
 fn restore_maintenance(runtime: &Rc<Runtime>, store: &MaintenanceStore) {
     let Some(maintenance) = store.read() else {
         return;
@@ -140,28 +140,29 @@
     runtime.merge_maintenance(&maintenance);
 }
 
-/// Hot restarts need a clients' socket that the platform holds: only then two processes can accept one after the other.
+/// Enables hot restarts if the client socket is inherited from the platform. Without an inherited socket, two processes
+/// cannot accept on the same socket one after the other.
 fn set_up_hot_restart(runtime: &Rc<Runtime>, store: &MaintenanceStore) -> Option<Rc<HotRestart>> {
     runtime.process_config().accept_fd?;
-    let socket_path = store.path_beside(SOCKET_EXTENSION)?;
+    let socket_path = store.sibling_path(SOCKET_EXTENSION)?;
     Some(HotRestart::new(runtime.clone(), socket_path))
 }
 
-/// Begins with the cached endpoint list; returns the revision to watch from, `None` for the full list.
+/// Applies the cached endpoint list. Returns the revision to watch from, or `None` to poll for the full list.
 fn start_from_cache(
     runtime: &Rc<Runtime>,
     cached: EndpointList,
     operator: &OperatorConfig,
 ) -> Option<u64> {
-    // Revisions start from 0: only a process that knows no endpoint polls for the full list. One that watches for
-    // others has to know the full list too, as discovery has it.
-    let poll_full_list = cached.endpoints.is_empty() || operator.duties.list.is_some();
-    let revision = Some(cached.revision).filter(|_| !poll_full_list);
+    // Revision 0 is valid, so an unknown list is recognized by having no endpoint. A process that watches discovery on
+    // behalf of other instances also needs the full list as discovery has it.
+    let needs_full_list = cached.endpoints.is_empty() || operator.duties.list.is_some();
+    let revision = Some(cached.revision).filter(|_| !needs_full_list);
     runtime.update_endpoints(UpdateKind::Cached, cached);
     revision
 }
 
-/// The part of this process in a cluster, or as a follower of one.
+/// The cluster member or list follower that this process runs, if configured.
 struct ClusterTasks {
     member: Option<Rc<ClusterMember>>,
     list_follower: Option<Rc<ListFollower>>,
@@ -175,10 +176,10 @@
         })
     }
 
-    /// The endpoint list that other instances watch for this one, if any do.
+    /// The endpoint list that this process receives from other instances, if it is a member or a follower.
     fn shared_list(&self) -> Option<Rc<SharedEndpointList>> {
-        let of_member = self.member.as_ref().map(|member| member.endpoint_list());
+        let member_list = self.member.as_ref().map(|member| member.endpoint_list());
         let follower = self.list_follower.as_ref();
-        of_member.or(follower.map(|follower| follower.endpoint_list()))
+        member_list.or(follower.map(|follower| follower.endpoint_list()))
     }
 }
