--- a/src/admin/maintenance_store.rs
+++ b/src/admin/maintenance_store.rs
@@ -1,4 +1,4 @@
-//! The file of the servers under maintenance, in `$TMPDIR`.
+//! Stores the servers under maintenance in a file in `$TMPDIR`.
 
 use crate::invariants;
 use spanspur_admin::maintenance::MaintenanceSet;
@@ -7,21 +7,21 @@
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// The longest part of the balancer's name that is in the name of the file, in characters.
+/// Characters of the balancer's name that are used in the file name.
 const MAX_NAME: usize = 64;
-/// Extension of the file.
+/// File extension.
 const EXTENSION: &str = "outs";
-/// Extension of a file that is set aside.
+/// Extension to which an invalid file is renamed.
 const INVALID_EXTENSION: &str = "outs.bad";
 
-/// The place of the file; none without `$TMPDIR`, which is this balancer's alone.
+/// The path of the maintenance file. Without `$TMPDIR`, which is private to this balancer, nothing is stored.
 #[derive(Clone)]
 pub struct MaintenanceStore {
     path: Option<PathBuf>,
 }
 
 impl MaintenanceStore {
-    /// The store of the balancer with this name.
+    /// Returns the store of the balancer with this name.
     pub fn open(name: &str) -> Self {
         let directory = std::env::var_os("TMPDIR").filter(|path| !path.is_empty());
         let file_name = file_name(name);
@@ -30,20 +30,20 @@
         }
     }
 
-    /// The path of something else that is kept beside the file.
+    /// Returns the path of the maintenance file with another extension.
     pub fn sibling_path(&self, extension: &str) -> Option<PathBuf> {
         let path = self.path.as_ref()?;
         Some(path.with_extension(extension))
     }
 
-    /// Reads the file. One that is invalid is set aside: it never keeps the process from starting.
+    /// Reads the file. An invalid file is renamed and ignored: it must not prevent the process from starting.
     pub fn read(&self) -> Option<MaintenanceSet> {
         let path = self.path.as_ref()?;
         let text = match read_limited(path) {
             Ok(text) => text,
             Err(error) if error.kind() == io::ErrorKind::NotFound => return None,
             Err(error) => {
-                tracing::warn!(file = %path.display(), %error, "unreadable maintenance file ignored");
+                tracing::warn!(file = %path.display(), %error, "cannot read the maintenance file, ignored");
                 return None;
             }
         };
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Replaces the file: whoever reads it finds the old state or the new one. Blocks; not for the event loop's thread.
+    /// Replaces the file atomically. Blocking: must not run on the event loop's thread.
     ///
     /// # Errors
     /// If the file cannot be written or renamed.
@@ -64,24 +64,24 @@
         let Some(path) = &self.path else {
             return Ok(());
         };
-        let fresh = path.with_extension(format!("{EXTENSION}.{}", std::process::id()));
-        let mut file = File::create(&fresh)?;
+        let temporary = path.with_extension(format!("{EXTENSION}.{}", std::process::id()));
+        let mut file = File::create(&temporary)?;
         file.write_all(maintenance.to_text().as_bytes())?;
         file.sync_all()?;
-        fs::rename(&fresh, path)?;
-        // The new name is durable only with its directory.
+        fs::rename(&temporary, path)?;
+        // The rename is durable only after the directory is synced.
         path.parent()
             .map_or(Ok(()), |directory| File::open(directory)?.sync_all())
     }
 }
 
 fn file_name(balancer: &str) -> String {
-    let plain = |c: char| if c.is_ascii_alphanumeric() { c } else { '-' };
-    let name: String = balancer.chars().take(MAX_NAME).map(plain).collect();
+    let sanitize = |c: char| if c.is_ascii_alphanumeric() { c } else { '-' };
+    let name: String = balancer.chars().take(MAX_NAME).map(sanitize).collect();
     format!("spanspur-{name}.{EXTENSION}")
 }
 
-/// Reads a file; of one that is too long only what shows that it is.
+/// Reads a file up to one byte more than [`MAX_FILE`], so that a longer file is truncated and fails its checksum.
 fn read_limited(path: &Path) -> io::Result<Vec<u8>> {
     let mut text = Vec::new();
     File::open(path)?
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,4 +1,4 @@
-//! Administration of the running balancer: the driver of `spanspur-admin`.
+//! Administration of the running balancer: I/O for `spanspur-admin`.
 
 pub mod maintenance_store;
 pub mod server;
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -1,4 +1,4 @@
-//! The admin address: requests of the staff, one to a connection.
+//! HTTP server on the admin address, with one request per connection.
 
 use super::maintenance_store::MaintenanceStore;
 use crate::api::ServerId;
@@ -18,30 +18,30 @@
 use tokio::task::{spawn_blocking, spawn_local, yield_now};
 use tokio::time::{sleep, timeout};
 
-/// The most callers at a time; for one more, the one whose request is incomplete for longest is evicted.
+/// Limit on concurrent callers. For a further caller, the one whose request has been incomplete for longest is evicted.
 const MAX_CALLERS: usize = 8;
-/// Time for a caller to send its request.
+/// Timeout for receiving a request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause after accepting failed.
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Bytes read at once.
+/// Size of the read buffer, in bytes.
 const READ_CHUNK: usize = 1024;
 
-/// What requests act on.
+/// State that the requests read and change.
 struct AdminServer {
     runtime: Rc<Runtime>,
     store: Rc<MaintenanceStore>,
-    /// Held during a change: each is written before it comes into effect.
-    change: Mutex<()>,
+    /// Serializes changes: each change is written to the file before it is applied.
+    change_lock: Mutex<()>,
 }
 
-/// Answers requests, as long as the process lives.
+/// Serves admin requests until the process exits.
 pub async fn run(runtime: Rc<Runtime>, listener: TcpListener, store: Rc<MaintenanceStore>) {
     let callers = Rc::new(ConnectionLimit::default());
     let server = Rc::new(AdminServer {
         runtime,
         store,
-        change: Mutex::new(()),
+        change_lock: Mutex::new(()),
     });
     loop {
         let caller = match listener.accept().await {
@@ -58,7 +58,7 @@
             continue;
         };
         spawn_local(server.clone().serve(caller, permit));
-        // In a crowd, those that are evicted have to be gone before the next caller is accepted.
+        // At the limit, lets an evicted connection close before the next caller is accepted.
         yield_now().await;
     }
 }
@@ -78,14 +78,14 @@
         }
     }
 
-    /// Reads a request and carries it out; `None` if the caller has gone.
+    /// Reads and executes a request. Returns `None` if the caller has disconnected.
     async fn answer(&self, caller: &TcpStream) -> Option<Response> {
         let request = match timeout(REQUEST_TIMEOUT, read_request(caller)).await {
             Ok(request) => request?,
             Err(_) => Err(RequestError::TimedOut),
         };
         let response = match &request {
-            Ok(request) => self.carry_out(request).await,
+            Ok(request) => self.execute(request).await,
             Err(error) => error.response(),
         };
         let status = response.status;
@@ -96,7 +96,7 @@
         Some(response)
     }
 
-    async fn carry_out(&self, request: &AdminRequest) -> Response {
+    async fn execute(&self, request: &AdminRequest) -> Response {
         match request {
             AdminRequest::Ready => self.readiness(),
             AdminRequest::Drain(draining) => self.set_draining(*draining),
@@ -136,7 +136,7 @@
     }
 
     async fn detach(&self, name: &str) -> Response {
-        let _change = self.change.lock().await;
+        let _guard = self.change_lock.lock().await;
         let (mut maintenance, now) = (self.runtime.maintenance(), self.runtime.now());
         match maintenance.detach(name, ServerId::of(name).0, now) {
             Err(error) => maintenance_response(error),
@@ -146,7 +146,7 @@
     }
 
     async fn attach(&self, name: &str) -> Response {
-        let _change = self.change.lock().await;
+        let _guard = self.change_lock.lock().await;
         let (mut maintenance, now) = (self.runtime.maintenance(), self.runtime.now());
         match maintenance.attach(name, ServerId::of(name).0, now) {
             Err(error) => maintenance_response(error),
@@ -155,7 +155,8 @@
         }
     }
 
-    /// Writes the servers under maintenance, then brings them into effect, then answers the caller with this text.
+    /// Writes the servers under maintenance, then applies them. Returns a response with this text, or 503 if the file
+    /// cannot be written.
     async fn store_and_apply(&self, maintenance: &MaintenanceSet, text: &str) -> Response {
         let (store, written) = (MaintenanceStore::clone(&self.store), maintenance.clone());
         let written = spawn_blocking(move || store.write(&written)).await;
@@ -182,7 +183,7 @@
     Response::new(status, error.to_string())
 }
 
-/// Reads a request; `None` at the end of the connection before it is complete.
+/// Reads a request. Returns `None` if the connection ends before the request is complete.
 async fn read_request(caller: &TcpStream) -> Option<Result<AdminRequest, RequestError>> {
     let mut received = Vec::new();
     loop {
