--- a/crates/hot-restart/src/frame.rs
+++ b/crates/hot-restart/src/frame.rs
@@ -1,20 +1,23 @@
-//! Messages between the two processes, and their encoding: length of the body, number of descriptors, body in postcard.
+//! Messages between the two processes. A frame is encoded as the length of the body, the number of descriptors, and the
+//! body in postcard.
 //!
-//! postcard knows fields by their place and variants by their number: order and types are the format between builds.
+//! postcard identifies fields by position and variants by index, so changing the order or a type breaks compatibility
+//! with other builds.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Version of the protocol. Two processes that differ do not talk: the older one serves until it exits.
+/// Protocol version. Processes with different versions transfer no state or connections: the older one serves until it
+/// exits.
 pub const VERSION: u32 = 2;
-/// The longest body of a frame, in bytes: an endpoint list of some ten thousand servers.
+/// Limit on the body of a frame, in bytes. Fits an endpoint list of about ten thousand servers.
 pub const MAX_FRAME: usize = 1024 * 1024;
-/// The most descriptors beside a frame: a client's and its backend's.
+/// Limit on the descriptors sent with a frame: one for the client and one for its backend.
 pub const MAX_DESCRIPTORS: usize = 2;
-/// Bytes of the header: the length of the body and the number of descriptors.
+/// Size of the header, in bytes: body length and number of descriptors.
 pub(crate) const HEADER: usize = 5;
 
-/// A message.
+/// A message between predecessor and successor.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
     /// The successor's first message.
@@ -22,31 +25,31 @@
         /// The successor's [`VERSION`].
         version: u32,
     },
-    /// The predecessor's answer.
+    /// The predecessor's response to [`Frame::Hello`].
     State {
         /// The predecessor's [`VERSION`].
         version: u32,
-        /// The state to continue from; empty if the versions differ.
+        /// Snapshot of the predecessor's state; empty if the versions differ.
         snapshot: Vec<u8>,
     },
-    /// The successor accepts the clients from now on.
+    /// The successor accepts clients from now on.
     Ready,
-    /// How many descriptors the sender's clients hold.
+    /// Number of descriptors held by the sender's clients.
     HeldDescriptors(u32),
     /// An update of the endpoint list.
     EndpointList(Vec<u8>),
     /// The servers under maintenance, in the format of the maintenance file.
     Maintenance(String),
-    /// Whether the balancer is draining by a call of the staff.
+    /// Whether draining has been requested on the admin address.
     Draining(bool),
-    /// An open client connection; its descriptors are sent beside the frame.
+    /// An open client connection; its descriptors are sent with the frame.
     Connection {
-        /// The sender's number for the connection.
+        /// Number that the sender assigned to the connection.
         number: u64,
         /// State of the connection.
         payload: Vec<u8>,
     },
-    /// The answer to [`Frame::Connection`].
+    /// The response to [`Frame::Connection`].
     Acknowledge {
         /// The number of the connection.
         number: u64,
@@ -55,34 +58,34 @@
     },
 }
 
-/// A frame read from the front of a buffer.
+/// A frame decoded from the start of a buffer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DecodedFrame {
     /// The frame.
     pub frame: Frame,
-    /// The number of descriptors beside it.
+    /// Number of descriptors sent with the frame.
     pub descriptors: usize,
-    /// The bytes of the buffer that it takes, header included.
+    /// Encoded length in bytes, including the header.
     pub length: usize,
 }
 
 /// Why a frame cannot be encoded or decoded.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum FrameError {
-    /// The body or the number of descriptors is over its limit.
-    #[error("a frame of {length} bytes with {descriptors} descriptors")]
+    /// The body or the number of descriptors exceeds its limit.
+    #[error("frame with {length} bytes and {descriptors} descriptors exceeds the limits")]
     TooLarge {
-        /// Bytes of the body.
+        /// Length of the body, in bytes.
         length: usize,
-        /// Descriptors beside the frame.
+        /// Number of descriptors.
         descriptors: usize,
     },
-    /// The body is not a frame in postcard.
+    /// The body cannot be encoded or decoded.
     #[error(transparent)]
     Body(#[from] postcard::Error),
 }
 
-/// Encodes a frame that is sent with this many descriptors beside it.
+/// Encodes a frame that is sent together with this number of descriptors.
 pub fn encode(frame: &Frame, descriptors: usize) -> Result<Vec<u8>, FrameError> {
     let body = postcard::to_stdvec(frame)?;
     check_limits(body.len(), descriptors)?;
@@ -90,7 +93,7 @@
     Ok([&length[..], &[descriptors as u8], &body].concat())
 }
 
-/// Decodes the first frame of a buffer; `Ok(None)` while it is incomplete.
+/// Decodes the first frame of a buffer. Returns `Ok(None)` while the frame is incomplete.
 pub fn decode(bytes: &[u8]) -> Result<Option<DecodedFrame>, FrameError> {
     let Some((header, rest)) = bytes.split_first_chunk::<HEADER>() else {
         return Ok(None);
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -1,7 +1,8 @@
-//! Hot restart: a process of a balancer and the one that replaces it talk over a Unix socket that the older one holds.
+//! Hot restart: the protocol between a balancer process and its successor, over a Unix socket that the older process
+//! listens on.
 //!
-//! [`frame`] defines the messages and their encoding, [`predecessor`] what the older process does when; both without
-//! I/O. [`link`] carries frames and open descriptors. The payloads of frames belong to the balancer.
+//! [`frame`] defines the messages and their encoding, [`predecessor`] the state machine of the older process; neither
+//! does I/O. [`link`] transmits frames and open descriptors. The balancer defines the payloads of frames.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/hot-restart/src/link.rs
+++ b/crates/hot-restart/src/link.rs
@@ -1,4 +1,4 @@
-//! Carries frames over a Unix socket, with open descriptors beside them.
+//! Transmits frames and open descriptors over a Unix socket.
 
 use crate::frame::{Frame, FrameError, HEADER, MAX_DESCRIPTORS, MAX_FRAME, decode, encode};
 use rustix::net::{
@@ -15,12 +15,12 @@
 use tokio::net::UnixStream;
 use tokio::sync::Mutex;
 
-/// Bytes read at once.
+/// Size of the read buffer, in bytes.
 const READ_CHUNK: usize = 16 * 1024;
-/// Descriptors that one read brings at most: the kernel's limit for a message.
+/// Limit on the descriptors received by one read: the kernel's limit for a message (SCM_MAX_FD).
 const MAX_DESCRIPTORS_PER_READ: usize = 253;
 
-/// Why a frame could not be sent or received. The link is of no use after it.
+/// Why a frame could not be sent or received. The link is unusable after an error.
 #[derive(Debug, Error)]
 pub enum LinkError {
     /// The frame itself is invalid.
@@ -29,29 +29,29 @@
     /// The socket failed.
     #[error(transparent)]
     Socket(#[from] io::Error),
-    /// The kernel dropped descriptors that were sent beside the frame.
-    #[error("descriptors are missing: too many are open here")]
+    /// The kernel dropped descriptors that were sent with the frame.
+    #[error("descriptors of a frame are missing: the descriptor limit of this process is reached")]
     DescriptorsMissing,
     /// More bytes were received than a frame may have.
-    #[error("a frame has no end")]
+    #[error("received data exceeds the length of a frame")]
     Unterminated,
 }
 
-/// A frame with the descriptors that were sent beside it.
+/// A frame with the descriptors that were sent with it.
 #[derive(Debug)]
 pub struct ReceivedFrame {
     /// The frame.
     pub frame: Frame,
-    /// The descriptors, owned by this process from here on.
+    /// The descriptors, now owned by this process.
     pub descriptors: Vec<OwnedFd>,
 }
 
-/// Splits a stream into its sending and its receiving half.
+/// Splits a stream into a sender and a receiver of frames.
 pub fn link(stream: UnixStream) -> (Sender, Receiver) {
     let stream = Rc::new(stream);
     let sender = Sender {
         stream: stream.clone(),
-        turn: Mutex::new(()),
+        write_lock: Mutex::new(()),
     };
     let receiver = Receiver {
         stream,
@@ -61,29 +61,29 @@
     (sender, receiver)
 }
 
-/// Sends frames, one after the other.
+/// Sends frames one after the other.
 pub struct Sender {
     stream: Rc<UnixStream>,
     /// Held while a frame is written.
-    turn: Mutex<()>,
+    write_lock: Mutex<()>,
 }
 
 impl Sender {
-    /// Sends a complete frame, and descriptors beside it, which stay open here. Must not be dropped before it completes:
-    /// the link is of no use after that.
+    /// Sends a complete frame together with descriptors, which stay open in this process. Not cancel safe: the link is
+    /// unusable if the future is dropped before it completes.
     pub async fn send(
         &self,
         frame: &Frame,
         descriptors: &[BorrowedFd<'_>],
     ) -> Result<(), LinkError> {
         let bytes = encode(frame, descriptors.len())?;
-        let _turn = self.turn.lock().await;
+        let _guard = self.write_lock.lock().await;
         let mut sent = 0;
         while sent < bytes.len() {
-            // The descriptors go with the first bytes.
-            let beside = if sent == 0 { descriptors } else { &[] };
+            // The descriptors are sent with the first bytes.
+            let attached = if sent == 0 { descriptors } else { &[] };
             self.stream.writable().await?;
-            let write = || write(&self.stream, &bytes[sent..], beside);
+            let write = || write(&self.stream, &bytes[sent..], attached);
             match self.stream.try_io(Interest::WRITABLE, write) {
                 Ok(written) => sent += written,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
@@ -113,7 +113,7 @@
 }
 
 impl Receiver {
-    /// Receives the next frame; `None` at the end of the link. May be dropped before it completes.
+    /// Receives the next frame. Returns `None` at the end of the link. Cancel safe.
     pub async fn next(&mut self) -> Result<Option<ReceivedFrame>, LinkError> {
         loop {
             if let Some(received) = self.take_buffered()? {
--- a/crates/hot-restart/src/predecessor.rs
+++ b/crates/hot-restart/src/predecessor.rs
@@ -1,14 +1,14 @@
-//! What the older process does when: it serves until a successor is ready, then stops accepting, transfers its
-//! connections once it is told to shut down, and accepts again if the successor disappears first.
+//! State machine of the older process. It stops accepting when a successor is ready, transfers its connections when it
+//! is told to shut down, and accepts again if the successor disconnects.
 
-/// Number of a process that connected to replace this one.
+/// Identifies a connected successor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct SuccessorId(pub u64);
 
-/// What happens to the older process.
+/// An input of the state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Input {
-    /// A successor is ready to accept the clients.
+    /// A successor is ready to accept clients.
     SuccessorReady(SuccessorId),
     /// A successor has disconnected.
     SuccessorGone(SuccessorId),
@@ -16,14 +16,14 @@
     Shutdown,
 }
 
-/// What the older process has to do.
+/// A command to the older process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Accept no more clients.
+    /// Stop accepting clients.
     StopAccepting,
-    /// Accept no more clients, and transfer the connections to this successor.
+    /// Stop accepting clients and transfer the connections to this successor.
     TransferTo(SuccessorId),
-    /// Accept clients again, and migrate what could not be transferred.
+    /// Accept clients again and migrate the connections that were not transferred.
     ResumeAccepting,
 }
 
@@ -35,7 +35,7 @@
 }
 
 impl PredecessorState {
-    /// Handles an input. Of two successors the one that was ready first counts, until it disconnects.
+    /// Handles an input. If several successors are ready, the first one is used until it disconnects.
     pub fn handle(&mut self, input: Input) -> Option<Command> {
         match input {
             Input::SuccessorReady(id) => self.successor_ready(id),
--- a/crates/hot-restart/tests/frame.rs
+++ b/crates/hot-restart/tests/frame.rs
@@ -1,4 +1,4 @@
-//! Limits of frames, and decoding from a buffer that fills up.
+//! Limits of frames, and decoding from a partially filled buffer.
 
 use spanspur_hot_restart::frame::{DecodedFrame, Frame, MAX_FRAME, decode, encode};
 
@@ -12,13 +12,13 @@
     for end in 0..bytes.len() {
         assert_eq!(decode(&bytes[..end]), Ok(None), "{end}");
     }
-    let two = [&bytes[..], &bytes].concat();
+    let two_frames = [&bytes[..], &bytes].concat();
     let first = DecodedFrame {
         frame,
         descriptors: 2,
         length: bytes.len(),
     };
-    assert_eq!(decode(&two), Ok(Some(first)));
+    assert_eq!(decode(&two_frames), Ok(Some(first)));
     assert!(decode(&[255, 0, 0, 0, 0]).is_err());
     assert!(decode(&[0, 0, 0, 1, 3, 2]).is_err());
     assert!(decode(&[0, 0, 0, 1, 0, 99]).is_err());
--- a/crates/hot-restart/tests/frame_bytes.rs
+++ b/crates/hot-restart/tests/frame_bytes.rs
@@ -1,25 +1,25 @@
-//! Each frame of a hot restart in its bytes: two processes of different builds have to understand each other.
+//! Encoding of each hot restart frame. Processes of different builds must understand each other.
 //!
-//! The fixtures `tests/fixtures/hot_restart/frame_*.bin` at the root of the repository were written by the tree at
-//! 71566bd (`WRITE_FIXTURES=1` writes them anew); rewriting them hides a change of the wire.
+//! The fixtures `tests/fixtures/hot_restart/frame_*.bin` in the repository root were written at commit 71566bd.
+//! `WRITE_FIXTURES=1` rewrites them, which hides a change of the wire format.
 
 use spanspur_hot_restart::frame::{
     DecodedFrame, Frame, MAX_DESCRIPTORS, MAX_FRAME, VERSION, decode, encode,
 };
 use std::path::Path;
 
-/// The kept bytes of a frame; under `WRITE_FIXTURES=1` they are `written` from now on.
-fn kept(name: &str, written: &[u8]) -> Vec<u8> {
+/// Returns the bytes of a fixture. With `WRITE_FIXTURES=1`, writes `encoded` to the fixture first.
+fn load_or_write(name: &str, encoded: &[u8]) -> Vec<u8> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../../tests/fixtures/hot_restart")
         .join(format!("frame_{name}.bin"));
     if std::env::var("WRITE_FIXTURES").is_ok_and(|value| value == "1") {
-        std::fs::write(&path, written).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
+        std::fs::write(&path, encoded).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
     }
     std::fs::read(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
-/// Every kind of frame, with the number of descriptors beside it. Payloads are opaque here.
+/// Every kind of frame, with its fixture's name and its number of descriptors. Payloads are opaque.
 fn frames() -> Vec<(&'static str, Frame, usize)> {
     let payload: Vec<u8> = (0..=255).chain(0..=99).collect();
     vec![
@@ -87,21 +87,21 @@
 }
 
 #[test]
-fn each_frame_has_the_bytes_of_its_fixture_and_is_read_back_from_them() {
+fn each_frame_encodes_to_its_fixture_and_decodes_from_it() {
     for (name, frame, descriptors) in frames() {
-        let written = encode(&frame, descriptors).unwrap_or_else(|e| panic!("{name}: {e}"));
-        let kept = kept(name, &written);
-        assert_eq!(written, kept, "{name}");
-        let whole = Some(DecodedFrame {
+        let encoded = encode(&frame, descriptors).unwrap_or_else(|e| panic!("{name}: {e}"));
+        let fixture = load_or_write(name, &encoded);
+        assert_eq!(encoded, fixture, "{name}");
+        let decoded = Some(DecodedFrame {
             frame,
             descriptors,
-            length: kept.len(),
+            length: fixture.len(),
         });
-        assert_eq!(decode(&kept), Ok(whole), "{name}");
+        assert_eq!(decode(&fixture), Ok(decoded), "{name}");
     }
 }
 
 #[test]
-fn the_version_and_the_limits_are_those_that_other_builds_have() {
+fn version_and_limits_match_other_builds() {
     assert_eq!((VERSION, MAX_FRAME, MAX_DESCRIPTORS), (2, 1 << 20, 2));
 }
--- a/crates/hot-restart/tests/predecessor.rs
+++ b/crates/hot-restart/tests/predecessor.rs
@@ -1,4 +1,4 @@
-//! What the older process of a hot restart does when.
+//! State machine of the older process in a hot restart.
 
 use Command::{ResumeAccepting, StopAccepting, TransferTo};
 use Input::{Shutdown, SuccessorGone, SuccessorReady};
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn clients_are_never_left_to_a_successor_that_has_gone() {
+fn a_disconnected_successor_never_keeps_the_clients() {
     assert_eq!(
         commands(&[SuccessorReady(FIRST), Shutdown]),
         [Some(StopAccepting), Some(TransferTo(FIRST))]
@@ -31,7 +31,7 @@
             Some(ResumeAccepting)
         ]
     );
-    // One that disconnects before it was ready changes nothing; a second one counts after the first.
+    // A successor that disconnects before it was ready changes nothing. While one is ready, a second one is ignored.
     assert_eq!(
         commands(&[
             SuccessorGone(FIRST),
@@ -55,7 +55,7 @@
             Some(TransferTo(THIRD))
         ]
     );
-    // Ready after this process was told to shut down: the transfer begins at once.
+    // A successor that is ready only after the shutdown began gets the connections at once.
     assert_eq!(
         commands(&[Shutdown, SuccessorReady(FIRST)]),
         [None, Some(TransferTo(FIRST))]
