--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,8 +1,8 @@
-//! Administration of a running balancer, without I/O: [`request`] and [`response`] are the protocol of the admin address,
-//! [`maintenance`] knows which stream servers are under maintenance, [`maintenance_file`] is their file, and
-//! [`drain_schedule`] says which connections migrate when.
+//! Administration of a running balancer, without I/O: [`request`] and [`response`] define the protocol of the admin
+//! address, [`maintenance`] tracks which stream servers are under maintenance, [`maintenance_file`] is the format in
+//! which they are stored, and [`drain_schedule`] decides how many connections migrate at a time.
 //!
-//! The drivers are in the balancer's `src/admin`; the options weighed are in `docs/design/service.md`.
+//! The I/O is in the balancer's `src/admin`; `docs/design/service.md` discusses the alternatives.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -12,5 +12,5 @@
 pub mod request;
 pub mod response;
 
-/// Seconds, on the caller's clock; what is kept in a file is Unix time.
+/// Seconds on the caller's clock. Times stored in a file are Unix time.
 pub type Time = f64;
--- a/crates/admin/src/maintenance.rs
+++ b/crates/admin/src/maintenance.rs
@@ -1,49 +1,49 @@
-//! The stream servers under maintenance, and those that came back from it: over updates of the endpoint list, reloads
-//! and restarts of the process. Merged with what another process of the same balancer knows: the last change to each
-//! server counts.
+//! The stream servers that are or were under maintenance. This state survives updates of the endpoint list, reloads and
+//! restarts of the process. States of several processes of a balancer can be merged: the last change to each server
+//! wins.
 
 use crate::Time;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// The most servers whose last change is kept.
+/// Limit on servers whose last change is kept.
 pub const MAX_ENTRIES: usize = 4096;
-/// The most ids of listed servers that are kept.
+/// Limit on ids of listed servers that are kept.
 const MAX_LISTED: usize = 65_536;
 
 /// The last change to one stream server.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-// The name stands in error texts about a damaged file.
+// The name appears in error texts about an invalid file.
 #[serde(rename = "Entry")]
 pub struct MaintenanceEntry {
     /// Whether the server is under maintenance.
     #[serde(rename = "out")]
     pub under_maintenance: bool,
-    /// When it was last taken out, Unix time.
+    /// When the server was last taken out for maintenance, Unix time.
     #[serde(rename = "taken")]
     pub detached_at: Time,
-    /// When this change was made, Unix time.
+    /// When the change was made, Unix time.
     #[serde(rename = "at")]
     pub changed_at: Time,
 }
 
-/// How a listed endpoint differs from what its list says.
+/// State of a listed endpoint that overrides what the endpoint list says.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointOverride {
-    /// It counts as draining, whatever the list says.
+    /// Whether the endpoint counts as draining, whatever the list says.
     pub draining: bool,
-    /// When it counts as started, Unix time.
+    /// The time at which the endpoint counts as started, Unix time.
     pub started: Time,
 }
 
-/// Why a change is rejected. The text is for the caller.
+/// Why a change is rejected. The text is sent to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum MaintenanceError {
-    /// No endpoint list has ever named the server.
+    /// No endpoint list has ever contained the server.
     #[error("no list has ever named this stream server")]
     NeverListed,
-    /// [`MAX_ENTRIES`] servers are under maintenance.
+    /// [`MAX_ENTRIES`] servers are already under maintenance.
     #[error("too many stream servers are out")]
     TooMany,
 }
@@ -55,23 +55,23 @@
     entry: MaintenanceEntry,
 }
 
-/// The servers under maintenance. An `id` is the hash by which the balancer knows a server.
+/// The servers under maintenance. An `id` is the hash that identifies a server in the balancer.
 #[derive(Clone, Debug, Default)]
 pub struct MaintenanceSet {
     by_name: BTreeMap<String, MaintainedServer>,
-    names: BTreeMap<u64, String>,
+    name_by_id: BTreeMap<u64, String>,
     listed: BTreeSet<u64>,
 }
 
 impl MaintenanceSet {
-    /// Records that an endpoint list has named this server.
+    /// Records that an endpoint list contains this server.
     pub fn record_listed(&mut self, id: u64) {
         if self.listed.len() < MAX_LISTED {
             self.listed.insert(id);
         }
     }
 
-    /// Takes a server out for maintenance. `Ok(false)` if it is out already.
+    /// Takes a server out for maintenance. Returns `Ok(false)` if it is already under maintenance.
     pub fn detach(&mut self, name: &str, id: u64, now: Time) -> Result<bool, MaintenanceError> {
         self.check_known(id)?;
         if self.is_under_maintenance(id) {
@@ -89,7 +89,7 @@
         Ok(true)
     }
 
-    /// Puts a server back into service. `Ok(false)` if it is not under maintenance.
+    /// Puts a server back into service. Returns `Ok(false)` if it is not under maintenance.
     pub fn attach(&mut self, name: &str, id: u64, now: Time) -> Result<bool, MaintenanceError> {
         self.check_known(id)?;
         let Some(entry) = self.entry(id).filter(|entry| entry.under_maintenance) else {
@@ -104,9 +104,9 @@
         Ok(true)
     }
 
-    /// The override of a listed endpoint that started at `started`. A server that was put back has restarted meanwhile,
-    /// but its list may not name the new start yet: until it does, or until the server is warm for sure, it counts as
-    /// started when it came back.
+    /// Returns the override of a listed endpoint that started at `started`. A server that was put back is assumed to
+    /// have restarted during maintenance, but the list may still contain the old start. Until the list contains the new
+    /// start, or until the slow start window after the return has passed, the server counts as started at its return.
     pub fn override_for(
         &self,
         id: u64,
@@ -129,25 +129,25 @@
         EndpointOverride { draining, started }
     }
 
-    /// Whether the server is under maintenance.
+    /// Returns whether the server is under maintenance.
     pub fn is_under_maintenance(&self, id: u64) -> bool {
         self.entry(id).is_some_and(|entry| entry.under_maintenance)
     }
 
-    /// The names of the servers under maintenance.
+    /// Returns the names of the servers under maintenance.
     pub fn names(&self) -> impl Iterator<Item = &str> {
         let servers = self.by_name.iter();
         let under_maintenance = servers.filter(|(_, server)| server.entry.under_maintenance);
         under_maintenance.map(|(name, _)| name.as_str())
     }
 
-    /// Merges in what another process, or its file, knows: the last change to each server counts. Whether anything
+    /// Merges the state of another process or of a file: the last change to each server wins. Returns whether anything
     /// changed.
     pub fn merge(&mut self, other: &Self) -> bool {
         let mut changed = false;
         for (name, MaintainedServer { id, entry }) in &other.by_name {
-            let own = self.entry(*id);
-            let newer = own.is_none_or(|own| own.changed_at < entry.changed_at);
+            let current = self.entry(*id);
+            let newer = current.is_none_or(|current| current.changed_at < entry.changed_at);
             let has_space = self.by_name.len() < MAX_ENTRIES || self.by_name.contains_key(name);
             if newer && has_space {
                 self.insert(name, *id, *entry);
@@ -158,34 +158,34 @@
         changed
     }
 
-    /// All servers with their last change, by name.
+    /// Returns all servers with their last change, ordered by name.
     pub(crate) fn entries(&self) -> impl Iterator<Item = (&str, u64, MaintenanceEntry)> {
         let servers = self.by_name.iter();
         servers.map(|(name, server)| (name.as_str(), server.id, server.entry))
     }
 
-    /// The ids of all servers that a list has named, in order.
+    /// Returns the ids of all servers that an endpoint list has contained, in ascending order.
     pub(crate) fn listed(&self) -> impl Iterator<Item = u64> {
         self.listed.iter().copied()
     }
 
     pub(crate) fn insert(&mut self, name: &str, id: u64, entry: MaintenanceEntry) {
-        self.names.insert(id, name.to_owned());
+        self.name_by_id.insert(id, name.to_owned());
         let server = MaintainedServer { id, entry };
         self.by_name.insert(name.to_owned(), server);
     }
 
     fn check_known(&self, id: u64) -> Result<(), MaintenanceError> {
-        let known = self.listed.contains(&id) || self.names.contains_key(&id);
+        let known = self.listed.contains(&id) || self.name_by_id.contains_key(&id);
         known.then_some(()).ok_or(MaintenanceError::NeverListed)
     }
 
     fn entry(&self, id: u64) -> Option<MaintenanceEntry> {
-        let name = self.names.get(&id)?;
+        let name = self.name_by_id.get(&id)?;
         self.by_name.get(name).map(|server| server.entry)
     }
 
-    /// Makes space: the server that came back longest ago matters least.
+    /// Makes space by removing the server that was put back longest ago, whose entry matters least.
     fn remove_oldest_attached(&mut self) -> Result<(), MaintenanceError> {
         let servers = self.by_name.iter();
         let attached = servers.filter(|(_, server)| !server.entry.under_maintenance);
@@ -193,7 +193,7 @@
         let name = oldest.map(|(name, _)| name.clone());
         let name = name.ok_or(MaintenanceError::TooMany)?;
         if let Some(server) = self.by_name.remove(&name) {
-            self.names.remove(&server.id);
+            self.name_by_id.remove(&server.id);
         }
         Ok(())
     }
--- a/crates/admin/src/maintenance_file.rs
+++ b/crates/admin/src/maintenance_file.rs
@@ -1,40 +1,40 @@
-//! The file of the servers under maintenance: a line with the kind of the file, its version and the checksum of the rest,
-//! then JSON. The text also goes to the successor in a hot restart.
+//! Format of the maintenance file: a header line with the file type, its version and the checksum of the rest, then
+//! JSON. In a hot restart the successor receives the same text.
 
 use crate::maintenance::{MAX_ENTRIES, MaintenanceEntry, MaintenanceSet};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The longest file that is read, in bytes.
+/// Limit on the size of the file, in bytes.
 pub const MAX_FILE: u64 = 2 * 1024 * 1024;
-/// The version of the file.
+/// Version of the file format.
 const VERSION: u32 = 1;
-/// The first words of the file.
+/// Text at the start of the file, which identifies its type.
 const MAGIC: &str = "spanspur outs";
 
-/// Why a file cannot be trusted.
+/// Why a file is rejected.
 #[derive(Debug, Error)]
 pub enum MaintenanceFileError {
     /// The file is not UTF-8.
-    #[error("it is not text")]
+    #[error("not valid UTF-8")]
     NotText(#[source] std::str::Utf8Error),
-    /// The first line has no end.
-    #[error("it is cut off in its first line")]
+    /// The header line has no line end.
+    #[error("the header line is truncated")]
     HeaderTruncated,
-    /// The file does not begin with the words of such a file.
-    #[error("it is no file of this kind")]
+    /// The file does not start with the text that identifies its type.
+    #[error("not a maintenance file")]
     OtherKind,
-    /// The first line does not have its two fields.
-    #[error("its first line is not whole")]
+    /// The header line does not have its two fields.
+    #[error("the header line must have a version and a checksum")]
     InvalidHeader,
-    /// The file has another version.
-    #[error("it has version {found}, not {VERSION}")]
+    /// The file has an unsupported version.
+    #[error("unsupported version {found}, expected {VERSION}")]
     OtherVersion {
-        /// The version that the file names.
+        /// The version in the header line.
         found: String,
     },
-    /// The rest of the file does not have the checksum of the first line.
-    #[error("its checksum is wrong: it is cut off or damaged")]
+    /// The checksum in the header line does not match the rest of the file.
+    #[error("wrong checksum: the file is truncated or corrupted")]
     WrongChecksum,
     /// The rest of the file is not the expected JSON.
     #[error(transparent)]
@@ -49,7 +49,7 @@
 }
 
 impl MaintenanceSet {
-    /// The text of the file.
+    /// Returns the text of the file.
     pub fn to_text(&self) -> String {
         let entries = self.entries();
         let body = Body {
@@ -75,10 +75,10 @@
 
     fn from_body(body: Body) -> Self {
         let mut set = Self::default();
-        let has_times = |(_, _, entry): &(String, u64, MaintenanceEntry)| {
+        let has_finite_times = |(_, _, entry): &(String, u64, MaintenanceEntry)| {
             entry.detached_at.is_finite() && entry.changed_at.is_finite()
         };
-        let entries = body.entries.into_iter().filter(has_times);
+        let entries = body.entries.into_iter().filter(has_finite_times);
         for (name, id, entry) in entries.take(MAX_ENTRIES) {
             set.insert(&name, id, entry);
         }
--- a/crates/admin/src/request.rs
+++ b/crates/admin/src/request.rs
@@ -1,31 +1,31 @@
-//! Requests on the admin address: HTTP/1.1, one to a connection. The head is parsed by `httparse`; here are its limits,
-//! the requests that exist, and the errors of those that do not.
+//! Requests on the admin address: HTTP/1.1, one per connection. `httparse` parses the head; this module defines the
+//! limits, the valid requests, and the errors of invalid ones.
 
 use crate::response::Response;
 use std::str::Utf8Error;
 use thiserror::Error;
 
-/// The longest head, in bytes.
+/// Limit on the request head, in bytes.
 pub const MAX_HEAD: usize = 4096;
-/// The most headers.
+/// Limit on the number of headers.
 const MAX_HEADERS: usize = 32;
-/// The longest body, in bytes: an id fits many times.
+/// Limit on the body, in bytes. Several times the length of an id.
 pub const MAX_BODY: usize = 512;
 
-/// A request of the staff.
+/// An admin request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminRequest {
-    /// Whether this process takes clients.
+    /// Ask whether this process accepts clients.
     Ready,
     /// Take the stream server with this id out for maintenance.
     Detach(String),
-    /// Put the stream server with this id back.
+    /// Put the stream server with this id back into service.
     Attach(String),
-    /// Drain the balancer (`true`), or take clients again.
+    /// Drain the balancer (`true`) or end draining (`false`).
     Drain(bool),
 }
 
-/// Why bytes are no request. The text is for the caller.
+/// Why a request is invalid. The text is sent to the caller.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RequestError {
     /// The head has more than [`MAX_HEAD`] bytes.
@@ -34,39 +34,39 @@
     /// The head has more than 32 headers.
     #[error("a head has at most {MAX_HEADERS} headers")]
     TooManyHeaders,
-    /// The head is not HTTP/1.1.
+    /// The head is not valid HTTP/1.1.
     #[error("not HTTP/1.1: {0}")]
     NotHttp(#[source] httparse::Error),
-    /// No request has this path.
+    /// The path is unknown.
     #[error("no such call")]
     UnknownPath,
-    /// The path has another method.
+    /// The method is not the one of the path.
     #[error("{path} is called with {expected}")]
     WrongMethod {
         /// The path of the request.
         path: &'static str,
-        /// The method of that path.
+        /// The method that the path requires.
         expected: &'static str,
     },
-    /// A body is needed, and its length is missing.
+    /// A body is required, but there is no Content-Length.
     #[error("the body has no Content-Length")]
     LengthMissing,
-    /// The body has a transfer encoding.
+    /// There is a Transfer-Encoding header.
     #[error("a body comes whole, with a Content-Length")]
     TransferEncoding,
-    /// The length of the body is not a number.
+    /// The Content-Length is not a number.
     #[error("the Content-Length is not a number")]
     LengthNotANumber,
-    /// The length of the body is given twice.
+    /// There is more than one Content-Length header.
     #[error("there is more than one Content-Length")]
     LengthRepeated,
     /// The body has more than [`MAX_BODY`] bytes.
     #[error("a body has at most {MAX_BODY} bytes")]
     BodyTooLong,
-    /// The id is not text.
+    /// The id is not UTF-8.
     #[error("the id is not UTF-8")]
     IdNotText(#[source] Utf8Error),
-    /// The id is empty, or has control characters.
+    /// The id is empty or has control characters.
     #[error("the body is not the id of a stream server")]
     InvalidId,
     /// The request was not complete in time.
@@ -75,7 +75,7 @@
 }
 
 impl RequestError {
-    /// The status of the response.
+    /// Returns the status of the response.
     pub fn status(&self) -> u16 {
         match self {
             Self::NotHttp(_)
@@ -92,13 +92,13 @@
         }
     }
 
-    /// The response to the caller.
+    /// Returns the response to the caller.
     pub fn response(&self) -> Response {
         Response::new(self.status(), self.to_string())
     }
 }
 
-/// A path of the admin address. `lameduck` is the protocol's word for draining.
+/// A path of the admin address. `lameduck` is the protocol's term for draining.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Route {
     Ready,
@@ -152,7 +152,7 @@
     }
 }
 
-/// Parses what a caller has sent so far: `Ok(None)` while the request is incomplete.
+/// Parses the bytes received so far. Returns `Ok(None)` while the request is incomplete.
 pub fn parse_request(received: &[u8]) -> Result<Option<AdminRequest>, RequestError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
@@ -177,7 +177,7 @@
     }
 }
 
-/// Parses the head and returns its length; `Ok(None)` while it is incomplete.
+/// Parses the head and returns its length, or `Ok(None)` while the head is incomplete.
 fn parse_head<'a>(
     head: &mut httparse::Request<'_, 'a>,
     received: &'a [u8],
@@ -212,13 +212,13 @@
 }
 
 fn parse_length(value: &[u8]) -> Option<usize> {
-    let digits = value.iter().all(u8::is_ascii_digit) && !value.is_empty();
-    let text = str::from_utf8(value).ok().filter(|_| digits)?;
-    // More digits than a number holds are too many bytes as well.
+    let is_number = value.iter().all(u8::is_ascii_digit) && !value.is_empty();
+    let text = str::from_utf8(value).ok().filter(|_| is_number)?;
+    // A number that overflows is over the limit on the body as well.
     Some(text.parse().unwrap_or(usize::MAX))
 }
 
-/// The id in a body, without the line end that shells add.
+/// Parses the id in a body. Surrounding white space is removed, such as the line end that shells add.
 fn parse_id(body: &[u8]) -> Result<String, RequestError> {
     let text = str::from_utf8(body).map_err(RequestError::IdNotText)?;
     let text = text.trim();
--- a/crates/admin/src/response.rs
+++ b/crates/admin/src/response.rs
@@ -2,23 +2,23 @@
 
 use std::fmt::Write;
 
-/// A response: its status, and a line of text for the caller.
+/// A response: a status and a line of text for the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
-    /// The HTTP status: 2xx if the request was carried out, else 4xx or 5xx.
+    /// HTTP status: 2xx if the request was executed, 4xx or 5xx otherwise.
     pub status: u16,
-    /// The reason, in words.
+    /// Result or reason of the failure, as text.
     pub text: String,
 }
 
 impl Response {
-    /// A response with this text.
+    /// Creates a response with this text.
     pub fn new(status: u16, text: impl Into<String>) -> Self {
         let text = text.into();
         Self { status, text }
     }
 
-    /// Encodes the response. The connection is closed after it.
+    /// Encodes the response as HTTP/1.1 with `Connection: close`.
     pub fn encode(&self) -> Vec<u8> {
         let (status, reason) = (self.status, self.reason());
         let length = self.text.len() + 1;
--- a/crates/admin/tests/drain_schedule.rs
+++ b/crates/admin/tests/drain_schedule.rs
@@ -1,4 +1,4 @@
-//! The pace of a drain.
+//! The schedule of a drain.
 
 use spanspur_admin::drain_schedule::DrainSchedule;
 
@@ -8,13 +8,13 @@
         start: 0.5,
         deadline: 2.0,
     };
-    let (mut remaining, mut now, mut most) = (300, 0.0, 0);
+    let (mut remaining, mut now, mut max_count) = (300, 0.0, 0);
     while now < 2.0 {
         let count = schedule.due(now, 0.02, remaining);
         assert!(now >= 0.5 || count == 0);
-        (remaining, most, now) = (remaining - count, most.max(count), now + 0.02);
+        (remaining, max_count, now) = (remaining - count, max_count.max(count), now + 0.02);
     }
     assert_eq!(remaining, 0);
-    assert!(most <= 5, "{most} of 300 in one tick of 75");
+    assert!(max_count <= 5, "{max_count} of 300 in one tick of 75");
     assert_eq!(schedule.due(3.0, 0.02, 7), 7);
 }
--- a/crates/admin/tests/maintenance_file.rs
+++ b/crates/admin/tests/maintenance_file.rs
@@ -1,15 +1,15 @@
-//! The file of servers under maintenance: it outlives the process that wrote it, and goes over in a hot restart.
+//! The maintenance file, which outlives the process that wrote it and is sent to the successor in a hot restart.
 //!
-//! The fixture `tests/fixtures/servers_taken_out.txt` was written by the tree at 71566bd (`WRITE_FIXTURES=1` writes
-//! it anew); rewriting it hides a change of the file.
+//! The fixture `tests/fixtures/servers_taken_out.txt` was written at commit 71566bd. `WRITE_FIXTURES=1` rewrites it,
+//! which hides a change of the file format.
 
 use spanspur_admin::maintenance::MaintenanceSet;
 use std::path::Path;
 
-/// When the first call was, Unix time.
+/// Time of the first change, Unix time.
 const BEGIN: f64 = 1_764_750_000.125;
 
-/// Servers that are out, that came back, that were only listed, and names that JSON has to escape.
+/// Servers that are under maintenance, were put back or are only listed, and names that JSON has to escape.
 fn sample() -> MaintenanceSet {
     let mut set = MaintenanceSet::default();
     for id in [7, 3, u64::MAX, 11, 0, 12_345_678_901_234_567_890] {
@@ -27,50 +27,56 @@
     set
 }
 
-/// The kept text; under `WRITE_FIXTURES=1` it is `written` from now on.
-fn kept(written: &str) -> String {
+/// Returns the text of the fixture. With `WRITE_FIXTURES=1`, writes `text` to the fixture first.
+fn load_or_write(text: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/servers_taken_out.txt");
     if std::env::var("WRITE_FIXTURES").is_ok_and(|value| value == "1") {
-        std::fs::write(&path, written).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
+        std::fs::write(&path, text).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
     }
     std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
 #[test]
-fn the_file_has_the_text_of_the_fixture_and_is_read_and_written_again_byte_for_byte() {
-    let written = sample().to_text();
-    let kept = kept(&written);
-    assert_eq!(written, kept);
-    let read = MaintenanceSet::parse(kept.as_bytes()).expect("a whole file");
-    assert_eq!(read.to_text(), kept);
-    let out: Vec<&str> = read.names().collect();
-    assert_eq!(out, ["a \"quoted\" näme\\", "stream-a", "stream-c"]);
-    let back = read.override_for(7, BEGIN - 100.0, BEGIN + 61.0, 24.0);
-    assert_eq!((back.draining, back.started), (false, BEGIN + 60.0));
+fn the_file_matches_its_fixture_and_round_trips_byte_for_byte() {
+    let text = sample().to_text();
+    let fixture = load_or_write(&text);
+    assert_eq!(text, fixture);
+    let parsed = MaintenanceSet::parse(fixture.as_bytes()).expect("a whole file");
+    assert_eq!(parsed.to_text(), fixture);
+    let under_maintenance: Vec<&str> = parsed.names().collect();
+    assert_eq!(
+        under_maintenance,
+        ["a \"quoted\" näme\\", "stream-a", "stream-c"]
+    );
+    let attached = parsed.override_for(7, BEGIN - 100.0, BEGIN + 61.0, 24.0);
+    assert_eq!((attached.draining, attached.started), (false, BEGIN + 60.0));
 }
 
 #[test]
-fn why_a_file_is_refused_is_said_to_the_letter() {
+fn rejected_files_have_exact_error_texts() {
     let text = sample().to_text();
-    let (head, body) = text.split_once('\n').expect("two lines");
-    let refused = |text: &[u8]| {
+    let (header, body) = text.split_once('\n').expect("two lines");
+    let error_text = |text: &[u8]| {
         MaintenanceSet::parse(text)
             .expect_err("refused")
             .to_string()
     };
-    assert_eq!(refused(&[0xff, b'\n']), "it is not text");
-    assert_eq!(refused(head.as_bytes()), "it is cut off in its first line");
-    assert_eq!(refused(b"other 1 2\n{}"), "it is no file of this kind");
+    assert_eq!(error_text(&[0xff, b'\n']), "not valid UTF-8");
+    assert_eq!(
+        error_text(header.as_bytes()),
+        "the header line is truncated"
+    );
+    assert_eq!(error_text(b"other 1 2\n{}"), "not a maintenance file");
     assert_eq!(
-        refused(b"spanspur outs 1\n{}"),
-        "its first line is not whole"
+        error_text(b"spanspur outs 1\n{}"),
+        "the header line must have a version and a checksum"
     );
     assert_eq!(
-        refused(format!("spanspur outs 2 00\n{body}").as_bytes()),
-        "it has version 2, not 1"
+        error_text(format!("spanspur outs 2 00\n{body}").as_bytes()),
+        "unsupported version 2, expected 1"
     );
     assert_eq!(
-        refused(format!("{head}\n{body} ").as_bytes()),
-        "its checksum is wrong: it is cut off or damaged"
+        error_text(format!("{header}\n{body} ").as_bytes()),
+        "wrong checksum: the file is truncated or corrupted"
     );
 }
--- a/crates/admin/tests/request.rs
+++ b/crates/admin/tests/request.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn complete_requests_are_parsed_and_no_part_of_one_is() {
+fn complete_requests_are_parsed_and_partial_ones_are_not() {
     let requests = [
         (
             b"GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n".to_vec(),
@@ -27,21 +27,21 @@
             AdminRequest::Drain(false),
         ),
     ];
-    for (sent, request) in requests {
-        for end in 0..sent.len() {
+    for (bytes, request) in requests {
+        for end in 0..bytes.len() {
             assert_eq!(
-                parse_request(&sent[..end]),
+                parse_request(&bytes[..end]),
                 Ok(None),
                 "{end} bytes of {request:?}"
             );
         }
-        assert_eq!(parse_request(&sent), Ok(Some(request)));
+        assert_eq!(parse_request(&bytes), Ok(Some(request)));
     }
 }
 
 #[test]
 fn invalid_requests_are_answered_with_the_reason() {
-    let bad = [
+    let invalid = [
         (post("/_stream-servers/detach", "\r\n"), 411),
         (
             post(
@@ -96,8 +96,8 @@
         (post("/_ready", &"a: b\r\n".repeat(40)), 431),
         (post("/_ready", &"x".repeat(MAX_HEAD)), 431),
     ];
-    for (sent, status) in bad {
-        let error = parse_request(&sent).expect_err("no request");
+    for (bytes, status) in invalid {
+        let error = parse_request(&bytes).expect_err("no request");
         assert_eq!(error.status(), status, "{error}");
         let response = error.response();
         assert_eq!(response.status, status, "{}", response.text);
