--- a/crates/socket-activation/src/lib.rs
+++ b/crates/socket-activation/src/lib.rs
@@ -1,5 +1,5 @@
-//! Takes a listening socket that the process has inherited by the number of its descriptor. The standard library
-//! has no safe way to own a number, so the one line that does stands here alone, behind its checks.
+//! Takes over an inherited listening socket, identified by its descriptor number. The standard library has no safe way
+//! to take ownership of a descriptor number, so the one unsafe line is isolated in this crate, after its checks.
 #![deny(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -9,35 +9,35 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why a descriptor is no inherited listening socket.
+/// Why a descriptor is not a listening socket.
 #[derive(Debug, Error)]
 pub enum InheritedSocketError {
-    /// Nothing is open under this number.
+    /// The descriptor is not open.
     #[error("descriptor {fd} is not open")]
     NotOpen {
-        /// The number of the descriptor.
+        /// The descriptor number.
         fd: RawFd,
-        /// Why the descriptor could not be looked up.
+        /// Why the descriptor could not be read from `/proc/self/fd`.
         source: io::Error,
     },
-    /// Something other than a socket is open.
+    /// The descriptor is not a socket.
     #[error("descriptor {fd} is not a socket: {}", target.display())]
     NotASocket {
-        /// The number of the descriptor.
+        /// The descriptor number.
         fd: RawFd,
-        /// What is open instead.
+        /// What the descriptor refers to.
         target: PathBuf,
     },
     /// The socket does not listen for stream connections.
     #[error("descriptor {fd} is a socket that does not listen for connections")]
     NotListening {
-        /// The number of the descriptor.
+        /// The descriptor number.
         fd: RawFd,
     },
 }
 
-/// Takes ownership of the inherited listening socket with this number. To be called once for a number, before the
-/// process has opened anything itself: the number of a closed descriptor would be given to something else.
+/// Takes ownership of the inherited listening socket with this descriptor number. Must be called at most once per
+/// number, and before the process opens a descriptor itself: if the number is closed, the kernel would reuse it.
 pub fn take_listening_socket(fd: RawFd) -> Result<Socket, InheritedSocketError> {
     let target = std::fs::read_link(format!("/proc/self/fd/{fd}"))
         .map_err(|source| InheritedSocketError::NotOpen { fd, source })?;
@@ -46,9 +46,10 @@
     }
     #[allow(
         unsafe_code,
-        reason = "a number from the environment is owned here and nowhere else"
+        reason = "the only place where a descriptor number from the environment becomes owned"
     )]
-    // SAFETY: the descriptor is open, as was just checked, and nothing in this process owns it: it was inherited.
+    // SAFETY: the check above shows that the descriptor is open, and it is inherited, so nothing in this process owns
+    // it.
     let owned = unsafe { OwnedFd::from_raw_fd(fd) };
     let socket = Socket::from(owned);
     if is_listening_stream(&socket) {
