--- a/crates/operator-config/src/fault.rs
+++ b/crates/operator-config/src/fault.rs
@@ -1,4 +1,4 @@
-//! The faults of a file. `spanspur check` prints their texts, and a reload logs them.
+//! Faults found in a file. `spanspur check` prints their texts, and a reload logs them.
 
 use crate::validation::{
     MAX_NAME_BYTES, MAX_PROBE_LINE_BYTES, MAX_RATE, MAX_SOURCES, MAX_VOTERS, MIN_FOLLOWED_AGE_MS,
@@ -8,28 +8,28 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// All faults of a file, one or more; displayed in one line.
+/// All faults of a file, at least one; displayed on one line.
 #[derive(Debug)]
 pub struct Faults(Vec<Fault>);
 
 impl Faults {
-    /// `Ok` where there are none.
-    pub(crate) fn none_or(faults: Vec<Fault>) -> Result<(), Self> {
+    /// Returns `Ok` if there are none.
+    pub(crate) fn into_result(faults: Vec<Fault>) -> Result<(), Self> {
         match faults.is_empty() {
             true => Ok(()),
             false => Err(Self(faults)),
         }
     }
 
-    /// The fault of the file as a whole, which cannot be read far enough to find others.
+    /// A fault of the file as a whole, which prevents finding others.
     pub(crate) fn whole_file(problem: Problem) -> Self {
         Self(vec![Fault {
-            place: String::new(),
+            location: String::new(),
             problem,
         }])
     }
 
-    /// Each fault, in the order of the file's sections.
+    /// Iterates over the faults in the order in which they were found.
     pub fn iter(&self) -> impl Iterator<Item = &Fault> {
         self.0.iter()
     }
@@ -52,17 +52,17 @@
 /// A fault of the file.
 #[derive(Debug)]
 pub struct Fault {
-    /// Where it is, as `cluster.keys[1]`; empty for the whole file.
-    pub place: String,
-    /// What is wrong there.
+    /// Location in the file, such as `cluster.keys[1]`; empty for the whole file.
+    pub location: String,
+    /// What is wrong at the location.
     pub problem: Problem,
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self.place.is_empty() {
+        match self.location.is_empty() {
             true => write!(f, "{}", self.problem),
-            false => write!(f, "{}: {}", self.place, self.problem),
+            false => write!(f, "{}: {}", self.location, self.problem),
         }
     }
 }
@@ -73,52 +73,52 @@
     }
 }
 
-/// What is wrong at a place of the file.
+/// What is wrong at a location of the file.
 #[derive(Debug, Error)]
 pub enum Problem {
     /// The file is not JSON.
     #[error("not JSON: {0}")]
     NotJson(#[source] serde_json::Error),
-    /// The schema that is made from the types is not valid.
+    /// The schema generated from the types is not valid.
     #[error(transparent)]
     InvalidSchema(Box<jsonschema::ValidationError<'static>>),
-    /// The schema does not allow the value. The text is kept in place of its source, which would hold secrets.
+    /// The value violates the schema. Only the text is kept, because the source error would contain secrets.
     #[error("{0}")]
     SchemaViolation(String),
-    /// A value is allowed by the schema and is none of its type, as a socket address.
+    /// The schema allows a value that its type rejects, such as an invalid socket address.
     #[error(transparent)]
     Malformed(serde_json::Error),
-    /// A follower is in a cluster.
+    /// There are both a `follow` and a `cluster` section.
     #[error("excludes the section 'cluster': an instance of the cluster has its news already")]
     ExcludesCluster,
-    /// A section needs a cluster.
+    /// A section requires a cluster.
     #[error("needs the section 'cluster'")]
     NeedsCluster,
-    /// There are duties without a cluster.
+    /// Duties are configured without a cluster.
     #[error("duties need the section 'cluster'")]
     DutiesNeedCluster,
-    /// The endpoint list is distributed and nobody keeps it.
+    /// The endpoint list is to be distributed, but no duty maintains it.
     #[error("needs 'duties.list': there is nothing to distribute without it")]
     NeedsListDuty,
-    /// A name is empty, too long or has white space.
+    /// A name is empty, too long or contains white space.
     #[error("'{name}' is no name: 1 to {MAX_NAME_BYTES} bytes without spaces")]
     InvalidName {
         /// The name.
         name: String,
     },
-    /// A name stands twice in a list.
+    /// A name occurs twice in a list.
     #[error("'{name}' is named twice")]
     DuplicateName {
         /// The name.
         name: String,
     },
-    /// An address stands twice in a list.
+    /// An address occurs twice in a list.
     #[error("{address} is named twice")]
     DuplicateAddress {
         /// The address.
         address: SocketAddr,
     },
-    /// A seed stands twice.
+    /// A seed occurs twice.
     #[error("an address is named twice")]
     DuplicateSeed,
     /// The number of voters is even, too small or too large.
@@ -142,66 +142,66 @@
         /// The number of sources.
         count: usize,
     },
-    /// Two sections listen at one address.
+    /// Two sections listen on the same address.
     #[error("is taken by 'cluster.listen'")]
     AddressInUse,
-    /// A port that others must know is left to the system.
+    /// A port that others must know is 0, which selects a free port.
     #[error("port 0 tells the {peers} nothing")]
     UnknownPort {
-        /// Who has to know it.
+        /// Who has to know the port.
         peers: &'static str,
     },
     /// An address that others must reach is unspecified.
     #[error("the others are told this address: it must be one that they reach")]
     UnreachableAddress,
-    /// An address has no host or no port.
-    #[error("{address} is no place to send to")]
+    /// A destination address has no host or no port.
+    #[error("{address} is not a valid destination: a host and a port are needed")]
     InvalidDestination {
         /// The address.
         address: SocketAddr,
     },
-    /// The probe interval of the cluster is too short for its answers.
+    /// The probe interval of the cluster is too short for the answer timeout.
     #[error("must be more than twice answer_ms, which is more than 0")]
     ProbeIntervalTooShort,
     /// A time is 0.
     #[error("must be more than 0")]
     NotPositive,
-    /// The period of a duty is shorter than a take-over.
+    /// The period of a duty is shorter than a takeover.
     #[error(
         "{period_ms} ms is less than the {takeover_ms} ms that a take-over takes (3 probe_ms + suspicion_ms + \
          {TAKEOVER_MARGIN_MS}): with an instance that dies more than one period would be missed"
     )]
     PeriodTooShort {
-        /// The period.
+        /// The period, in milliseconds.
         period_ms: u64,
-        /// How long a take-over takes.
+        /// The duration of a takeover, in milliseconds.
         takeover_ms: u64,
     },
     /// A health check may take longer than half its period.
     #[error("connect_ms and answer_ms ({longest_ms} ms) have to fit into half of every_ms")]
     ProbeTooLong {
-        /// How long it may take.
+        /// Longest duration of a health check, in milliseconds.
         longest_ms: u64,
     },
     /// A text is too long or has a line break.
     #[error("must be one line of at most {MAX_PROBE_LINE_BYTES} bytes")]
     NotOneLine,
-    /// An answer is expected and no line is sent.
+    /// An answer is expected, but no line is sent.
     #[error("nothing is answered where no line is sent")]
     ExpectWithoutLine,
-    /// The endpoint list would count as too old between two updates.
+    /// The endpoint list would exceed its age limit between two updates.
     #[error("news travels every few hundred milliseconds: {MIN_LIST_AGE_MS} or more")]
     ListAgeTooShort,
-    /// Followed knowledge would count as too old between two polls.
+    /// The followed endpoint list would exceed its age limit between two polls.
     #[error("sources are asked once a second: {MIN_FOLLOWED_AGE_MS} or more")]
     FollowedAgeTooShort,
     /// The rate is 0 or too high.
     #[error("{rate} pieces a second: 1 to {MAX_RATE}")]
     RateOutOfRange {
-        /// The rate, in pieces a second.
+        /// The rate, in pieces per second.
         rate: u32,
     },
-    /// A running process cannot take the change over.
+    /// A reload cannot apply the change.
     #[error("changes with a restart only")]
     RestartRequired,
 }
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,8 +1,9 @@
-//! The operator's file: one JSON file that switches parts of the program on. Without it they are all off.
+//! The operator's file: a JSON file that enables optional parts of the program. Without the file, all of them are
+//! disabled.
 //!
-//! [`OperatorConfig`] and its sections are the types of the file, and its JSON schema is made from them. [`parse`] checks
-//! a file against the schema and the rules that the schema cannot express, and names every fault with its place before
-//! anything is taken over.
+//! [`OperatorConfig`] and its sections are the types of the file, and the JSON schema is generated from them. [`parse`]
+//! checks a file against the schema and against the rules that the schema cannot express. It reports every fault with
+//! its location before any setting is applied.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/operator-config/src/parse.rs
+++ b/crates/operator-config/src/parse.rs
@@ -1,4 +1,4 @@
-//! From the text of a file to its validated types.
+//! Parses and validates the operator's file.
 
 use crate::fault::{Fault, Faults, Problem};
 use crate::section::OperatorConfig;
@@ -6,23 +6,23 @@
 use jsonschema::ValidationError;
 use jsonschema::error::ValidationErrorKind;
 
-/// Places that hold secrets, as JSON pointers: their values stay out of messages.
+/// JSON pointers to secrets. Their values must not appear in messages.
 const SECRETS: [&str; 3] = ["/cluster/keys", "/distribute/keys", "/follow/keys"];
 
-/// The JSON schema of the file, made from its types.
+/// Returns the JSON schema of the file, generated from its types.
 pub fn schema() -> serde_json::Value {
     schemars::schema_for!(OperatorConfig).to_value()
 }
 
-/// Reads the text of a file.
+/// Parses and validates the text of a file.
 ///
 /// # Errors
-/// All faults that can be found: those of the schema, or where there are none, those of the other rules.
+/// All violations of the schema, or if there are none, all violations of the other rules.
 pub fn parse(text: &str) -> Result<OperatorConfig, Faults> {
     let value =
         serde_json::from_str(text).map_err(|error| Faults::whole_file(Problem::NotJson(error)))?;
     check_schema(&value)?;
-    // The schema knows no socket addresses: serde names the one at fault.
+    // The schema does not check socket addresses. An invalid one is reported by serde.
     let config: OperatorConfig = serde_json::from_value(value)
         .map_err(|error| Faults::whole_file(Problem::Malformed(error)))?;
     validate(&config)?;
@@ -36,11 +36,11 @@
     for error in validator.iter_errors(value) {
         collect_faults(&error, &mut faults);
     }
-    Faults::none_or(faults)
+    Faults::into_result(faults)
 }
 
-/// Names the faults behind an error of the schema. A section that may be missing is 'anyOf' its type and null: its
-/// faults are those that its type finds.
+/// Collects the faults behind a schema error. An optional section is `anyOf` its type and null: its faults are the
+/// errors of the first branch, its type.
 fn collect_faults(error: &ValidationError<'_>, faults: &mut Vec<Fault>) {
     if let ValidationErrorKind::AnyOf { context } = error.kind()
         && let Some(branch) = context.first().filter(|branch| !branch.is_empty())
@@ -56,23 +56,23 @@
         false => error.to_string(),
     };
     faults.push(Fault {
-        place: place_of(&pointer),
+        location: location_of(&pointer),
         problem: Problem::SchemaViolation(message),
     });
 }
 
-/// The place that a JSON pointer names, as `cluster.keys[1]`.
-fn place_of(pointer: &str) -> String {
-    let mut place = String::new();
+/// Converts a JSON pointer to a location such as `cluster.keys[1]`.
+fn location_of(pointer: &str) -> String {
+    let mut location = String::new();
     for part in pointer.split('/').skip(1) {
         if part.parse::<usize>().is_ok() {
-            place += &format!("[{part}]");
+            location += &format!("[{part}]");
         } else {
-            if !place.is_empty() {
-                place.push('.');
+            if !location.is_empty() {
+                location.push('.');
             }
-            place += part;
+            location += part;
         }
     }
-    place
+    location
 }
--- a/crates/operator-config/src/section/cluster.rs
+++ b/crates/operator-config/src/section/cluster.rs
@@ -7,35 +7,36 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Probe intervals until a dead instance is suspected at the latest.
+/// Maximum number of probe intervals until a failed instance is suspected.
 const DETECTION_PROBES: u64 = 3;
 
 /// A cluster of instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Cluster {
-    /// This instance's name, the same after a restart and like no other's; the balancer's name where missing.
-    /// Changes with a restart.
+    /// Name of this instance, which must be unique and stay the same after a restart. Defaults to the name of the
+    /// balancer. Changes require a restart.
     #[serde(default)]
     pub name: Option<String>,
-    /// Where it takes the others' datagrams; changes with a restart.
+    /// Address on which datagrams of other instances are received. Changes require a restart.
     #[schemars(with = "String")]
     pub listen: SocketAddr,
-    /// Where others may be found; some of them are enough.
+    /// Addresses of other instances, which are contacted to join the cluster. Not all instances have to be listed.
     #[serde(default)]
     #[schemars(with = "Vec<String>")]
     pub seeds: Vec<SocketAddr>,
-    /// The names of the instances that vote on duties, the same list at all instances: three or more, an odd
-    /// number. Each duty is voted on by five of them. Changes with a restart of all instances.
+    /// Names of the instances that vote on duties, the same list on all instances: an odd number, at least three. At
+    /// most five of them vote on each duty. Changes require a restart of all instances.
     pub voters: Vec<String>,
-    /// The cluster's secrets, alike at all instances, one or two. The first signs what is sent, both are taken:
-    /// to replace a key, put the new one second everywhere, then first everywhere, then drop the old one.
+    /// One or two secrets of the cluster, the same on all instances. Datagrams are signed with the first key and
+    /// accepted with either key. To replace a key, add the new key as the second one on all instances, then move it to
+    /// the first position on all instances, then remove the old key.
     pub keys: Vec<String>,
-    /// How far the instances' wall clocks may lie apart. A restarted instance votes again after this and a period.
-    /// Changes with a restart.
+    /// Limit on the difference between the wall clocks of two instances, in milliseconds. A restarted instance votes
+    /// again after this time plus one period. Changes require a restart.
     #[serde(default = "default_clock_skew_ms")]
     pub clock_skew_ms: u64,
-    /// How fast the instances look after each other; changes with a restart.
+    /// Timing of failure detection. Changes require a restart.
     #[serde(default)]
     pub pace: Pace,
 }
@@ -44,15 +45,15 @@
     1000
 }
 
-/// How fast instances look after each other.
+/// Timing of failure detection between instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Pace {
-    /// Each instance looks at another one so often.
+    /// Interval in milliseconds at which each instance probes another one.
     pub probe_ms: u64,
-    /// An answer takes no longer than this.
+    /// Timeout for the answer to a probe, in milliseconds.
     pub answer_ms: u64,
-    /// An instance that does not answer is held for gone after this.
+    /// Time in milliseconds after which a suspected instance that does not answer is considered failed.
     pub suspicion_ms: u64,
 }
 
@@ -67,8 +68,8 @@
 }
 
 impl Pace {
-    /// How long it takes, in milliseconds, until another instance has the lease of a dead one: no duty's period may be
-    /// shorter.
+    /// Returns the time in milliseconds until another instance holds the lease of a failed one. The period of a duty
+    /// must not be shorter.
     pub fn takeover_ms(&self) -> u64 {
         self.probe_ms
             .saturating_mul(DETECTION_PROBES)
@@ -114,11 +115,11 @@
 
     fn validate_voters(&self, faults: &mut FaultCollector) {
         for (index, voter) in self.voters.iter().enumerate() {
-            let place = format!("cluster.voters[{index}]");
-            faults.require_name(&place, voter);
+            let location = format!("cluster.voters[{index}]");
+            faults.require_name(&location, voter);
             faults.require(
                 !self.voters[..index].contains(voter),
-                &place,
+                &location,
                 Problem::DuplicateName {
                     name: voter.clone(),
                 },
--- a/crates/operator-config/src/section/distribute.rs
+++ b/crates/operator-config/src/section/distribute.rs
@@ -6,22 +6,22 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A control instance's part in the distribution of the list of servers.
+/// Distribution of the list of servers by a control instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Distribute {
-    /// Where it takes its followers' datagrams; changes with a restart.
+    /// Address on which datagrams of followers are received. Changes require a restart.
     #[schemars(with = "String")]
     pub listen: SocketAddr,
-    /// Its zone; changes with a restart.
+    /// Zone of this control instance. Changes require a restart.
     pub zone: String,
-    /// Its region; changes with a restart.
+    /// Region of this control instance. Changes require a restart.
     pub region: String,
-    /// The secrets that it shares with its followers, one or two, replaced as those of the cluster are; the cluster's
-    /// where missing.
+    /// One or two secrets shared with the followers. They are replaced in the same way as `cluster.keys`, and default
+    /// to them.
     #[serde(default)]
     pub keys: Vec<String>,
-    /// Pieces, of at most a datagram each, that it gives its followers in a second at most; changes with a restart.
+    /// Limit on the pieces sent to followers per second. A piece has at most one datagram. Changes require a restart.
     #[serde(default = "default_rate")]
     pub rate: u32,
 }
--- a/crates/operator-config/src/section/duties.rs
+++ b/crates/operator-config/src/section/duties.rs
@@ -1,4 +1,4 @@
-//! Section `duties`: what one instance does for all, under a lease.
+//! Section `duties`: tasks that one instance performs for the whole cluster, under a lease.
 
 use super::Cluster;
 use crate::fault::Problem;
@@ -6,36 +6,37 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// What is done once a period by one instance for all.
+/// Tasks that one instance performs in each period for the whole cluster.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Duties {
-    /// Look at each stream server of the list. Off where missing.
+    /// Health check of each stream server in the list. Disabled if missing.
     pub probe: Option<Probe>,
-    /// Watch discovery for all. Off where missing.
+    /// Watch of discovery for the whole cluster. Disabled if missing.
     pub list: Option<ListDuty>,
 }
 
-/// Looking at a stream server: connect, and send a line and wait for its answer where one is given.
+/// Health check of a stream server: connects and, if a line is configured, sends it and waits for the answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Probe {
-    /// Each stream server is looked at once in this time.
+    /// Period in milliseconds. Each stream server is checked once per period.
     pub every_ms: u64,
-    /// A connection takes no longer than this; otherwise the server is silent.
+    /// Timeout for connecting, in milliseconds. The server counts as silent after it.
     #[serde(default = "default_connect_ms")]
     pub connect_ms: u64,
-    /// A line to send, without its end. `{period}` becomes the number of the period, which only ever grows for
-    /// one server, `{instance}` the instance's name.
+    /// Line to send, without line end. `{period}` is replaced by the number of the period, which only increases for a
+    /// given server, and `{instance}` by the name of the instance.
     #[serde(default)]
     pub line: Option<String>,
-    /// How the answer to that line has to begin; any line will do where missing.
+    /// Required prefix of the answer to the line. Any answer line is accepted if missing.
     #[serde(default)]
     pub expect: Option<String>,
-    /// The answer takes no longer than this; otherwise the server is silent.
+    /// Timeout for the answer, in milliseconds. The server counts as silent after it.
     #[serde(default = "default_answer_ms")]
     pub answer_ms: u64,
-    /// From this time on a sound answer counts as slow, and is told to the decisions as the time of a message.
+    /// Response time in milliseconds from which a valid answer counts as slow and is used as a message time in
+    /// load-balancing decisions.
     #[serde(default = "default_slow_ms")]
     pub slow_ms: u64,
 }
@@ -52,13 +53,14 @@
     100
 }
 
-/// Watching discovery for all instances.
+/// Watch of discovery for all instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ListDuty {
-    /// The watch goes to one instance for this time, and usually stays with it.
+    /// Period in milliseconds for which one instance is assigned the watch. Usually the same instance is assigned
+    /// again.
     pub every_ms: u64,
-    /// News older than this is not trusted: an instance then asks discovery itself.
+    /// Age limit of the list, in milliseconds. An instance whose list is older polls discovery itself.
     pub max_age_ms: u64,
 }
 
@@ -84,10 +86,10 @@
     }
 }
 
-fn require_period(place: &str, period_ms: u64, takeover_ms: u64, faults: &mut FaultCollector) {
+fn require_period(location: &str, period_ms: u64, takeover_ms: u64, faults: &mut FaultCollector) {
     faults.require(
         period_ms >= takeover_ms,
-        place,
+        location,
         Problem::PeriodTooShort {
             period_ms,
             takeover_ms,
@@ -108,12 +110,12 @@
             "duties.probe.connect_ms",
             Problem::NotPositive,
         );
-        for (place, text) in [
+        for (location, text) in [
             ("duties.probe.line", &self.line),
             ("duties.probe.expect", &self.expect),
         ] {
             let is_one_line = text.as_deref().is_none_or(is_one_line);
-            faults.require(is_one_line, place, Problem::NotOneLine);
+            faults.require(is_one_line, location, Problem::NotOneLine);
         }
         faults.require(
             self.expect.is_none() || self.line.is_some(),
@@ -122,7 +124,7 @@
         );
     }
 
-    /// The longest time that one health check takes, in milliseconds.
+    /// Returns the longest duration of a health check, in milliseconds.
     fn longest_ms(&self) -> u64 {
         let answer_ms = match self.line {
             Some(_) => self.answer_ms,
--- a/crates/operator-config/src/section/follow.rs
+++ b/crates/operator-config/src/section/follow.rs
@@ -6,27 +6,27 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A balancer's part in it.
+/// A balancer outside the cluster that follows control instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Follow {
-    /// This balancer's name, the same after a restart and like no other's; the balancer's own where missing. Changes
-    /// with a restart.
+    /// Name of this follower, which must be unique and stay the same after a restart. Defaults to the name of the
+    /// balancer. Changes require a restart.
     #[serde(default)]
     pub name: Option<String>,
-    /// Where it takes the answers; port 0 takes one that is free. Changes with a restart.
+    /// Address on which responses are received. Port 0 selects a free port. Changes require a restart.
     #[schemars(with = "String")]
     pub listen: SocketAddr,
-    /// Its zone; changes with a restart.
+    /// Zone of this balancer. Changes require a restart.
     pub zone: String,
-    /// Its region; changes with a restart.
+    /// Region of this balancer. Changes require a restart.
     pub region: String,
-    /// The secrets that it shares with its sources, one or two, as `distribute.keys` (or `cluster.keys`) has them there.
+    /// One or two secrets shared with the sources, the same as their `distribute.keys` (or `cluster.keys`).
     pub keys: Vec<String>,
-    /// The control instances, two or more, the same list everywhere. It follows two of them: its own zone's first,
-    /// then its region's. Changes with a restart.
+    /// At least two control instances, the same list on all followers. Two of them are followed: those in the
+    /// balancer's zone are preferred, then those in its region. Changes require a restart.
     pub sources: Vec<FollowedSource>,
-    /// Once what it knows is older than this it asks discovery itself.
+    /// Age limit of the list, in milliseconds. Once the list is older, the balancer polls discovery itself.
     pub max_age_ms: u64,
 }
 
@@ -34,14 +34,14 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct FollowedSource {
-    /// Its name in the cluster.
+    /// Name in the cluster.
     pub name: String,
-    /// Its `distribute.listen`.
+    /// Address, as in its `distribute.listen`.
     #[schemars(with = "String")]
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the control instance.
     pub zone: String,
-    /// Its region.
+    /// Region of the control instance.
     pub region: String,
 }
 
@@ -61,8 +61,8 @@
             Problem::SourceCount { count },
         );
         for (index, source) in self.sources.iter().enumerate() {
-            let place = format!("follow.sources[{index}]");
-            source.validate(&place, &self.sources[..index], faults);
+            let location = format!("follow.sources[{index}]");
+            source.validate(&location, &self.sources[..index], faults);
         }
         faults.require(
             self.max_age_ms >= MIN_FOLLOWED_AGE_MS,
@@ -73,27 +73,27 @@
 }
 
 impl FollowedSource {
-    fn validate(&self, place: &str, earlier: &[Self], faults: &mut FaultCollector) {
+    fn validate(&self, location: &str, earlier: &[Self], faults: &mut FaultCollector) {
         let address = self.address;
-        faults.require_name(format!("{place}.name"), &self.name);
+        faults.require_name(format!("{location}.name"), &self.name);
         faults.require(
             earlier.iter().all(|other| other.name != self.name),
-            format!("{place}.name"),
+            format!("{location}.name"),
             Problem::DuplicateName {
                 name: self.name.clone(),
             },
         );
         faults.require(
             earlier.iter().all(|other| other.address != address),
-            format!("{place}.address"),
+            format!("{location}.address"),
             Problem::DuplicateAddress { address },
         );
         faults.require(
             address.port() != 0 && !address.ip().is_unspecified(),
-            format!("{place}.address"),
+            format!("{location}.address"),
             Problem::InvalidDestination { address },
         );
-        faults.require_name(format!("{place}.zone"), &self.zone);
-        faults.require_name(format!("{place}.region"), &self.region);
+        faults.require_name(format!("{location}.zone"), &self.zone);
+        faults.require_name(format!("{location}.region"), &self.region);
     }
 }
--- a/crates/operator-config/src/section/mod.rs
+++ b/crates/operator-config/src/section/mod.rs
@@ -1,7 +1,7 @@
-//! The types of the file, a module for each section.
+//! The types of the file, with a module for each section.
 //!
-//! The JSON schema is made from them: names of types and fields, doc comments of both and defaults appear in it as they
-//! stand here, so changing one changes `deploy/operator.schema.json`.
+//! The JSON schema is generated from these types. It contains the names of types and fields, their doc comments and the
+//! defaults, so a change to any of them changes `deploy/operator.schema.json`.
 
 mod cluster;
 mod control;
@@ -20,22 +20,22 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// The whole file.
+/// The operator's settings.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 #[schemars(title = "spanspur, the operator's settings")]
 pub struct OperatorConfig {
-    /// How the log is written.
+    /// Log output.
     pub log: Log,
-    /// Where the sub-commands ask a running process. Off where missing.
+    /// Control socket, on which subcommands query a running process. Disabled if missing.
     pub control: Option<Control>,
-    /// The instances that know of each other. Off where missing.
+    /// The cluster that this instance is a member of. Disabled if missing.
     pub cluster: Option<Cluster>,
-    /// What they do once a period together. Needs `cluster`.
+    /// Duties, each performed by one instance for the whole cluster. Requires `cluster`.
     pub duties: Duties,
-    /// Gives the list of servers to balancers outside the cluster. Needs `cluster` and `duties.list`. Off where
-    /// missing.
+    /// Distributes the list of servers to balancers outside the cluster. Requires `cluster` and `duties.list`. Disabled
+    /// if missing.
     pub distribute: Option<Distribute>,
-    /// Follows control instances for the list of servers. Not together with `cluster`. Off where missing.
+    /// Follows control instances for the list of servers. Excludes `cluster`. Disabled if missing.
     pub follow: Option<Follow>,
 }
--- a/crates/operator-config/src/validation.rs
+++ b/crates/operator-config/src/validation.rs
@@ -1,33 +1,33 @@
-//! The rules of a file that its schema cannot express. Each section has its own; here is what they share, and the
-//! rules between sections.
+//! Rules of the file that its schema cannot express. This module has the shared checks and the rules between sections;
+//! each section has its own rules.
 
 use crate::fault::{Fault, Faults, Problem};
 use crate::section::{Cluster, Distribute, Duties, Follow, OperatorConfig};
 use std::net::SocketAddr;
 
-/// The least number of voters: fewer have no majority without one of them.
+/// Minimum number of voters. With fewer, the failure of one voter leaves no majority.
 pub(crate) const MIN_VOTERS: usize = 3;
-/// The limit on voters; as their number is odd, the largest is one less.
+/// Limit on voters. Their number is odd, so the effective maximum is one less.
 pub(crate) const MAX_VOTERS: usize = 64;
-/// The shortest secret.
+/// Minimum length of a secret, in bytes.
 pub(crate) const MIN_KEY_CHARACTERS: usize = 16;
-/// Secrets at one time: the one in use and its replacement.
+/// Limit on keys: the one in use and its replacement.
 pub(crate) const MAX_KEYS: usize = 2;
-/// The longest name of an instance, zone or region.
+/// Limit on the name of an instance, zone or region, in bytes.
 pub(crate) const MAX_NAME_BYTES: usize = 64;
-/// The least number of sources that a follower may choose from.
+/// Minimum number of sources of a follower.
 pub(crate) const MIN_SOURCES: usize = 2;
-/// The largest number of sources that a follower may choose from.
+/// Limit on the sources of a follower.
 pub(crate) const MAX_SOURCES: usize = 64;
-/// The highest rate of a control instance, in pieces a second.
+/// Limit on the rate of a control instance, in pieces per second.
 pub(crate) const MAX_RATE: u32 = 100_000;
-/// The least age at which the endpoint list may count as too old: it is confirmed every few hundred milliseconds.
+/// Minimum for the age limit of the endpoint list, which is confirmed every few hundred milliseconds.
 pub(crate) const MIN_LIST_AGE_MS: u64 = 1000;
-/// The least age at which followed knowledge may count as too old: it is polled once a second.
+/// Minimum for the age limit of a followed endpoint list, which is polled once a second.
 pub(crate) const MIN_FOLLOWED_AGE_MS: u64 = 2500;
-/// What a take-over takes besides the detection of a failure: to propose and to be granted a lease.
+/// Time that a takeover takes after a failure is detected: to propose a lease and to have it granted.
 pub(crate) const TAKEOVER_MARGIN_MS: u64 = 500;
-/// The longest line of a health check, and the longest beginning of an answer.
+/// Limit on the line that a health check sends and on the expected prefix of the answer, in bytes.
 pub(crate) const MAX_PROBE_LINE_BYTES: usize = 1024;
 
 /// Collects the faults of a file.
@@ -37,57 +37,57 @@
 }
 
 impl FaultCollector {
-    /// Notes the problem at this place unless the rule holds.
-    pub fn require(&mut self, holds: bool, place: impl Into<String>, problem: Problem) {
-        if !holds {
+    /// Adds a fault at this location unless `is_valid`.
+    pub fn require(&mut self, is_valid: bool, location: impl Into<String>, problem: Problem) {
+        if !is_valid {
             self.faults.push(Fault {
-                place: place.into(),
+                location: location.into(),
                 problem,
             });
         }
     }
 
-    /// The text is the name of an instance, zone or region.
-    pub fn require_name(&mut self, place: impl Into<String>, name: &str) {
+    /// Requires that `name` is valid for an instance, zone or region.
+    pub fn require_name(&mut self, location: impl Into<String>, name: &str) {
         let is_valid =
             !name.is_empty() && name.len() <= MAX_NAME_BYTES && !name.contains(char::is_whitespace);
         let name = name.to_owned();
-        self.require(is_valid, place, Problem::InvalidName { name });
+        self.require(is_valid, location, Problem::InvalidName { name });
     }
 
-    /// The keys are one secret or two, each long enough.
-    pub fn require_keys(&mut self, place: &str, keys: &[String]) {
+    /// Requires one or two keys that are long enough.
+    pub fn require_keys(&mut self, location: &str, keys: &[String]) {
         let count = keys.len();
         self.require(
             (1..=MAX_KEYS).contains(&count),
-            place,
+            location,
             Problem::KeyCount { count },
         );
         for (index, key) in keys.iter().enumerate() {
             self.require(
                 key.len() >= MIN_KEY_CHARACTERS,
-                format!("{place}[{index}]"),
+                format!("{location}[{index}]"),
                 Problem::ShortKey,
             );
         }
     }
 
-    /// The address is told to others.
-    pub fn require_reachable(&mut self, place: &str, address: SocketAddr) {
+    /// Requires a specified IP address, because others are told to send to it.
+    pub fn require_reachable(&mut self, location: &str, address: SocketAddr) {
         self.require(
             !address.ip().is_unspecified(),
-            place,
+            location,
             Problem::UnreachableAddress,
         );
     }
 
-    /// All that was collected, as an error unless there is nothing.
+    /// Returns the collected faults as an error, or `Ok` if there are none.
     pub fn finish(self) -> Result<(), Faults> {
-        Faults::none_or(self.faults)
+        Faults::into_result(self.faults)
     }
 }
 
-/// Checks the rules of every section and between them.
+/// Checks the rules of every section and those between sections.
 pub(crate) fn validate(config: &OperatorConfig) -> Result<(), Faults> {
     let mut faults = FaultCollector::default();
     if let Some(follow) = &config.follow {
@@ -126,9 +126,9 @@
         "distribute",
         Problem::NeedsListDuty,
     );
-    let taken = config.cluster.as_ref().map(|cluster| cluster.listen);
+    let cluster_address = config.cluster.as_ref().map(|cluster| cluster.listen);
     faults.require(
-        taken != Some(distribute.listen),
+        cluster_address != Some(distribute.listen),
         "distribute.listen",
         Problem::AddressInUse,
     );
--- a/crates/operator-config/tests/fault_texts.rs
+++ b/crates/operator-config/tests/fault_texts.rs
@@ -1,14 +1,14 @@
-//! The faults of an operator's file, to the letter: `spanspur check` prints them, one a line.
+//! Exact texts of the faults of an operator's file, which `spanspur check` prints one per line.
 //!
-//! The fixture `tests/fixtures/fault_texts.txt` was written by the tree at 71566bd (`WRITE_FIXTURES=1` writes it
-//! anew); rewriting it hides a change of a text.
+//! The fixture `tests/fixtures/fault_texts.txt` was written at commit 71566bd. `WRITE_FIXTURES=1` rewrites it, which
+//! hides a change of a text.
 
 use serde_json::{Value, json};
 use spanspur_operator_config::{OperatorConfig, parse};
 use std::fmt::Write as _;
 use std::path::Path;
 
-/// The faults of taking `new` over while `running` is in force, in one line; empty where it can be taken over.
+/// Returns the faults of a reload from `running` to `new` on one line; empty if the reload is accepted.
 fn reload_faults(running: &OperatorConfig, new: &OperatorConfig) -> String {
     match running.check_reload(new) {
         Ok(()) => String::new(),
@@ -18,11 +18,11 @@
 
 const EXAMPLE: &str = include_str!("../../../deploy/operator.json");
 
-/// The kept text; under `WRITE_FIXTURES=1` it is `written` from now on.
-fn kept(written: &str) -> String {
+/// Returns the text of the fixture. With `WRITE_FIXTURES=1`, writes `text` to the fixture first.
+fn load_or_write(text: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/fault_texts.txt");
     if std::env::var("WRITE_FIXTURES").is_ok_and(|value| value == "1") {
-        std::fs::write(&path, written).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
+        std::fs::write(&path, text).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
     }
     std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
@@ -44,10 +44,10 @@
     file
 }
 
-/// A file with another value in one place; the place is added where it is missing.
+/// Returns the file with the value at `pointer` replaced or added.
 fn with(mut file: Value, pointer: &str, value: Value) -> Value {
     let (parent, key) = pointer.rsplit_once('/').expect("a pointer");
-    let parent = file.pointer_mut(parent).expect("a place");
+    let parent = file.pointer_mut(parent).expect("a parent");
     match parent {
         Value::Array(list) => list[key.parse::<usize>().expect("a number")] = value,
         parent => parent[key] = value,
@@ -55,14 +55,15 @@
     file
 }
 
+/// Returns the file without the field at `pointer`.
 fn without(mut file: Value, pointer: &str) -> Value {
     let (parent, key) = pointer.rsplit_once('/').expect("a pointer");
-    let parent = file.pointer_mut(parent).expect("a place");
+    let parent = file.pointer_mut(parent).expect("a parent");
     parent.as_object_mut().expect("an object").remove(key);
     file
 }
 
-/// One change to a file that is in order, each.
+/// Changes to valid files, each of a single value: the file, the JSON pointer and the new value.
 fn changes() -> Vec<(Value, &'static str, Value)> {
     let of_example = [
         ("/log/format", json!("xml")),
@@ -125,9 +126,9 @@
         ("/cluster", Value::Null),
         ("/duties/list", Value::Null),
     ];
-    let of_example = of_example.map(|(place, value)| (example(), place, value));
-    let of_follower = of_follower.map(|(place, value)| (follower(), place, value));
-    let of_distributor = of_distributor.map(|(place, value)| (distributor(), place, value));
+    let of_example = of_example.map(|(pointer, value)| (example(), pointer, value));
+    let of_follower = of_follower.map(|(pointer, value)| (follower(), pointer, value));
+    let of_distributor = of_distributor.map(|(pointer, value)| (distributor(), pointer, value));
     of_example
         .into_iter()
         .chain(of_follower)
@@ -136,24 +137,24 @@
 }
 
 #[test]
-fn each_fault_of_a_file_has_the_text_of_the_fixture() {
+fn fault_texts_match_the_fixture() {
     for file in [example(), follower(), distributor()] {
         assert!(parse(&file.to_string()).is_ok(), "{file}");
     }
     let mut text = String::new();
-    let mut line = |what: &str, file: &str| {
-        let told = parse(file).err().map(|faults| faults.to_string());
-        let told = told.unwrap_or_else(|| "accepted".into());
-        let _ = writeln!(text, "{what} => {told}");
+    let mut add_line = |description: &str, file: &str| {
+        let result = parse(file).err().map(|faults| faults.to_string());
+        let result = result.unwrap_or_else(|| "accepted".into());
+        let _ = writeln!(text, "{description} => {result}");
     };
-    for (file, place, value) in changes() {
+    for (file, pointer, value) in changes() {
         let section = ["follow", "distribute"]
             .into_iter()
             .find(|name| file.get(name).is_some());
-        let what = format!("{} {place} {value}", section.unwrap_or("example"));
-        line(&what, &with(file, place, value).to_string());
+        let description = format!("{} {pointer} {value}", section.unwrap_or("example"));
+        add_line(&description, &with(file, pointer, value).to_string());
     }
-    for place in [
+    for pointer in [
         "/cluster/listen",
         "/cluster/voters",
         "/cluster/keys",
@@ -163,25 +164,25 @@
         "/duties/probe/every_ms",
         "/duties/list/max_age_ms",
     ] {
-        let file = without(example(), place).to_string();
-        line(&format!("example without {place}"), &file);
+        let file = without(example(), pointer).to_string();
+        add_line(&format!("example without {pointer}"), &file);
     }
-    for place in ["/follow/sources", "/follow/listen", "/follow/zone"] {
-        let file = without(follower(), place).to_string();
-        line(&format!("follow without {place}"), &file);
+    for pointer in ["/follow/sources", "/follow/listen", "/follow/zone"] {
+        let file = without(follower(), pointer).to_string();
+        add_line(&format!("follow without {pointer}"), &file);
     }
     for file in ["", "{\"log\":", "[]", "7", "{\"logs\": {}}"] {
-        line(&format!("file {file}"), file);
+        add_line(&format!("file {file}"), file);
     }
-    assert!(!kept(&text).is_empty());
-    for (written, kept) in text.lines().zip(kept(&text).lines()) {
-        assert_eq!(written, kept);
+    assert!(!load_or_write(&text).is_empty());
+    for (line, expected) in text.lines().zip(load_or_write(&text).lines()) {
+        assert_eq!(line, expected);
     }
-    assert_eq!(text, kept(&text));
+    assert_eq!(text, load_or_write(&text));
 }
 
 #[test]
-fn what_changes_with_a_restart_only_has_these_words() {
+fn reload_faults_have_exact_texts() {
     let running = parse(EXAMPLE).expect("the example");
     let new = with(example(), "/cluster/listen", json!("127.0.0.1:7009"));
     let new = with(new, "/control/socket", json!("/tmp/another.sock"));
--- a/crates/operator-config/tests/operator_file.rs
+++ b/crates/operator-config/tests/operator_file.rs
@@ -1,11 +1,11 @@
-//! The operator's file: the schema and the example in the repository, and every fault named with its place.
+//! The operator's file: the schema and example in the repository, and the locations of reported faults.
 
 use spanspur_operator_config::{OperatorConfig, parse, schema};
 
 const EXAMPLE: &str = include_str!("../../../deploy/operator.json");
 const SCHEMA: &str = include_str!("../../../deploy/operator.schema.json");
 
-/// The faults of taking `new` over while `running` is in force, in one line; empty where it can be taken over.
+/// Returns the faults of a reload from `running` to `new` on one line; empty if the reload is accepted.
 fn reload_faults(running: &OperatorConfig, new: &OperatorConfig) -> String {
     match running.check_reload(new) {
         Ok(()) => String::new(),
@@ -14,10 +14,10 @@
 }
 
 #[test]
-fn the_schema_in_the_repository_is_made_from_the_types() {
-    let kept: serde_json::Value = serde_json::from_str(SCHEMA).unwrap_or_default();
+fn the_schema_file_matches_the_types() {
+    let schema_file: serde_json::Value = serde_json::from_str(SCHEMA).unwrap_or_default();
     assert!(
-        kept == schema(),
+        schema_file == schema(),
         "deploy/operator.schema.json is out of date: write the output of 'spanspur schema' there"
     );
 }
@@ -26,13 +26,15 @@
 fn the_example_is_valid_and_every_section_is_off_by_default() {
     let example = parse(EXAMPLE).unwrap_or_else(|faults| panic!("{faults}"));
     assert!(example.cluster.is_some() && example.duties.probe.is_some());
-    let off = parse("{}").unwrap_or_else(|faults| panic!("{faults}"));
-    assert_eq!(off, OperatorConfig::default());
-    assert!(off.cluster.is_none() && off.control.is_none() && off.duties.list.is_none());
+    let default = parse("{}").unwrap_or_else(|faults| panic!("{faults}"));
+    assert_eq!(default, OperatorConfig::default());
+    assert!(
+        default.cluster.is_none() && default.control.is_none() && default.duties.list.is_none()
+    );
 }
 
 #[test]
-fn parse_names_every_fault_with_its_place() {
+fn parse_reports_every_fault_with_its_location() {
     let faults = |text: &str| parse(text).err().map(|f| f.to_string()).unwrap_or_default();
     let unknown = EXAMPLE
         .replace("\"seeds\"", "\"seed\"")
@@ -44,11 +46,11 @@
     );
     assert!(message.contains("duties.probe.every_ms: "), "{message}");
 
-    let wrong = EXAMPLE
+    let invalid = EXAMPLE
         .replace("\"n2\"", "\"n1\"")
         .replace("\"every_ms\": 5000", "\"every_ms\": 1500")
         .replace("a secret that all five share", "short");
-    let message = faults(&wrong);
+    let message = faults(&invalid);
     for part in [
         "cluster.voters[1]: 'n1' is named twice",
         "cluster.keys[0]: shorter than 16 characters",
@@ -84,26 +86,26 @@
     {"name": "n1", "address": "127.0.0.1:7100", "zone": "a1", "region": "a"},
     {"name": "n2", "address": "127.0.0.2:7100", "zone": "a2", "region": "a"}]}}"#;
 
-/// The example with this section besides.
-fn distributing(section: &str) -> String {
+/// Returns the example with this `distribute` section added.
+fn example_with_distribute(section: &str) -> String {
     EXAMPLE.replacen('{', &format!("{{\"distribute\": {section},"), 1)
 }
 
 #[test]
 fn the_distribution_sections_are_valid_and_off_by_default() {
-    let off = parse(EXAMPLE).unwrap_or_default();
-    assert!(off.distribute.is_none() && off.follow.is_none());
+    let example = parse(EXAMPLE).unwrap_or_default();
+    assert!(example.distribute.is_none() && example.follow.is_none());
     let follow = parse(FOLLOWER).map(|operator| operator.follow);
     let follow = follow.unwrap_or_else(|faults| panic!("{faults}"));
     assert_eq!(follow.map_or(0, |follow| follow.sources.len()), 2);
     let control = r#"{"listen": "127.0.0.1:7100", "zone": "a1", "region": "a"}"#;
-    let control = parse(&distributing(control)).map(|operator| operator.distribute);
+    let control = parse(&example_with_distribute(control)).map(|operator| operator.distribute);
     let control = control.unwrap_or_else(|faults| panic!("{faults}"));
     assert!(control.is_some_and(|control| control.rate > 0 && control.keys.is_empty()));
 }
 
 #[test]
-fn parse_names_faults_of_the_distribution_with_their_places() {
+fn parse_reports_distribution_faults_with_their_locations() {
     let faults = |text: &str| parse(text).err().map(|f| f.to_string()).unwrap_or_default();
     let message = faults(
         &FOLLOWER
@@ -122,16 +124,16 @@
     ] {
         assert!(message.contains(part), "{part}: {message}");
     }
-    // A secret at the wrong place is not shown.
+    // A value of the wrong type in the place of a secret is not shown.
     let message = faults(&FOLLOWER.replace("[\"a secret of the followers\"]", "\"my secret\""));
     assert!(
         message.contains("follow.keys: ") && !message.contains("my secret"),
         "{message}"
     );
-    let one = FOLLOWER
+    let single_source = FOLLOWER
         .split_once("},")
         .map(|(first, _)| first.to_owned() + "}]}}");
-    let message = faults(&one.unwrap_or_default());
+    let message = faults(&single_source.unwrap_or_default());
     assert!(message.contains("follow.sources: 1 sources"), "{message}");
     let both = EXAMPLE.replacen('{', &(FOLLOWER[..FOLLOWER.len() - 1].to_owned() + ","), 1);
     let message = faults(&both);
@@ -140,7 +142,7 @@
         "{message}"
     );
 
-    let message = faults(&distributing(
+    let message = faults(&example_with_distribute(
         r#"{"listen": "127.0.0.1:7000", "zone": "a 1", "region": "a", "rate": 0, "keys": ["short"]}"#,
     ));
     for part in [
@@ -163,18 +165,18 @@
 }
 
 #[test]
-fn a_reload_of_a_follower_takes_over_keys_and_age_only() {
+fn a_follower_reload_can_change_keys_and_age_only() {
     let read = |text: &str| parse(text).unwrap_or_default();
     let running = read(FOLLOWER);
-    let may = FOLLOWER
+    let allowed = FOLLOWER
         .replace("a secret of the followers", "another secret of theirs")
         .replace("5000", "6000");
-    assert!(running.check_reload(&read(&may)).is_ok());
-    let not = FOLLOWER
+    assert!(running.check_reload(&read(&allowed)).is_ok());
+    let rejected = FOLLOWER
         .replace("127.0.0.2:7100", "127.0.0.3:7100")
         .replace("127.0.0.4:0", "127.0.0.5:0");
     assert_eq!(
-        reload_faults(&running, &read(&not)),
+        reload_faults(&running, &read(&rejected)),
         "follow.listen: changes with a restart only; follow.sources: changes with a restart only"
     );
     assert_eq!(
