--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -1,12 +1,13 @@
 //! Pull replication of a versioned key-value map from a few control instances (sources) to all balancers (followers).
-//! Sans-I/O: bytes, the time and a seed come in, [`Output`]s come out, so that thousands of followers run in virtual
-//! time. Start reading at [`Follower`].
+//! The crate does no I/O: callers pass in datagrams, the time and a seed, and carry out the returned [`Output`]s.
+//! Tests can thus run thousands of followers in virtual time. [`Follower`] is the place to start reading.
 //!
-//! A follower polls each of its two sources once a second for what has changed since its cursor there. A cursor is
-//! valid only at that source and in that incarnation of it, so sources share no numbering, and a response is complete
-//! by construction. An invalid cursor is replaced by anti-entropy: hash trees are compared, and only entries that
-//! differ are transferred. An entry replaces only a lower version of its key, whichever source sends it: sources need
-//! not be up to date, only be members of the cluster.
+//! A follower polls each of its two sources once a second for the changes since its cursor at that source. A cursor is
+//! valid only for one incarnation of one source. Sources therefore share no numbering, and a response contains all
+//! changes since the cursor by construction. If a cursor is invalid, the follower resynchronizes by anti-entropy: hash
+//! trees are compared, and only entries that differ are transferred. An entry replaces only a lower version of the
+//! same key, whichever source sends the entry. A source therefore need not be up to date; it only has to be a member
+//! of the cluster.
 //!
 //! | module | contents |
 //! | --- | --- |
@@ -36,8 +37,8 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Milliseconds on this process's monotonic clock, which also advances while the process is suspended; or a duration
-/// in milliseconds.
+/// A time in milliseconds on this process's monotonic clock, which also advances while the process is suspended; or a
+/// duration in milliseconds.
 pub type Millis = u64;
 
 /// The longest accepted instance name, in bytes.
@@ -57,18 +58,18 @@
 pub struct SourceEndpoint {
     /// The instance's name.
     pub name: String,
-    /// The address at which it accepts poll requests.
+    /// The address at which the source accepts poll requests.
     pub address: SocketAddr,
-    /// Its location.
+    /// The source's location.
     pub location: Location,
 }
 
-/// What the driver has to carry out.
+/// An action that the driver has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Send this datagram to this address.
     Datagram(SocketAddr, Vec<u8>),
-    /// An entry was added or replaced by a newer version; only at followers.
+    /// An entry was added or replaced by a newer version; emitted only by followers.
     EntryUpdated(Entry),
     /// A state change worth a log line.
     Event(Event),
@@ -83,6 +84,6 @@
     SourceReconnected(String),
     /// `true`: no source responds any more; `false`: at least one responds again.
     Disconnected(bool),
-    /// The follower holds everything that a source had, for the first time.
+    /// For the first time, the follower holds everything of a source that has heard from a writer.
     Synchronized,
 }
--- a/crates/distribution/src/messages/decode.rs
+++ b/crates/distribution/src/messages/decode.rs
@@ -1,4 +1,4 @@
-//! Bytes to messages, with everything checked that a faulty or hostile peer could send.
+//! Decoding of messages, with validation of everything that a faulty or malicious peer could send.
 
 use super::{
     EntryRow, EntryVersion, FORMAT_VERSION, LEAF_HASHES_ROW_SIZE, LeafHashes, LeafVersions, MAGIC,
@@ -12,19 +12,19 @@
 /// Why an authenticated message is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// It ends too early, too late, or is no valid encoding.
+    /// The message is too short, has trailing bytes, or is not a valid encoding.
     #[error("malformed message")]
     Malformed,
-    /// It is no message of this protocol, or a response where a request is expected, or the reverse.
-    #[error("message of another kind")]
+    /// The message does not belong to this protocol, or is a response where a request is expected, or the reverse.
+    #[error("unexpected kind of message")]
     OtherKind,
-    /// It is of a later [`FORMAT_VERSION`].
-    #[error("format version later than {FORMAT_VERSION}")]
+    /// The message has a later [`FORMAT_VERSION`].
+    #[error("format version is later than {FORMAT_VERSION}")]
     LaterVersion,
     /// The window is not from 1 to [`MAX_WINDOW`].
-    #[error("window not from 1 to {MAX_WINDOW}")]
+    #[error("window is not from 1 to {MAX_WINDOW}")]
     InvalidWindow,
-    /// A leaf or branch does not exist, or leaves are not in ascending order.
+    /// A leaf or branch does not exist, or the leaves are not in ascending order.
     #[error("invalid leaf or branch")]
     InvalidLeaf,
     /// A range ends before it begins, or after the source's head.
@@ -36,7 +36,7 @@
 }
 
 impl DecodeError {
-    /// The name of the counter of this error.
+    /// The name of the counter for this error.
     pub fn counter(self) -> &'static str {
         match self {
             Self::Malformed => "garbled",
@@ -53,7 +53,7 @@
 /// Decodes a request and its rows.
 ///
 /// # Errors
-/// The message is invalid; nothing of it may be applied.
+/// The message is invalid; no part of it may be applied.
 pub fn decode_request(bytes: &[u8]) -> Result<(PollRequest, Vec<LeafVersions>), DecodeError> {
     let (request, mut rest): (PollRequest, _) = decode_header(REQUEST, bytes)?;
     if request.window == 0 || request.window > MAX_WINDOW {
@@ -70,7 +70,7 @@
 /// Decodes a response and its rows.
 ///
 /// # Errors
-/// The message is invalid; nothing of it may be applied.
+/// The message is invalid; no part of it may be applied.
 pub fn decode_response(bytes: &[u8]) -> Result<(PollResponse, Payload), DecodeError> {
     let (response, mut rest): (PollResponse, _) = decode_header(RESPONSE, bytes)?;
     let payload = match response.body {
@@ -100,7 +100,7 @@
     let mut leaves: Vec<LeafVersions> = Vec::new();
     while !rest.is_empty() {
         let (leaf, count): (u16, u16) = take(rest)?;
-        // In ascending order, each once, so that the response is bounded by the store.
+        // Ascending and without duplicates, so that the size of the store bounds the response.
         if leaf as usize >= LEAVES || leaves.last().is_some_and(|last| last.leaf >= leaf) {
             return Err(DecodeError::InvalidLeaf);
         }
--- a/crates/distribution/src/messages/encode.rs
+++ b/crates/distribution/src/messages/encode.rs
@@ -1,4 +1,4 @@
-//! Messages to bytes.
+//! Encoding of messages.
 
 use super::{
     ENTRY_VERSION_SIZE, EntryRow, FORMAT_VERSION, LeafVersions, MAGIC, MAX_HEADER, PollRequest,
@@ -7,17 +7,17 @@
 use crate::Entry;
 use serde::Serialize;
 
-/// The size of an entry's row, at most, in bytes.
+/// The maximum size of an entry's row, in bytes.
 pub fn entry_row_size(entry: &Entry) -> usize {
     8 + 9 + 2 + entry.value.len()
 }
 
-/// The size of a leaf's versions in a request, at most, in bytes.
+/// The maximum size of a leaf with this number of versions in a request, in bytes.
 pub fn leaf_versions_size(versions: usize) -> usize {
     6 + versions * ENTRY_VERSION_SIZE
 }
 
-/// A request, ready to be sealed.
+/// Encodes a request and its rows. The result is ready to be sealed.
 pub fn encode_request(request: &PollRequest, leaves: &[LeafVersions]) -> Vec<u8> {
     let mut bytes = encode_header(REQUEST, request);
     for leaf in leaves {
@@ -29,7 +29,7 @@
     bytes
 }
 
-/// A response without rows, ready to be sealed or to be given rows.
+/// Encodes a response without rows. Rows may be appended before the result is sealed.
 pub fn encode_response(response: &PollResponse) -> Vec<u8> {
     encode_header(RESPONSE, response)
 }
--- a/crates/distribution/src/messages/mod.rs
+++ b/crates/distribution/src/messages/mod.rs
@@ -1,15 +1,15 @@
-//! The messages between sources and followers, inside sealed datagrams.
+//! The messages between sources and followers, sent in sealed datagrams.
 //!
 //! | bytes | contents |
 //! | --- | --- |
-//! | 0 | [`MAGIC`], which tells them from other datagrams under the cluster's keys |
+//! | 0 | [`MAGIC`], which distinguishes these messages from others under the cluster's keys |
 //! | 1 | [`FORMAT_VERSION`] |
 //! | 2 | 0 for a request, 1 for a response |
 //! | .. | [`PollRequest`] or [`PollResponse`], as postcard |
 //! | .. | rows until the end of the datagram, without a count |
 //!
-//! A datagram is decoded and validated whole before any of it is applied. Postcard identifies fields by their place
-//! and variants by their number: neither may change.
+//! A datagram is decoded and validated completely before any part of it is applied. Postcard identifies fields by
+//! their order and variants by their index, so neither may change.
 
 mod decode;
 mod encode;
@@ -27,17 +27,18 @@
 
 /// The first byte of each message.
 pub const MAGIC: u8 = 0xd5;
-/// The version of the format. A later one is rejected by a reason of its own, so that a fleet of mixed versions shows.
+/// The version of the message format. A later version is rejected with an error of its own, so that a fleet of mixed
+/// versions shows in the counters.
 pub const FORMAT_VERSION: u8 = 1;
-/// The longest message, magic and version included, in bytes.
+/// The maximum size of a message, magic and version included, in bytes.
 pub const MAX_MESSAGE: usize = MAX_DATAGRAM - OVERHEAD;
-/// The most that magic, version and header take, in bytes; rows fill the rest.
+/// The maximum size of a message without its rows, magic and version included, in bytes.
 pub const MAX_HEADER: usize = 64;
-/// The most datagrams in response to one request.
+/// The maximum number of datagrams in response to one request.
 pub const MAX_WINDOW: u8 = 8;
-/// The size of the row of a branch's leaf hashes, in bytes.
+/// The size of a row with the leaf hashes of a branch, in bytes.
 pub const LEAF_HASHES_ROW_SIZE: usize = 1 + LEAVES_PER_BRANCH * 4;
-/// The size of the key and version of an entry in a request, at most, in bytes.
+/// The maximum size of the key and version of an entry in a request, in bytes.
 pub const ENTRY_VERSION_SIZE: usize = 8 + 10;
 
 const REQUEST: u8 = 0;
@@ -46,23 +47,23 @@
 /// A follower's request to a source.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PollRequest {
-    /// The follower's number of this request, which responses repeat.
+    /// The number that the follower gives the request, repeated in its responses.
     pub nonce: u32,
-    /// The source is the follower's primary one.
+    /// Whether the source is the follower's primary source.
     pub is_primary: bool,
-    /// The source's incarnation to which the cursor belongs, 0 for none.
+    /// The source's incarnation for which the cursor is valid, 0 if there is no cursor.
     pub incarnation: u64,
-    /// The last change of that incarnation that the follower holds.
+    /// The cursor: the sequence number of the last change of that incarnation that the follower holds.
     pub sequence: u64,
-    /// The hash over all that the follower holds.
+    /// The root hash of the follower's store.
     pub root_hash: u64,
-    /// Datagrams accepted in response, 1 to [`MAX_WINDOW`].
+    /// The number of datagrams accepted in response, from 1 to [`MAX_WINDOW`].
     pub window: u8,
-    /// What is requested.
+    /// The requested data.
     pub query: Query,
 }
 
-/// What a poll requests.
+/// The data that a poll requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Query {
     /// The changes since the cursor.
@@ -73,7 +74,7 @@
     LeafHashes {
         /// The branches, one bit for each.
         branches: u64,
-        /// The salt under which the hashes are shortened.
+        /// The salt with which the hashes are shortened.
         salt: u32,
     },
     /// All entries from a position on.
@@ -81,12 +82,12 @@
         /// The first position.
         from: u64,
     },
-    /// The entries of the leaves in the rows ([`LeafVersions`]) that are newer than listed there.
+    /// The entries newer than those listed in the rows ([`LeafVersions`]), of the leaves listed there.
     NewerEntries {
         /// The first position.
         from: u64,
     },
-    /// Nothing more: the follower polls another source from now on.
+    /// No data: the follower polls another source from now on.
     Unsubscribe,
 }
 
@@ -104,20 +105,20 @@
 pub struct LeafVersions {
     /// The leaf.
     pub leaf: u16,
-    /// The versions held in it.
+    /// The versions of the entries in the leaf.
     pub versions: Vec<EntryVersion>,
 }
 
-/// A source's response; its incarnation is that of the sealed datagram.
+/// A source's response. The source's incarnation is the one in the sealed datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PollResponse {
     /// The number of the request.
     pub nonce: u32,
     /// The age of the source's own data, in milliseconds; `None` until it has heard from a writer.
     pub data_age: Option<u64>,
-    /// The source's last change.
+    /// The sequence number of the source's last change.
     pub head: u64,
-    /// The response.
+    /// The kind of response.
     pub body: ResponseBody,
 }
 
@@ -126,32 +127,32 @@
 pub enum ResponseBody {
     /// No changes since the cursor.
     UpToDate {
-        /// Both sides hold the same content.
+        /// Whether both sides hold the same content.
         same_content: bool,
     },
-    /// The cursor is invalid, but both sides hold the same content: the head is the new cursor.
+    /// The cursor is invalid, but both sides hold the same content: the follower adopts the head as its new cursor.
     AdoptHead,
     /// The cursor is invalid, and the contents differ.
     ContentDiffers,
-    /// The rate limit is reached: a slot is reserved for a repeated request.
+    /// The rate limit is reached. A slot is reserved for a repetition of the request.
     RetryAfter {
-        /// When to repeat it, in milliseconds after this request was sent.
+        /// When to repeat the request, in milliseconds after it was sent.
         wait: u32,
     },
     /// The hashes of all branches, in rows of 8 bytes.
     BranchHashes,
-    /// The hashes of leaves, in rows of a branch's number and its hashes of 4 bytes.
+    /// The hashes of leaves, in rows of a branch's number and its leaf hashes of 4 bytes.
     LeafHashes {
-        /// This is the last datagram of the response.
+        /// Whether this is the last datagram of the response.
         last: bool,
     },
     /// All changes of a range of sequence numbers, in rows of entries.
     Changes {
-        /// The first change is the one after this.
+        /// The sequence number before the range.
         after: u64,
-        /// The last change.
+        /// The last sequence number of the range.
         up_to: u64,
-        /// This is the last datagram of the response.
+        /// Whether this is the last datagram of the response.
         last: bool,
     },
     /// The requested entries of a range of positions, in rows of entries.
@@ -160,7 +161,7 @@
         from: u64,
         /// The position after the range; `None`: there are no further entries.
         next: Option<u64>,
-        /// This is the last datagram of the response.
+        /// Whether this is the last datagram of the response.
         last: bool,
     },
 }
