--- a/crates/distribution/src/store/change_log.rs
+++ b/crates/distribution/src/store/change_log.rs
@@ -2,17 +2,17 @@
 
 use std::collections::BTreeMap;
 
-/// A change of the log.
+/// A change in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// Its sequence number, from 1 in each incarnation of the source.
+    /// The sequence number, counted from 1 in each incarnation of the source.
     pub sequence: u64,
     /// The key that changed.
     pub key: u64,
 }
 
-/// The order in which entries arrived at a source in its current incarnation: of each key the last arrival, and of
-/// these the last `capacity`.
+/// The order in which entries arrived at a source in its current incarnation. The log retains the last change of each
+/// key, and of those changes the last `capacity`.
 #[derive(Clone, Debug)]
 pub struct ChangeLog {
     capacity: usize,
@@ -39,7 +39,7 @@
         self.head
     }
 
-    /// The highest sequence number that was dropped: a cursor below it is too old.
+    /// The highest sequence number that was dropped for lack of capacity. A cursor below this number is too old.
     pub fn floor(&self) -> u64 {
         self.floor
     }
--- a/crates/distribution/src/store/hash_tree.rs
+++ b/crates/distribution/src/store/hash_tree.rs
@@ -1,18 +1,18 @@
-//! A two-level hash tree over keys and versions, by which two stores find where they differ.
+//! A two-level hash tree over keys and versions, which locates the differences between two stores.
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Branches of the tree.
+/// The number of branches of the tree.
 pub const BRANCHES: usize = 64;
-/// Leaves of a branch.
+/// The number of leaves of a branch.
 pub const LEAVES_PER_BRANCH: usize = 64;
-/// Leaves of the tree.
+/// The number of leaves of the tree.
 pub const LEAVES: usize = BRANCHES * LEAVES_PER_BRANCH;
-/// Bits of a position below those that number its leaf.
+/// The number of low bits of a position; the bits above them are the number of its leaf.
 const LEAF_SHIFT: u32 = 52;
 
-/// A key's position in the order of the store: its bits mixed by the finalizer of SplitMix64 (Steele and others,
-/// 2014), a bijection, so that adjacent keys are spread over the leaves.
+/// A key's position in the order of the store. The key is mixed by the finalizer of SplitMix64 (Steele et al., 2014),
+/// a bijection that spreads adjacent keys over the leaves.
 pub fn position(key: u64) -> u64 {
     let mut z = key.wrapping_add(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -31,7 +31,8 @@
     start..=start | ((1 << LEAF_SHIFT) - 1)
 }
 
-/// The hashes of all leaves. A hash is the XOR of the hashes of what is below it, so an update costs one step.
+/// The hashes of all leaves and of the root. The hash of a branch or of the root is the XOR of the hashes below it, so
+/// an update takes constant time.
 #[derive(Clone)]
 pub(super) struct HashTree {
     leaves: Box<[u64]>,
@@ -48,7 +49,7 @@
 }
 
 impl HashTree {
-    /// Adds a version of a key at its position, or removes it if it was added before.
+    /// Adds the hash of a key's version at a position, or removes it if it was added before.
     pub(super) fn toggle(&mut self, position: u64, key: u64, version: u64) {
         let hash = hash_version(key, version);
         self.leaves[leaf_of(position)] ^= hash;
--- a/crates/distribution/src/store/mod.rs
+++ b/crates/distribution/src/store/mod.rs
@@ -11,24 +11,25 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Entries that a store holds, as many as the gossip store that they come from; tombstones count.
+/// The maximum number of entries in a store, tombstones included. It equals the capacity of the gossip store from
+/// which the entries come.
 pub const MAX_ENTRIES: usize = MAX_KEYS;
-/// Bytes of all values together. With [`ENTRY_OVERHEAD`] for each entry a store stays below 24 MiB.
+/// The maximum total size of all values, in bytes. With [`ENTRY_OVERHEAD`] for each entry, a store stays below 24 MiB.
 pub const MAX_BYTES: usize = 16 << 20;
-/// The approximate memory of an entry besides its value, in bytes.
+/// The approximate memory that an entry takes besides its value, in bytes.
 pub const ENTRY_OVERHEAD: usize = 112;
-/// The highest accepted version, 2^62 - 1. A version is a lease term and 20 bits of a step within it, and the first
-/// term that a voter without state grants is the Unix time in milliseconds, whose 42 bits last until the year 2109. A
-/// higher version is a fault, and accepted it would block its key for ever.
+/// The highest accepted version, 2^62 - 1. A version is a lease term followed by a 20-bit step number within that
+/// term. The first term that a voter without state grants is the Unix time in milliseconds, which fits into 42 bits
+/// until the year 2109. A higher version is an error, and accepting it would block all later updates of its key.
 pub const MAX_VERSION: u64 = (1 << 62) - 1;
 
 /// Why an entry is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum EntryError {
-    /// Its version is 0 or above [`MAX_VERSION`].
+    /// The version is 0 or above [`MAX_VERSION`].
     #[error("version is 0 or above {MAX_VERSION}")]
     InvalidVersion,
-    /// Its value is longer than the gossip store's `MAX_VALUE_BYTES`.
+    /// The value is longer than the gossip store's `MAX_VALUE_BYTES`.
     #[error("value is longer than {MAX_VALUE_BYTES} bytes")]
     ValueTooLarge,
     /// The store holds [`MAX_ENTRIES`] or [`MAX_BYTES`].
@@ -37,7 +38,7 @@
 }
 
 impl EntryError {
-    /// The name of the counter of this error.
+    /// The name of the counter for this error.
     pub fn counter(self) -> &'static str {
         match self {
             Self::InvalidVersion => "absurd-version",
@@ -61,8 +62,8 @@
     }
 }
 
-/// A last-writer-wins map: of each key the entry with the highest version, whichever peer sent it. No entry is ever
-/// deleted and no version lowered; removal is a value that says so (a tombstone).
+/// A last-writer-wins map. It holds the entry with the highest version of each key, whichever peer sent that entry.
+/// Entries are never deleted and versions never decrease; a removal is stored as a value that marks it (a tombstone).
 #[derive(Clone, Default)]
 pub struct EntryStore {
     entries: BTreeMap<u64, Entry>,
@@ -103,7 +104,7 @@
         self.entries.values()
     }
 
-    /// The hash over all keys and versions: equal for stores with the same content.
+    /// The hash over all keys and versions, which is equal for stores with the same content.
     pub fn root_hash(&self) -> u64 {
         self.hash_tree.root()
     }
@@ -118,7 +119,8 @@
         self.value_bytes
     }
 
-    /// Inserts an entry if its version is higher than that held for its key; returns whether it was.
+    /// Inserts an entry if its version is higher than the version held for its key. Returns whether the entry was
+    /// inserted.
     ///
     /// # Errors
     /// The entry is invalid, or the store is full.
@@ -159,8 +161,8 @@
         self.hash_tree.branches()
     }
 
-    /// The hashes of a branch's leaves, shortened to 32 bits under a salt: two leaves that differ collide once in
-    /// 2^32 times, and then not under the next salt.
+    /// The hashes of a branch's leaves, shortened to 32 bits with a salt. Two different leaves collide with a
+    /// probability of 2^-32, and a collision does not repeat with the next salt.
     pub fn leaf_hashes(&self, branch: usize, salt: u32) -> Vec<u32> {
         self.hash_tree.leaves(branch, salt)
     }
