--- a/crates/distribution/src/channel.rs
+++ b/crates/distribution/src/channel.rs
@@ -1,5 +1,5 @@
-//! What sources and followers share: the handshake with peers, authenticated sessions, counters and the queue of
-//! outputs.
+//! The state that sources and followers have in common: the handshake with peers, authenticated sessions, counters and
+//! the queue of outputs.
 
 use crate::{Event, MAX_NAME, Millis, Output};
 use spanspur_membership::authentication::{DatagramError, DatagramKind, OpenedDatagram};
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Authenticated datagrams to and from peers, with what is counted and what is to be sent.
+/// Exchanges authenticated datagrams with peers. Collects counters and queues outputs.
 pub(crate) struct Channel {
     identity: Identity,
     sessions: Sessions,
@@ -29,12 +29,10 @@
         }
     }
 
-    /// This instance's name.
     pub(crate) fn name(&self) -> &str {
         &self.identity.name
     }
 
-    /// This instance's incarnation.
     pub(crate) fn incarnation(&self) -> u64 {
         self.identity.incarnation
     }
@@ -50,23 +48,23 @@
     }
 
     /// Drops the session with a peer.
-    pub(crate) fn forget(&mut self, peer: u64) {
+    pub(crate) fn drop_session(&mut self, peer: u64) {
         self.sessions.forget(peer);
     }
 
-    /// Authenticates a datagram; a rejected one is counted by its reason.
+    /// Authenticates a datagram. A rejected one is counted by its reason.
     pub(crate) fn open<'a>(
         &mut self,
         bytes: &'a [u8],
     ) -> Result<OpenedDatagram<'a>, DatagramError> {
         let opened = self.sessions.open(bytes);
-        if let Err(refusal) = &opened {
-            self.count(refusal.counter_name());
+        if let Err(error) = &opened {
+            self.count(error.counter_name());
         }
         opened
     }
 
-    /// The identity in a handshake; an invalid one is counted by its reason.
+    /// The identity in a handshake. An invalid one is counted by its reason.
     pub(crate) fn peer_identity(&mut self, opened: &OpenedDatagram<'_>) -> Option<Identity> {
         match handshake::verify_identity(opened, &self.identity.name) {
             Ok(identity) if identity.name.len() <= MAX_NAME => Some(identity),
@@ -81,7 +79,7 @@
         }
     }
 
-    /// Starts a handshake with an address, unless one was started a moment ago.
+    /// Starts a handshake with an address, unless one was started recently.
     pub(crate) fn start_handshake(&mut self, now: Millis, to: SocketAddr) {
         let greeting = self
             .handshakes
@@ -91,7 +89,7 @@
         }
     }
 
-    /// Answers a handshake of a peer's incarnation, within the rate limit.
+    /// Answers a handshake from a peer's incarnation, within the rate limit.
     pub(crate) fn answer_handshake(&mut self, now: Millis, to: SocketAddr, incarnation: u64) {
         let answer = self
             .handshakes
@@ -102,7 +100,7 @@
         }
     }
 
-    /// Authenticates and sends a message; `false` if there is no session with the peer.
+    /// Authenticates and sends a message. Returns `false` if there is no session with the peer.
     pub(crate) fn send(&mut self, peer: u64, to: SocketAddr, body: &[u8]) -> bool {
         let Some(bytes) = self.sessions.seal(peer, DatagramKind::Data, body) else {
             return false;
@@ -127,17 +125,14 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// Increments a counter.
     pub(crate) fn count(&mut self, counter: &'static str) {
         self.add(counter, 1);
     }
 
-    /// Adds to a counter.
     pub(crate) fn add(&mut self, counter: &'static str, amount: u64) {
         *self.counters.entry(counter).or_default() += amount;
     }
 
-    /// All counters.
     pub(crate) fn counters(&self) -> BTreeMap<&'static str, u64> {
         self.counters.clone()
     }
--- a/crates/distribution/src/follower/mod.rs
+++ b/crates/distribution/src/follower/mod.rs
@@ -1,21 +1,21 @@
-//! A balancer's side: it polls two sources for changes and keeps only what is newer than it has.
+//! A balancer's side: polls two sources for changes, and applies only entries that are newer than those held.
 //!
-//! All that it relies on of a source belongs to that source's incarnation: the cursor, and a resynchronization. It
-//! resynchronizes with one source at a time, whatever the others respond meanwhile, so that nothing is transferred
-//! twice. A source that does not respond is replaced by the next of the ranking and retried periodically. While
-//! disconnected from all of them, the follower keeps what it has, and its age grows.
+//! A cursor and a resynchronization are valid only for one incarnation of a source. A follower resynchronizes with one
+//! source at a time, whatever the other sources respond meanwhile, so that nothing is transferred twice. A source that
+//! does not respond is replaced by the next source in order of preference, and retried periodically. While all sources
+//! are disconnected, the follower keeps its entries, and the age of its data grows.
 //!
 //! | module | contents |
 //! | --- | --- |
 //! | `config` | the follower's configuration |
-//! | `source_state` | what is known of one source: cursor, pending request, synchronization time |
-//! | `assignment` | which sources are polled, failover |
-//! | `polling` | when requests are sent, retried and given up |
-//! | `responses` | what a response changes |
+//! | `source_state` | the state of one source: cursor, pending request, synchronization time |
+//! | `assignment` | assignment of the sources to poll, failover |
+//! | `polling` | sending of requests, timeouts and retries |
+//! | `responses` | handling of responses |
 //! | `resync` | anti-entropy, as a state machine without I/O |
-//! | `versions_held` | the versions that its requests list |
-//! | `resync_driver` | when it starts, and what follows from its responses |
-//! | `status` | what an operator is shown |
+//! | `versions_held` | the versions listed in its requests |
+//! | `resync_driver` | its start, requests and responses |
+//! | `status` | the status for operators |
 
 mod assignment;
 mod config;
@@ -46,7 +46,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Handshakes answered in a second.
+/// The maximum number of handshakes answered per second.
 const HANDSHAKES_PER_SECOND: u32 = 256;
 
 /// A balancer's side of the replication. See the module's documentation.
@@ -58,7 +58,8 @@
     /// The sources in order of preference.
     preference: Vec<SourceIndex>,
     assignment: Assignment,
-    /// The primary source is polled at this time and every interval after it, the secondary half an interval later.
+    /// When the primary source is first polled. It is polled again at every interval after that, and the secondary
+    /// half an interval later.
     first_poll: Millis,
     channel: Channel,
     store: EntryStore,
@@ -106,12 +107,12 @@
         follower
     }
 
-    /// Handles a datagram; an invalid one is counted and dropped.
+    /// Handles a datagram. An invalid one is counted and dropped.
     pub fn receive(&mut self, now: Millis, from: SocketAddr, bytes: &[u8]) {
         let opened = match self.channel.open(bytes) {
             Ok(opened) => opened,
-            Err(refusal) => {
-                if refusal == DatagramError::OtherIncarnation && self.is_source_address(from) {
+            Err(error) => {
+                if error == DatagramError::OtherIncarnation && self.is_source_address(from) {
                     self.channel.start_handshake(now, from);
                 }
                 return;
@@ -119,7 +120,7 @@
         };
         let known = self.sources.iter().position(|s| s.id == opened.sender);
         let Some(source) = known else {
-            self.channel.forget(opened.sender);
+            self.channel.drop_session(opened.sender);
             return self.channel.count("stranger");
         };
         match opened.kind {
@@ -143,7 +144,7 @@
             self.channel
                 .answer_handshake(now, address, opened.incarnation);
         }
-        // The source's first or a new incarnation: what was pending is requested again at once.
+        // This is the source's first incarnation or a new one. Whatever was pending is requested again at once.
         if opened.is_new_incarnation {
             self.states[source].pending_request = None;
             self.mark_responsive(now, source);
@@ -165,7 +166,7 @@
         }
     }
 
-    /// When [`Follower::wake`] is due at the latest.
+    /// The time at which [`Follower::wake`] has to be called at the latest.
     pub fn next_wake(&self) -> Millis {
         let states = self.states.iter().enumerate();
         let due = states.filter_map(|(source, state)| self.next_action_at(source, state));
@@ -179,7 +180,7 @@
         }
     }
 
-    /// Takes what the driver has to carry out, in order.
+    /// Takes the queued outputs for the driver, in order.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         self.channel.take_outputs()
     }
@@ -189,20 +190,20 @@
         &self.store
     }
 
-    /// The age of the data, in milliseconds: everything written longer ago is here. `None` until a source that has
-    /// heard from a writer has sent all that it had.
+    /// The age of the data, in milliseconds: the follower holds everything that was written longer ago. `None` until a
+    /// source that has heard from a writer has sent everything that it had.
     pub fn data_age(&self, now: Millis) -> Option<Millis> {
         let states = self.states.iter();
         let newest = states.filter_map(|state| state.synced_as_of).max()?;
         Some(elapsed_since(newest, now))
     }
 
-    /// Whether it has held, at least once, all that a source had that had heard from a writer.
+    /// Whether the follower has held, at least once, everything of a source that had heard from a writer.
     pub fn is_synchronized(&self) -> bool {
         self.synchronized
     }
 
-    /// What was dropped, rejected and spent, by name.
+    /// The counters of dropped and rejected messages, requests and sent data, by name.
     pub fn counters(&self) -> BTreeMap<&'static str, u64> {
         self.channel.counters()
     }
--- a/crates/distribution/src/rate_limiter.rs
+++ b/crates/distribution/src/rate_limiter.rs
@@ -1,33 +1,34 @@
 //! A rate limiter with reservations: the generic cell rate algorithm (ITU-T I.371).
 //!
-//! One timestamp, the theoretical arrival time, says up to when the rate is allocated. A request that can't be
-//! granted now reserves the next slot of that schedule: requests are served in order of arrival without a queue,
-//! since a reservation is a time, and each follower holds at most one.
+//! A single timestamp, the theoretical arrival time, records until when the rate is allocated. A request that can't be
+//! granted now reserves the next slot in this schedule. A reservation is only a time, and each follower has at most
+//! one, so requests are served in order of arrival without a queue.
 
 use crate::Millis;
 
-/// A reservation is honoured from this long before its time until this long after it, for the jitter of a few round
-/// trips.
+/// How much earlier or later than its time a reservation may be used, in milliseconds. This covers the jitter of a few
+/// round trips.
 pub const RESERVATION_TOLERANCE: Millis = 200;
 
 const NANOS_PER_MILLI: u64 = 1_000_000;
 const NANOS_PER_SECOND: u64 = 1_000_000_000;
 
-/// Limits the datagrams that a source sends. In any span of T milliseconds it lets through at most
-/// `rate * (T + 2 * RESERVATION_TOLERANCE) / 1000 + burst` of them and those of one reservation, since reservations
-/// may be used early or late, and all datagrams of one may go at once.
+/// Limits the datagrams that a source sends. In any span of T milliseconds, the limiter admits at most
+/// `rate * (T + 2 * RESERVATION_TOLERANCE) / 1000 + burst` datagrams, plus those of one reservation: reservations may
+/// be used early or late, and all datagrams of a reservation may be sent at once.
 #[derive(Clone, Debug)]
 pub struct RateLimiter {
-    /// Nanoseconds between two datagrams.
+    /// The time between two datagrams, in nanoseconds.
     interval: u64,
-    /// Unused allowance that may accumulate, in nanoseconds.
+    /// The unused allowance that may accumulate, in nanoseconds.
     burst: u64,
-    /// Up to when the rate is allocated, in nanoseconds counted from one `burst` before time 0.
+    /// The theoretical arrival time: until when the rate is allocated, in nanoseconds counted from one `burst` before
+    /// time 0.
     allocated_until: u64,
 }
 
 impl RateLimiter {
-    /// A limiter of `per_second` datagrams, with `burst` of them at once after a pause.
+    /// A limiter of `per_second` datagrams, which admits `burst` of them at once after a pause.
     pub fn new(now: Millis, per_second: u32, burst: u32) -> Self {
         let interval = NANOS_PER_SECOND / u64::from(per_second.max(1));
         let burst = interval * u64::from(burst.max(1));
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Acquires as many of `count` datagrams as may be sent now; returns how many.
+    /// Acquires as many of `count` datagrams as may be sent now, and returns their number.
     pub fn acquire(&mut self, now: Millis, count: u32) -> u32 {
         let clock = self.clock(now);
         self.allocated_until = self.allocated_until.max(clock - self.burst);
@@ -48,7 +49,7 @@
         granted as u32
     }
 
-    /// Reserves the next slot for `count` datagrams; returns its time.
+    /// Reserves the next slot for `count` datagrams, and returns its time.
     pub fn reserve(&mut self, now: Millis, count: u32) -> Millis {
         self.allocated_until = self.allocated_until.max(self.clock(now));
         let at = (self.allocated_until - self.burst).div_ceil(NANOS_PER_MILLI);
--- a/crates/distribution/src/source/followers.rs
+++ b/crates/distribution/src/source/followers.rs
@@ -1,15 +1,16 @@
-//! What a source keeps of its followers.
+//! The records that a source keeps of its followers.
 
 use super::{MAX_FOLLOWERS, Source};
 use crate::Millis;
 use spanspur_membership::authentication::OpenedDatagram;
 use std::collections::BTreeMap;
 
-/// A follower heard from within this time is reachable: five polls, so that loss alone does not make it unreachable.
+/// A follower is reachable for this long after it was last heard from. The time covers five polls, so that lost
+/// datagrams alone do not make a follower unreachable.
 pub const REACHABLE_FOR: Millis = 5000;
-/// A follower that was not heard from for this long is forgotten.
+/// A follower is removed this long after it was last heard from.
 pub const FORGET_AFTER: Millis = 24 * 3600 * 1000;
-/// The same where the table is nearly full.
+/// As [`FORGET_AFTER`], while more than seven eighths of the table of followers are in use.
 pub const FORGET_AFTER_WHEN_FULL: Millis = 60_000;
 
 /// A slot in the schedule of the rate limiter.
@@ -19,15 +20,15 @@
     pub(super) datagrams: u32,
 }
 
-/// What a source keeps of a follower.
+/// The record of a follower at a source.
 #[derive(Clone, Debug)]
 pub(super) struct FollowerState {
-    /// Its name; empty until a handshake has told it.
+    /// The follower's name; empty until a handshake has provided it.
     pub(super) name: String,
     pub(super) last_heard: Millis,
-    /// This source is the follower's primary one.
+    /// Whether this source is the follower's primary source.
     pub(super) is_primary: bool,
-    /// The last change of this incarnation that it has confirmed.
+    /// The sequence number of the last change of this source's incarnation that the follower has confirmed.
     pub(super) confirmed: u64,
     pub(super) reservation: Option<Reservation>,
 }
@@ -38,10 +39,10 @@
     }
 }
 
-/// What all reachable followers have confirmed whose primary source this is.
+/// The changes confirmed by all reachable followers whose primary source this is.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ConfirmedByAll {
-    /// The last change, `u64::MAX` if there are no such followers.
+    /// The sequence number of the last change, `u64::MAX` if there are no such followers.
     pub(super) sequence: u64,
     /// The number of these followers.
     pub(super) followers: usize,
@@ -79,7 +80,7 @@
         self.by_id.values().filter(|follower| follower.is_primary)
     }
 
-    /// Those of them that are reachable.
+    /// The reachable followers whose primary source this is.
     pub(super) fn reachable_primary(&self, now: Millis) -> impl Iterator<Item = &FollowerState> {
         self.primary()
             .filter(move |follower| follower.is_reachable(now))
@@ -97,7 +98,7 @@
             })
     }
 
-    /// The record of a follower that was just heard from; `None` if there is no space for a new one.
+    /// The record of a follower that was just heard from, created if necessary; `None` if there is no space for it.
     fn register(&mut self, now: Millis, id: u64) -> Option<&mut FollowerState> {
         if !self.by_id.contains_key(&id) && self.by_id.len() >= self.max {
             return None;
@@ -113,7 +114,7 @@
         Some(follower)
     }
 
-    /// Removes followers that were not heard from for long; returns their ids.
+    /// Removes followers that were not heard from for too long, and returns their ids.
     pub(super) fn remove_expired(&mut self, now: Millis) -> Vec<u64> {
         let is_nearly_full = self.by_id.len() > self.max / 8 * 7;
         let forget_after = match is_nearly_full {
@@ -129,18 +130,19 @@
 }
 
 impl Source {
-    /// The record of the sender of an authenticated datagram; `None`, and the session dropped, if the table is full.
+    /// The record of the sender of an authenticated datagram. If the table is full, the sender's session is dropped
+    /// and `None` is returned.
     pub(super) fn register_follower(
         &mut self,
         now: Millis,
         opened: &OpenedDatagram<'_>,
     ) -> Option<&mut FollowerState> {
         let Some(follower) = self.followers.register(now, opened.sender) else {
-            self.channel.forget(opened.sender);
+            self.channel.drop_session(opened.sender);
             self.channel.count("followers-full");
             return None;
         };
-        // In a new incarnation it may hold nothing.
+        // A new incarnation of the follower may hold nothing.
         if opened.is_new_incarnation {
             follower.confirmed = 0;
         }
--- a/crates/distribution/src/source/mod.rs
+++ b/crates/distribution/src/source/mod.rs
@@ -1,20 +1,20 @@
-//! A control instance's side: it responds to polls within a rate limit, and knows which changes have reached all its
+//! A control instance's side: responds to polls within a rate limit, and tracks which changes have reached all
 //! followers.
 //!
-//! Of each follower it keeps one small record and sends nothing unrequested but handshakes, so a follower that never
-//! comes back costs that record, for a day at most. It sends one small datagram in response to a poll that has
-//! nothing new, and otherwise datagrams of at most [`MAX_DATAGRAM`](spanspur_membership::authentication::MAX_DATAGRAM) bytes
-//! within the limit of its [`RateLimiter`].
+//! A source keeps one small record of each follower, and sends nothing unrequested but handshakes. A follower that
+//! never returns therefore costs no more than its record, for at most a day. A poll without new data is answered with
+//! one small datagram. Other responses consist of datagrams of at most
+//! [`MAX_DATAGRAM`](spanspur_membership::authentication::MAX_DATAGRAM) bytes, within the limit of the [`RateLimiter`].
 //!
 //! | module | contents |
 //! | --- | --- |
 //! | `config` | the source's configuration and limits |
 //! | `followers` | the record of each follower |
-//! | `requests` | what a poll is answered |
-//! | `catch_up` | changes, hashes and entries, packed into datagrams |
-//! | `budget` | the rate limit on responses, reservations |
-//! | `propagation` | which changes have reached all followers |
-//! | `status` | what an operator is shown |
+//! | `requests` | handling of requests |
+//! | `catch_up` | packing of changes, hashes and entries into datagrams |
+//! | `budget` | the limits on requests and responses, reservations |
+//! | `propagation` | tracking of changes until they have reached all followers |
+//! | `status` | the status for operators |
 
 mod budget;
 mod catch_up;
@@ -74,7 +74,8 @@
         }
     }
 
-    /// Takes entries from the cluster's gossip store; those that are not newer change nothing.
+    /// Applies entries from the cluster's gossip store. Entries that are not newer change nothing; invalid ones are
+    /// counted.
     pub fn publish(&mut self, now: Millis, entries: &[Entry]) {
         for entry in entries {
             match self.store.insert_if_newer(entry) {
@@ -88,18 +89,19 @@
         }
     }
 
-    /// The writer was heard from: all that exists is held here, as of now.
+    /// Records that a writer was heard from: this source holds all data as of `now`.
     pub fn confirm_complete(&mut self, now: Millis) {
         self.confirmed_at = Some(now);
     }
 
-    /// Handles a datagram; an invalid one is counted and dropped.
+    /// Handles a datagram. An invalid one is counted and dropped.
     pub fn receive(&mut self, now: Millis, from: SocketAddr, bytes: &[u8]) {
         let opened = match self.channel.open(bytes) {
             Ok(opened) => opened,
-            Err(refusal) => {
-                // Sealed by a member for an earlier incarnation of ours: it learns of the new one.
-                if refusal == DatagramError::OtherIncarnation {
+            Err(error) => {
+                // A member sealed the datagram for an earlier incarnation of this source. The handshake tells that
+                // member the current incarnation.
+                if error == DatagramError::OtherIncarnation {
                     self.channel.start_handshake(now, from);
                 }
                 return;
@@ -117,7 +119,7 @@
         let Some(identity) = self.channel.peer_identity(opened) else {
             return;
         };
-        // A greeting can be a replay, so nothing is kept of it.
+        // A greeting may be a replay, so no state is kept for it.
         if opened.kind == DatagramKind::Answer
             && let Some(follower) = self.register_follower(now, opened)
         {
@@ -128,12 +130,12 @@
         }
     }
 
-    /// When [`Source::wake`] is due at the latest.
+    /// The time at which [`Source::wake`] has to be called at the latest.
     pub fn next_wake(&self) -> Millis {
         self.next_tracking
     }
 
-    /// Updates which changes have reached all followers, and forgets followers that are long gone.
+    /// Updates which changes have reached all followers, and removes followers that have expired.
     pub fn wake(&mut self, now: Millis) {
         if now < self.next_tracking {
             return;
@@ -143,21 +145,21 @@
         let confirmed = self.followers.confirmed_by_all(now);
         self.tracker.update(now, confirmed, is_settled);
         for follower in self.followers.remove_expired(now) {
-            self.channel.forget(follower);
+            self.channel.drop_session(follower);
         }
     }
 
-    /// Takes what the driver has to carry out, in order.
+    /// Takes the queued outputs for the driver, in order.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         self.channel.take_outputs()
     }
 
-    /// The entries.
+    /// The replicated entries.
     pub fn store(&self) -> &EntryStore {
         &self.store
     }
 
-    /// What was dropped, rejected and spent, by name.
+    /// The counters of dropped and rejected messages, requests and sent data, by name.
     pub fn counters(&self) -> BTreeMap<&'static str, u64> {
         self.channel.counters()
     }
@@ -167,7 +169,7 @@
         self.channel.rekey(keys);
     }
 
-    /// Whether followers that found this source disconnected have had the time to come back.
+    /// Whether followers that considered this source disconnected have had the time to reconnect.
     fn is_settled(&self, now: Millis) -> bool {
         now >= self.started_at + SETTLE_TIME
     }
--- a/crates/distribution/src/source_selection.rs
+++ b/crates/distribution/src/source_selection.rs
@@ -1,5 +1,6 @@
-//! Which sources a follower polls: those of its own zone before those of its region before all others, in each group
-//! by rendezvous score, so that followers are spread evenly and few of them move when the list changes.
+//! Selection of the sources that a follower polls. Sources in the follower's zone rank first, then those in its
+//! region, then all others. Within each group they rank by rendezvous score, which spreads followers evenly and moves
+//! few of them when the list of sources changes.
 
 use crate::{Location, SourceEndpoint};
 use std::cmp::Ordering;
@@ -7,24 +8,24 @@
 /// An index into a follower's list of sources.
 pub(crate) type SourceIndex = usize;
 
-/// A configured source and the id under which it seals its datagrams.
+/// A configured source and the id with which it seals its datagrams.
 #[derive(Clone, Debug)]
 pub(crate) struct KnownSource {
     pub(crate) id: u64,
     pub(crate) endpoint: SourceEndpoint,
 }
 
-/// The part that a source plays for a follower.
+/// The role of a source for a follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Role {
-    /// The source whose status counts this follower.
+    /// The source that tracks this follower in its status.
     Primary,
-    /// The other source that is polled.
+    /// The second source that is polled.
     Secondary,
 }
 
 impl Role {
-    /// The number of the role in a status; 0 means none.
+    /// The number of the role in a status, where 0 means none.
     pub(crate) fn number(self) -> u8 {
         match self {
             Self::Primary => 1,
@@ -33,7 +34,7 @@
     }
 }
 
-/// The sources that are polled.
+/// The sources that a follower polls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Assignment {
     pub(crate) primary: Option<SourceIndex>,
@@ -93,8 +94,8 @@
     }
 }
 
-/// The first two available sources in order of preference, the secondary from another zone than the primary if there
-/// is one.
+/// Assigns the first two available sources in order of preference. The secondary is in another zone than the primary
+/// if such a source is available.
 pub(crate) fn assign_roles(
     order: &[SourceIndex],
     sources: &[KnownSource],
