--- a/crates/distribution/src/source/budget.rs
+++ b/crates/distribution/src/source/budget.rs
@@ -10,7 +10,7 @@
 
 const MILLIS_PER_SECOND: Millis = 1000;
 
-/// Counts requests in windows of a second.
+/// Limits requests per second, counted in fixed windows of one second.
 #[derive(Clone, Debug)]
 pub(super) struct RequestLimit {
     per_second: u32,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Counts a request; whether it is within the limit.
+    /// Counts a request, and returns whether it is within the limit.
     pub(super) fn admit(&mut self, now: Millis) -> bool {
         if now >= self.window_start + MILLIS_PER_SECOND {
             self.window_start = now;
@@ -38,17 +38,17 @@
     }
 }
 
-/// What the rate limit allows of a response.
+/// The part of a response that the rate limit allows.
 enum Grant {
-    /// So many datagrams may be sent now.
+    /// This many datagrams may be sent now.
     Datagrams(u32),
-    /// The request is to be repeated after so many milliseconds.
+    /// The request has to be repeated after this many milliseconds.
     RetryAfter(u32),
 }
 
 impl Source {
-    /// Sends as many datagrams of a response as the rate limit allows, or says when to repeat the request.
-    pub(super) fn respond_within_budget(
+    /// Sends as many datagrams of a response as the rate limit allows, or a Retry-After response if it allows none.
+    pub(super) fn respond_within_rate_limit(
         &mut self,
         now: Millis,
         requester: Requester,
@@ -62,7 +62,8 @@
         }
     }
 
-    /// Uses the follower's reservation, or the rate limit's allowance, or else reserves a slot.
+    /// Uses the follower's reservation if there is one, else acquires datagrams from the rate limiter, else reserves a
+    /// slot.
     fn acquire(&mut self, now: Millis, follower: u64, datagrams: u32) -> Grant {
         let reservation = self.reservation(follower);
         if let Some(reservation) = reservation
@@ -85,7 +86,7 @@
         Grant::RetryAfter((at - now).min(u64::from(u32::MAX)) as u32)
     }
 
-    /// The datagrams that a reservation which is due grants; none if it is missed.
+    /// The number of datagrams that a due reservation grants, 0 if the reservation was missed.
     fn redeem(&mut self, now: Millis, reservation: Reservation, datagrams: u32) -> u32 {
         if now > reservation.at + RESERVATION_TOLERANCE {
             self.channel.count("slots-missed");
--- a/crates/distribution/src/source/catch_up.rs
+++ b/crates/distribution/src/source/catch_up.rs
@@ -1,4 +1,4 @@
-//! Changes, hashes and entries, packed into as many datagrams as a request accepts.
+//! Packing of changes, hashes and entries into the datagrams of a response.
 
 use crate::Entry;
 use crate::messages::{
@@ -7,19 +7,19 @@
 use crate::store::{BRANCHES, ChangeLog, EntryStore, leaf_of, leaf_range};
 use std::collections::BTreeMap;
 
-/// The most bytes of rows in a datagram.
+/// The maximum size of the rows in a datagram, in bytes.
 const MAX_ROWS_SIZE: usize = MAX_MESSAGE - MAX_HEADER;
 
-/// A datagram of a response: what it says, and its rows.
+/// A datagram of a response: its body and its rows.
 pub(super) struct Chunk {
     pub(super) body: ResponseBody,
     pub(super) rows: Vec<u8>,
 }
 
-/// Entries in one datagram.
+/// The entries in one datagram.
 struct PackedEntries {
     from: u64,
-    /// Where the next datagram continues; `None` if there are no further entries.
+    /// The start of the next datagram; `None` if there are no further entries.
     next: Option<u64>,
     rows: Vec<u8>,
 }
@@ -57,7 +57,7 @@
     }]
 }
 
-/// The hashes of the leaves of some branches, one bit for each.
+/// The hashes of the leaves of some branches. `branches` has one bit for each branch.
 pub(super) fn leaf_hashes(
     store: &EntryStore,
     branches: u64,
@@ -87,7 +87,7 @@
     entry_chunks(store.range(from..), from, window)
 }
 
-/// The entries of some leaves that are newer than those listed, from a position on.
+/// The entries of some leaves that are newer than the versions listed, from a position on.
 pub(super) fn newer_entries(
     store: &EntryStore,
     from: u64,
@@ -116,7 +116,7 @@
     })
 }
 
-/// Entries in the order of their positions.
+/// Packs entries in the order of their positions.
 fn entry_chunks<'a>(
     entries: impl Iterator<Item = (u64, &'a Entry)>,
     from: u64,
@@ -135,8 +135,9 @@
     packed.into_iter().map(chunk).collect()
 }
 
-/// Packs entries, each with its place in an order, into at most `window` datagrams. `boundary` gives the end of a
-/// datagram's range from the places of the last entry in it and the first after it.
+/// Packs entries, each with its sort key (a sequence number or a position), into at most `window` datagrams.
+/// `boundary` computes the end of a datagram's range from the sort keys of the last entry in the datagram and of the
+/// first entry after it.
 fn pack_entries<'a>(
     entries: impl Iterator<Item = (u64, &'a Entry)>,
     from: u64,
@@ -147,9 +148,9 @@
     let mut from = from;
     let mut last_packed = from;
     let mut rows: Vec<u8> = Vec::new();
-    for (place, entry) in entries {
+    for (sort_key, entry) in entries {
         if !rows.is_empty() && rows.len() + messages::entry_row_size(entry) > MAX_ROWS_SIZE {
-            let end = boundary(last_packed, place);
+            let end = boundary(last_packed, sort_key);
             packed.push(PackedEntries {
                 from,
                 next: Some(end),
@@ -161,7 +162,7 @@
             }
         }
         messages::append_entry(&mut rows, entry);
-        last_packed = place;
+        last_packed = sort_key;
     }
     packed.push(PackedEntries {
         from,
--- a/crates/distribution/src/source/config.rs
+++ b/crates/distribution/src/source/config.rs
@@ -3,30 +3,31 @@
 use spanspur_membership::authentication::MAX_SENDERS;
 use spanspur_membership::{Identity, Keys};
 
-/// The most followers of a source, as many as sessions are kept for.
+/// The maximum number of followers of a source, which is the number of sessions that are kept.
 pub const MAX_FOLLOWERS: usize = MAX_SENDERS;
 
 /// The limits of a source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Datagrams with rows sent in a second, of at most 1,400 bytes each.
+    /// The maximum number of datagrams with rows sent per second, of at most 1,400 bytes each.
     pub datagrams_per_second: u32,
-    /// Datagrams with rows that may be sent at once after a pause.
+    /// The maximum number of datagrams with rows sent at once after a pause.
     pub burst: u32,
-    /// Requests handled in a second; further ones are dropped, and repeated by their followers.
+    /// The maximum number of requests handled per second. Further requests are dropped, and repeated by their
+    /// followers.
     pub requests_per_second: u32,
-    /// Handshakes answered in a second.
+    /// The maximum number of handshakes answered per second.
     pub handshakes_per_second: u32,
-    /// The most followers, up to [`MAX_FOLLOWERS`].
+    /// The maximum number of followers, up to [`MAX_FOLLOWERS`].
     pub max_followers: usize,
-    /// Changes retained for followers' cursors.
+    /// The number of changes retained for followers' cursors.
     pub change_log_capacity: usize,
 }
 
 impl Default for Limits {
-    /// 4,000 datagrams a second are 45 Mbit/s. If all other sources have failed, 2,100 followers poll this one 2,100
-    /// times a second, and twice as often during a resynchronization. 8,192 changes cover more than a day at 5,700
-    /// changes a day.
+    /// 4,000 datagrams per second are 45 Mbit/s. If all other sources have failed, 2,100 followers poll this one 2,100
+    /// times per second, and twice as often during a resynchronization. 8,192 changes cover more than a day at 5,700
+    /// changes per day.
     fn default() -> Self {
         Self {
             datagrams_per_second: 4000,
@@ -42,12 +43,12 @@
 /// The configuration of a source.
 #[derive(Clone, Debug)]
 pub struct SourceConfig {
-    /// Its name, address and incarnation.
+    /// The source's name, address and incarnation.
     pub identity: Identity,
     /// The cluster's keys.
     pub keys: Keys,
-    /// Its limits.
+    /// The source's limits.
     pub limits: Limits,
-    /// The seed of random numbers; none are drawn at present.
+    /// The seed of random numbers, which is not used at present.
     pub seed: u64,
 }
--- a/crates/distribution/src/source/propagation.rs
+++ b/crates/distribution/src/source/propagation.rs
@@ -1,4 +1,4 @@
-//! Which changes have reached all reachable followers whose primary source this is, and since when.
+//! Tracking of which changes have reached all reachable followers whose primary source this is, and when.
 
 use super::followers::ConfirmedByAll;
 use crate::{Entry, Millis};
@@ -6,19 +6,19 @@
 
 /// The interval at which the propagation of changes is evaluated.
 pub const TRACKING_INTERVAL: Millis = 250;
-/// A reachable follower that has not confirmed a change after this time lags.
+/// A reachable follower lags if it has not confirmed a change for this long.
 pub const LAG_THRESHOLD: Millis = 3000;
-/// The last changes that are tracked.
+/// The number of most recent changes that are tracked.
 pub const MAX_TRACKED_CHANGES: usize = 256;
-/// This long after its start a source has all the followers back that had found it disconnected: the longest time
-/// between two of their retries, and a second.
+/// How long after its start a source is settled: all followers that considered it disconnected have had the time to
+/// retry it. This is the longest interval between two retries of a follower, plus one second.
 pub const SETTLE_TIME: Millis = 8500;
 
-/// When a change had reached all reachable followers.
+/// The propagation of a change to all reachable followers.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Propagated {
     pub(super) at: Millis,
-    /// How many followers had to confirm it.
+    /// The number of followers that had to confirm the change.
     pub(super) followers: usize,
 }
 
@@ -39,7 +39,7 @@
 }
 
 impl ChangeTracker {
-    /// Tracks a change; the oldest one is dropped if there are too many.
+    /// Tracks a change. If there are too many, the oldest one is dropped.
     pub(super) fn record(&mut self, now: Millis, sequence: u64, entry: &Entry) {
         if self.changes.len() >= MAX_TRACKED_CHANGES {
             self.changes.pop_front();
@@ -53,7 +53,8 @@
         });
     }
 
-    /// Evaluates the propagation. Before the source is settled, a follower that comes back can revoke it.
+    /// Updates which changes are propagated. Until the source is settled, a follower that reconnects without a change
+    /// makes that change count as not propagated.
     pub(super) fn update(&mut self, now: Millis, confirmed: ConfirmedByAll, is_settled: bool) {
         for change in &mut self.changes {
             let is_confirmed = change.sequence <= confirmed.sequence;
@@ -73,7 +74,7 @@
         self.changes.iter().rev()
     }
 
-    /// How long a follower that has confirmed the changes up to this one lags, if it does.
+    /// How long a follower lags that has confirmed the changes up to a sequence number; `None` if it does not lag.
     pub(super) fn lag(&self, now: Millis, confirmed: u64) -> Option<Millis> {
         let mut changes = self.changes.iter();
         let missing = changes.find(|change| change.sequence > confirmed)?;
--- a/crates/distribution/src/source/requests.rs
+++ b/crates/distribution/src/source/requests.rs
@@ -1,4 +1,4 @@
-//! What a poll is answered.
+//! Handling of requests.
 
 use super::Source;
 use super::catch_up::{Chunk, branch_hashes, changes, entries_from, leaf_hashes, newer_entries};
@@ -7,23 +7,23 @@
 use spanspur_membership::authentication::OpenedDatagram;
 use std::net::SocketAddr;
 
-/// Where the response to a request goes.
+/// The follower to which a response is sent.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Requester {
     pub(super) id: u64,
     pub(super) address: SocketAddr,
-    /// The number of the request.
+    /// The number of the request to repeat in the response.
     pub(super) nonce: u32,
 }
 
-/// A response: with rows it counts against the rate limit.
+/// A response. Only responses with rows count against the rate limit.
 enum Reply {
     Short(ResponseBody),
     Rows(Vec<Chunk>),
 }
 
 impl Source {
-    /// Handles an authenticated request, unless there were too many in this second.
+    /// Handles an authenticated request, unless the limit of requests per second is reached.
     pub(super) fn receive_request(
         &mut self,
         now: Millis,
@@ -69,7 +69,7 @@
         match self.reply(request, leaves, same_content) {
             None => {}
             Some(Reply::Short(body)) => self.send_response(now, requester, body, &[]),
-            Some(Reply::Rows(chunks)) => self.respond_within_budget(now, requester, chunks),
+            Some(Reply::Rows(chunks)) => self.respond_within_rate_limit(now, requester, chunks),
         }
     }
 
@@ -77,7 +77,8 @@
         request.incarnation == self.channel.incarnation()
     }
 
-    /// A poll confirms the changes up to its cursor, or all of them if the contents are the same.
+    /// Records the changes that a poll confirms: those up to its cursor, or all changes if both sides hold the same
+    /// content.
     fn record_confirmation(&mut self, follower: u64, request: &PollRequest, same_content: bool) {
         let confirmed = match (same_content, self.is_current_incarnation(request)) {
             (true, _) => self.log.head(),
--- a/crates/distribution/src/source/status.rs
+++ b/crates/distribution/src/source/status.rs
@@ -1,4 +1,4 @@
-//! A source's status for operators. The JSON names are read by tools and stay.
+//! A source's status for operators. Tools read the JSON names, which therefore must not change.
 
 use super::Source;
 use super::followers::FollowerState;
@@ -6,24 +6,24 @@
 use crate::Millis;
 use serde::{Deserialize, Serialize};
 
-/// The most followers in a list of a status.
+/// The maximum number of followers in a list of a status.
 pub const MAX_LISTED_FOLLOWERS: usize = 64;
 
 /// A change in [`SourceStatus`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeStatus {
-    /// Its key.
+    /// The changed key.
     pub key: u64,
-    /// Its version.
+    /// The entry's new version.
     pub version: u64,
-    /// How long ago it arrived at this source, in milliseconds.
+    /// How long ago the change arrived at this source, in milliseconds.
     #[serde(rename = "ago")]
     pub age: Millis,
-    /// How long after its arrival every reachable follower whose primary source this is had confirmed it, in
+    /// How long after the change's arrival every reachable follower whose primary source this is had confirmed it, in
     /// milliseconds.
     #[serde(rename = "after")]
     pub propagated_after: Option<Millis>,
-    /// How many followers have to confirm it.
+    /// The number of followers that have to confirm the change.
     #[serde(rename = "of")]
     pub followers: usize,
 }
@@ -31,10 +31,10 @@
 /// A follower that lags or is disconnected, in [`SourceStatus`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FollowerDelay {
-    /// Its name; empty until it is known.
+    /// The follower's name; empty until it is known.
     pub name: String,
-    /// Milliseconds since the arrival of the oldest change that it has not confirmed, or since it was last heard
-    /// from.
+    /// The time since the arrival of the oldest change that the follower has not confirmed, or since the follower was
+    /// last heard from, in milliseconds.
     #[serde(rename = "since")]
     pub delay: Millis,
 }
@@ -42,12 +42,12 @@
 /// A source's status.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SourceStatus {
-    /// Its name.
+    /// The source's name.
     pub name: String,
-    /// Its incarnation.
+    /// The source's incarnation.
     #[serde(rename = "run")]
     pub incarnation: u64,
-    /// The sequence number of its last change.
+    /// The sequence number of the source's last change.
     pub head: u64,
     /// Cursors below this sequence number are too old.
     pub floor: u64,
@@ -59,31 +59,31 @@
     /// The hash over all keys and versions.
     #[serde(rename = "root")]
     pub root_hash: u64,
-    /// The age of its own data, in milliseconds.
+    /// The age of the source's own data, in milliseconds.
     #[serde(rename = "age")]
     pub data_age: Option<Millis>,
     /// The number of followers.
     pub followers: usize,
-    /// Of these, the reachable ones whose primary source it is.
+    /// The number of reachable followers whose primary source this is.
     #[serde(rename = "first")]
     pub primary_followers: usize,
-    /// Its followers have had the time to come back since its start; until then a change counts as propagated only
-    /// provisionally.
+    /// Whether followers have had the time to reconnect since the source's start. Until then, a change counts as
+    /// propagated only provisionally.
     pub settled: bool,
     /// The last changes, newest first.
     pub changes: Vec<ChangeStatus>,
     /// The number of reachable primary followers that lag.
     pub lagging: usize,
-    /// Those that lag most, up to [`MAX_LISTED_FOLLOWERS`].
+    /// The followers that lag most, up to [`MAX_LISTED_FOLLOWERS`].
     #[serde(rename = "laggards")]
     pub lagging_followers: Vec<FollowerDelay>,
-    /// The number of primary followers that can't be reached. They may follow another source.
+    /// The number of primary followers that are not reachable. They may have changed to another source.
     #[serde(rename = "dark")]
     pub disconnected: usize,
-    /// Those disconnected longest, up to [`MAX_LISTED_FOLLOWERS`].
+    /// The followers disconnected longest, up to [`MAX_LISTED_FOLLOWERS`].
     #[serde(rename = "darkened")]
     pub disconnected_followers: Vec<FollowerDelay>,
-    /// How far ahead its rate limit is allocated, in milliseconds.
+    /// How far ahead the source's rate limit is allocated, in milliseconds.
     #[serde(rename = "ahead")]
     pub backlog: Millis,
 }
@@ -149,7 +149,7 @@
     }
 }
 
-/// The first followers by descending delay.
+/// The followers with the longest delays, longest first.
 fn most_delayed(mut delays: Vec<FollowerDelay>) -> Vec<FollowerDelay> {
     delays.sort_by(|a, b| b.delay.cmp(&a.delay).then(a.name.cmp(&b.name)));
     delays.truncate(MAX_LISTED_FOLLOWERS);
