--- a/crates/distribution/src/follower/assignment.rs
+++ b/crates/distribution/src/follower/assignment.rs
@@ -1,4 +1,4 @@
-//! Which sources are polled: the two most preferred ones that are not disconnected.
+//! Assignment of the sources to poll: the two most preferred ones that are not disconnected.
 
 use super::Follower;
 use crate::messages::Query;
@@ -6,7 +6,7 @@
 use crate::{Event, Millis};
 
 impl Follower {
-    /// Assigns the two roles anew, says goodbye to sources that lost theirs, and polls new ones.
+    /// Reassigns the two roles, unsubscribes from sources that lost theirs, and schedules polls of new ones.
     pub(super) fn assign_sources(&mut self, now: Millis) {
         let is_available = |source: SourceIndex| !self.states[source].is_disconnected();
         let assignment =
@@ -31,7 +31,8 @@
     }
 
     fn schedule_new_sources(&mut self, now: Millis, previous: Assignment) {
-        // At its start a follower waits for its regular time, so that a fleet that starts at once is spread out.
+        // At its start, a follower waits for its regular poll time. This spreads the polls of followers that all start
+        // at once.
         let is_start = previous.is_empty() && !self.disconnected;
         for (role, source) in self.assignment.iter() {
             if previous.contains(source) {
@@ -52,7 +53,7 @@
         }
     }
 
-    /// A source has proved that it responds.
+    /// Records that a source responds.
     pub(super) fn mark_responsive(&mut self, now: Millis, source: SourceIndex) {
         let state = &mut self.states[source];
         state.missed_responses = 0;
@@ -63,7 +64,7 @@
         }
     }
 
-    /// A source does not respond: it is retried later, and another one takes its role.
+    /// Records that a source does not respond. It is retried later, and another source takes its role.
     pub(super) fn mark_disconnected(&mut self, now: Millis, source: SourceIndex) {
         let retry_at = self.random_retry_time(now);
         let state = &mut self.states[source];
@@ -80,7 +81,7 @@
         self.assign_sources(now);
     }
 
-    /// The next regular time to poll the source of a role.
+    /// The next regular time to poll the source with a role.
     pub(super) fn regular_poll_time(&self, now: Millis, role: Role) -> Millis {
         let interval = self.schedule.poll_interval.max(1);
         let offset = match role {
--- a/crates/distribution/src/follower/config.rs
+++ b/crates/distribution/src/follower/config.rs
@@ -3,23 +3,23 @@
 use crate::{Location, Millis, SourceEndpoint};
 use spanspur_membership::{Identity, Keys};
 
-/// The most sources that are used; further ones are ignored.
+/// The maximum number of sources; further ones are ignored.
 pub const MAX_SOURCES: usize = 64;
 
-/// When a follower polls.
+/// The schedule by which a follower polls, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PollSchedule {
     /// The interval at which each source is polled.
     pub poll_interval: Millis,
-    /// A request without a response after this time is repeated.
+    /// A request is repeated after this time without a response.
     pub response_timeout: Millis,
-    /// A disconnected source is retried after this time, and up to half of it more at random.
+    /// A disconnected source is retried after this time, plus a random delay of up to half of it.
     pub retry_interval: Millis,
 }
 
 impl Default for PollSchedule {
-    /// Two polls every 1,000 ms bring a change within half a second of its arrival at both sources; 500 ms exceed
-    /// the round trip between any two regions; 5,000 ms reconnect a source within 7,500 ms.
+    /// With two polls every 1,000 ms, a change arrives within half a second of its arrival at both sources. 500 ms
+    /// exceed the round trip between any two regions. With 5,000 ms, a source is reconnected within 7,500 ms.
     fn default() -> Self {
         Self {
             poll_interval: 1000,
@@ -32,18 +32,18 @@
 /// The configuration of a follower.
 #[derive(Clone, Debug)]
 pub struct FollowerConfig {
-    /// Its name, address and incarnation.
+    /// The follower's name, address and incarnation.
     pub identity: Identity,
-    /// Its location.
+    /// The follower's location.
     pub location: Location,
     /// The sources, up to [`MAX_SOURCES`].
     pub sources: Vec<SourceEndpoint>,
     /// The cluster's keys.
     pub keys: Keys,
-    /// The rendezvous score of a follower's id and a source's id; the highest is preferred.
+    /// The rendezvous score of a follower's id and a source's id. The source with the highest score is preferred.
     pub score: fn(u64, u64) -> f64,
-    /// When it polls.
+    /// The polling schedule.
     pub schedule: PollSchedule,
-    /// The seed of its random numbers.
+    /// The seed of the follower's random numbers.
     pub seed: u64,
 }
--- a/crates/distribution/src/follower/polling.rs
+++ b/crates/distribution/src/follower/polling.rs
@@ -1,4 +1,4 @@
-//! When requests are sent, repeated and given up.
+//! Sending of requests, their timeouts and retries.
 
 use super::Follower;
 use super::source_state::{PendingRequest, SourceState};
@@ -7,15 +7,15 @@
 use crate::source_selection::{Role, SourceIndex};
 use rand::RngExt;
 
-/// Requests in a row without a response after which a source counts as disconnected.
+/// The number of consecutive requests without a response after which a source is disconnected.
 pub const MAX_MISSED_RESPONSES: u32 = 3;
-/// The longest wait that a source may ask for.
+/// The longest Retry-After delay that is accepted from a source, in milliseconds.
 pub const MAX_RETRY_AFTER: Millis = 60_000;
-/// The highest factor on the response timeout, which late responses double.
+/// The highest factor on the response timeout. Late responses double the factor.
 pub const MAX_TIMEOUT_FACTOR: Millis = 8;
 
 impl Follower {
-    /// When something is due at a source: a timeout, a retry or a poll.
+    /// When the next action for a source is due: a timeout, a retry or a poll.
     pub(super) fn next_action_at(
         &self,
         source: SourceIndex,
@@ -31,13 +31,13 @@
         is_polled.then_some(state.next_poll)
     }
 
-    /// Handles a request's timeout, and polls a source if that is due.
+    /// Handles a request's timeout, and polls a source if a poll is due.
     pub(super) fn advance_polling(&mut self, now: Millis, source: SourceIndex) {
         let pending = self.states[source].pending_request;
         if pending.is_some_and(|request| now >= request.deadline) {
             self.handle_timeout(now, source);
         }
-        // The timeout may have reassigned the sources, and so have sent a request.
+        // The timeout may have reassigned the sources, and thereby have sent a request.
         let state = &self.states[source];
         if state.pending_request.is_some() {
             return;
@@ -68,11 +68,11 @@
         now + interval + self.rng.random_range(0..=interval / 2)
     }
 
-    /// Sends a source the request that is next for it, or starts a handshake with it.
+    /// Sends the next request to a source, or starts a handshake if there is no session.
     fn poll(&mut self, now: Millis, source: SourceIndex) {
         let deadline = now + self.response_timeout(source);
         let nonce = if self.channel.has_session(self.sources[source].id) {
-            // What arrived out of order is in the new response again.
+            // The new response repeats what arrived out of order.
             self.states[source].clear_out_of_order();
             let (query, leaves) = self.next_query(source);
             self.send_request(now, source, query, &leaves)
@@ -93,7 +93,7 @@
         self.schedule.response_timeout.max(1) * self.states[source].timeout_factor
     }
 
-    /// Sends a request; returns its number.
+    /// Sends a request, and returns its number.
     pub(super) fn send_request(
         &mut self,
         now: Millis,
@@ -122,7 +122,7 @@
         self.last_nonce
     }
 
-    /// The response is complete: the next poll has its regular time.
+    /// Ends a request whose response is complete. The next poll has its regular time.
     pub(super) fn finish_request(&mut self, now: Millis, source: SourceIndex) {
         let role = self.assignment.role_of(source);
         let next_poll = self.regular_poll_time(now, role.unwrap_or(Role::Primary));
@@ -131,7 +131,7 @@
         state.next_poll = next_poll;
     }
 
-    /// There is more to request: it is done at once.
+    /// Polls a source at once, because there is more to request.
     pub(super) fn poll_immediately(&mut self, now: Millis, source: SourceIndex) {
         let state = &mut self.states[source];
         state.pending_request = None;
@@ -139,19 +139,20 @@
         self.advance_polling(now, source);
     }
 
-    /// The source's rate limit is reached: the poll is repeated at the slot that it reserved.
+    /// Repeats the poll at the slot that the source has reserved, as its rate limit is reached.
     pub(super) fn retry_after(&mut self, now: Millis, source: SourceIndex, wait: Millis) {
         self.channel.count("later");
         let state = &mut self.states[source];
         let Some(request) = state.pending_request.take() else {
             return;
         };
-        // Counted from when the request was sent, so that the next one arrives at the slot whatever the latency is.
+        // The delay is counted from when the request was sent, so that the next request arrives at the slot whatever
+        // the latency is.
         let at = request.sent_at + wait.min(MAX_RETRY_AFTER);
         state.next_poll = at.max(now + 1);
     }
 
-    /// More datagrams of the same response are expected.
+    /// Extends the deadline, because more datagrams of the same response are expected.
     pub(super) fn extend_deadline(
         &mut self,
         now: Millis,
--- a/crates/distribution/src/follower/responses.rs
+++ b/crates/distribution/src/follower/responses.rs
@@ -1,4 +1,4 @@
-//! What a response changes.
+//! Handling of responses.
 
 use super::Follower;
 use super::polling::MAX_TIMEOUT_FACTOR;
@@ -7,22 +7,22 @@
 use crate::source_selection::SourceIndex;
 use crate::{Entry, Event, Millis, Output};
 
-/// A follower resynchronizes with a source whose cursor is at the head although the contents differ for this long.
+/// A follower resynchronizes with a source if its cursor is at the head but the contents differ for this long.
 pub const RESYNC_IF_DIVERGED_FOR: Millis = 600_000;
 
-/// What is known about a response besides its body.
+/// The data of a response besides its body.
 #[derive(Clone, Copy, Debug)]
 struct ResponseContext {
     source: SourceIndex,
     request: PendingRequest,
-    /// The source's incarnation and its last change.
+    /// The source's incarnation and the sequence number of its last change.
     head: Cursor,
-    /// The time on our clock up to which the response is complete.
+    /// The time on this follower's clock as of which the response is complete.
     as_of: Option<i64>,
 }
 
 impl Follower {
-    /// Applies a response of a source's incarnation.
+    /// Applies a response from an incarnation of a source.
     pub(super) fn handle_response(
         &mut self,
         now: Millis,
@@ -31,7 +31,7 @@
         response: &PollResponse,
         mut payload: Payload,
     ) {
-        // An entry is valid whatever was requested.
+        // Entries are versioned, so they are valid whatever was requested.
         if let Payload::Entries(entries) = &mut payload {
             for entry in std::mem::take(entries) {
                 self.apply_entry(entry);
@@ -97,7 +97,8 @@
         }
     }
 
-    /// A response to a request that was given up: the next ones get more time.
+    /// Handles a response to a request that is no longer pending. While a newer request is pending, the response
+    /// timeout is doubled, once for each late request.
     fn handle_late_response(&mut self, source: SourceIndex, nonce: u32) {
         let state = &mut self.states[source];
         if state.pending_request.is_some() && nonce != state.last_late_nonce {
@@ -115,7 +116,7 @@
         self.check_divergence(now, context, same_content);
     }
 
-    /// Moves the cursor, and then waits for the rest of the changes, requests more of them, or is done.
+    /// Advances the cursor. Then waits for the rest of the response, requests more changes, or finishes the request.
     fn handle_changes(
         &mut self,
         now: Millis,
@@ -141,7 +142,7 @@
         }
     }
 
-    /// All that a source had when it responded is held here.
+    /// Finishes the request, and records that everything the source had when it responded is held here.
     fn record_synchronized(&mut self, now: Millis, context: ResponseContext) {
         self.finish_request(now, context.source);
         let state = &mut self.states[context.source];
@@ -155,7 +156,8 @@
         }
     }
 
-    /// Verifies the cursors: resynchronizes with a source that has no changes for us and yet other content for long.
+    /// Checks the cursor: resynchronizes with a source that has had no changes to send but different content for too
+    /// long.
     fn check_divergence(&mut self, now: Millis, context: ResponseContext, same_content: bool) {
         let state = &mut self.states[context.source];
         if same_content {
@@ -170,8 +172,8 @@
     }
 }
 
-/// The time on our clock up to which a complete response has everything: the source's data can't be newer than when
-/// the request was sent.
+/// The time on this follower's clock as of which a complete response has everything. The source's data can't be newer
+/// than when the request was sent.
 fn synced_as_of(request: PendingRequest, data_age: Option<u64>) -> Option<i64> {
     let data_age = i64::try_from(data_age?).ok()?;
     Some((request.sent_at as i64).saturating_sub(data_age))
--- a/crates/distribution/src/follower/resync.rs
+++ b/crates/distribution/src/follower/resync.rs
@@ -1,7 +1,7 @@
 //! Anti-entropy with one source, as a state machine without I/O.
 //!
-//! An empty store transfers all entries. Otherwise the hashes of the tree's branches are compared, then the hashes of
-//! the leaves of branches that differ, and then the newer entries of leaves that differ are transferred.
+//! If the store is empty, all entries are transferred. Otherwise, the hashes of the tree's branches are compared, then
+//! the hashes of the leaves of branches that differ. Finally, the newer entries of leaves that differ are transferred.
 
 use super::source_state::{Cursor, MAX_OUT_OF_ORDER};
 use super::versions_held::versions_held;
@@ -11,17 +11,18 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// Complete responses in a row without progress after which a resynchronization is given up until the next poll.
+/// The number of consecutive complete responses without progress after which a resynchronization is abandoned until
+/// the next poll.
 const MAX_STALLED_RESPONSES: u32 = 4;
 
 /// A resynchronization with a source.
 #[derive(Clone, Debug)]
 pub(super) struct Resync {
     pub(super) source: SourceIndex,
-    /// The source's head at the start: the cursor once this is complete.
+    /// The source's head at the start, which becomes the cursor once the resynchronization is complete.
     pub(super) start: Cursor,
     phase: Phase,
-    /// Received ranges that do not yet join the position.
+    /// Received ranges that are not yet contiguous with the position.
     out_of_order: Vec<PositionRange>,
     stalled_responses: u32,
 }
@@ -32,7 +33,7 @@
     Branches,
     /// Compares the hashes of leaves.
     Leaves {
-        /// Branches that differ and whose leaves were not compared yet, one bit for each.
+        /// Branches that differ and whose leaves have not been compared yet, one bit for each.
         remaining_branches: u64,
         salt: u32,
         differing_leaves: Vec<u16>,
@@ -43,23 +44,23 @@
     DifferingLeaves {
         /// Leaves that are not complete yet, in ascending order.
         leaves: Vec<u16>,
-        /// The last of them in the current request.
+        /// The last leaf in the current request.
         last_requested_leaf: u16,
         position: u64,
     },
 }
 
-/// Positions from one on, up to before another; `None`: up to the end of what was requested.
+/// The positions from `from` up to but excluding `next`; `None`: up to the end of what was requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct PositionRange {
     from: u64,
     next: Option<u64>,
 }
 
-/// What a response has brought about.
+/// The progress made by a response.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Progress {
-    /// Both sides have been synchronized.
+    /// The resynchronization is complete.
     pub(super) is_finished: bool,
     /// No more datagrams of this response are expected.
     pub(super) is_response_complete: bool,
@@ -83,7 +84,7 @@
         }
     }
 
-    /// The name of the counter of resynchronizations that start like this.
+    /// The name of the counter of resynchronizations that start in this phase.
     pub(super) fn counter(&self) -> &'static str {
         match self.phase {
             Phase::Branches => "comparisons",
@@ -91,7 +92,7 @@
         }
     }
 
-    /// The next request. What arrived out of order is in its response again.
+    /// The next request. Its response repeats what arrived out of order.
     pub(super) fn next_query(&mut self, store: &EntryStore) -> (Query, Vec<LeafVersions>) {
         self.out_of_order.clear();
         let query = match &mut self.phase {
@@ -118,8 +119,8 @@
         (query, Vec::new())
     }
 
-    /// Applies a datagram of a response; `None` if it does not belong to this phase. `seen_last`: the last datagram
-    /// of the response has arrived, if not in order.
+    /// Applies a datagram of a response. Returns `None` if the datagram does not belong to the current phase.
+    /// `seen_last`: the last datagram of the response has arrived, possibly before others.
     pub(super) fn apply(
         &mut self,
         store: &EntryStore,
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Counts complete responses without progress; whether there were too many in a row.
+    /// Counts complete responses without progress, and returns whether there were too many in a row.
     pub(super) fn is_stalled(&mut self, progress: Progress) -> bool {
         if progress.is_response_complete {
             self.stalled_responses = match progress.has_advanced {
@@ -206,7 +207,7 @@
         let all_compared = *remaining_branches == 0;
         let progress = Progress {
             is_finished: all_compared && differing_leaves.is_empty(),
-            // If the last datagram overtook another, what is missing is requested again.
+            // If the last datagram arrived before another one, the missing hashes are requested again.
             is_response_complete: last || all_compared,
             has_advanced: *remaining_branches != remaining_before,
         };
@@ -222,7 +223,7 @@
         Some(progress)
     }
 
-    /// Takes a received range of entries, and moves the position over all that join it.
+    /// Records a received range of entries, and advances the position over all contiguous ranges.
     fn advance_position(&mut self, received: PositionRange, seen_last: bool) -> Option<Progress> {
         let (Phase::AllEntries { position } | Phase::DifferingLeaves { position, .. }) =
             &mut self.phase
@@ -251,8 +252,8 @@
         })
     }
 
-    /// Removes the leaves before the position, or all requested ones if the end of them is reached; whether nothing
-    /// remains to be transferred.
+    /// Removes the leaves before the position, or all requested leaves if the end of the response is reached. Returns
+    /// whether nothing remains to be transferred.
     fn complete_leaves(&mut self, reached: u64, reached_end: bool) -> bool {
         let Phase::DifferingLeaves {
             leaves,
--- a/crates/distribution/src/follower/resync_driver.rs
+++ b/crates/distribution/src/follower/resync_driver.rs
@@ -1,4 +1,4 @@
-//! When a resynchronization starts, what it requests, and what follows from its responses.
+//! Starting a resynchronization, and handling its requests and responses.
 
 use super::Follower;
 use super::resync::Resync;
@@ -8,7 +8,7 @@
 use crate::source_selection::SourceIndex;
 
 impl Follower {
-    /// Starts a resynchronization with a source that is polled, unless one is under way.
+    /// Starts a resynchronization with a source that is polled, unless another one is in progress.
     pub(super) fn start_resync(&mut self, now: Millis, source: SourceIndex, head: Cursor) {
         if self.resync.is_some() || !self.assignment.contains(source) {
             return;
@@ -24,7 +24,7 @@
         self.resync.take_if(|resync| resync.source == source);
     }
 
-    /// What is requested of a source next.
+    /// The next request to a source.
     pub(super) fn next_query(&mut self, source: SourceIndex) -> (Query, Vec<LeafVersions>) {
         let resync = self.resync.as_mut();
         match resync.filter(|resync| resync.source == source) {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Applies a response in a resynchronization.
+    /// Applies a response of a resynchronization.
     pub(super) fn handle_resync_response(
         &mut self,
         now: Millis,
@@ -46,7 +46,7 @@
         let Some(mut resync) = current else {
             return self.channel.count("stale-answer");
         };
-        // The source has restarted meanwhile: its hashes and positions do not belong to this resynchronization.
+        // The source has restarted: its hashes and positions do not belong to this resynchronization.
         if resync.start.incarnation != incarnation {
             self.channel.count("stale-answer");
             return self.poll_immediately(now, source);
@@ -69,7 +69,7 @@
         self.resync = Some(resync);
         match progress.is_response_complete {
             true => self.poll_immediately(now, source),
-            // The positions of a resynchronization do not depend on the sequence number.
+            // Any sequence number serves here: a resynchronization advances by positions instead.
             false => self.extend_deadline(now, source, seen_last.then_some(0)),
         }
     }
--- a/crates/distribution/src/follower/source_state.rs
+++ b/crates/distribution/src/follower/source_state.rs
@@ -1,34 +1,35 @@
-//! What a follower knows of one source.
+//! The state that a follower keeps of one source.
 
 use crate::Millis;
 use crate::messages::MAX_WINDOW;
 
-/// Ranges of one response that may be remembered when they arrive out of order: as many as it has datagrams.
+/// The maximum number of ranges of one response that are kept when they arrive out of order: the number of its
+/// datagrams.
 pub(super) const MAX_OUT_OF_ORDER: usize = MAX_WINDOW as usize;
 
-/// The last change of a source's incarnation that is held here. Incarnation 0 means none.
+/// The last change of a source's incarnation that the follower holds. Incarnation 0 means none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Cursor {
     pub(super) incarnation: u64,
     pub(super) sequence: u64,
 }
 
-/// The changes after one sequence number, up to another.
+/// The changes after one sequence number, up to and including another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct SequenceRange {
     pub(super) after: u64,
     pub(super) up_to: u64,
 }
 
-/// A request without a complete response.
+/// A request whose response is not complete yet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingRequest {
-    /// Its number, 0 for a handshake.
+    /// The request's number, 0 for a handshake.
     pub(super) nonce: u32,
     pub(super) sent_at: Millis,
     pub(super) deadline: Millis,
-    /// The last change of the response, once its last datagram has arrived: the response is complete when the cursor
-    /// is there.
+    /// The sequence number of the response's last change, known once its last datagram has arrived. The response is
+    /// complete when the cursor has reached this number.
     pub(super) last_sequence: Option<u64>,
 }
 
@@ -38,23 +39,23 @@
     pub(super) cursor: Cursor,
     pub(super) next_poll: Millis,
     pub(super) pending_request: Option<PendingRequest>,
-    /// The last request whose response came after its deadline.
+    /// The last request whose response arrived after its deadline.
     pub(super) last_late_nonce: u32,
     /// The factor on the response timeout, doubled by late responses.
     pub(super) timeout_factor: Millis,
     pub(super) missed_responses: u32,
-    /// The source is disconnected, and retried at this time.
+    /// When to retry the source; set only while the source is disconnected.
     pub(super) retry_at: Option<Millis>,
-    /// Everything written before this time on our clock is held here; negative before the start of the clock.
+    /// The follower holds everything written before this time on its clock; negative before the start of the clock.
     pub(super) synced_as_of: Option<i64>,
-    /// Received ranges of changes that do not yet join the cursor.
+    /// Received ranges of changes that are not yet contiguous with the cursor.
     out_of_order: Vec<SequenceRange>,
-    /// Since when the contents differ although the cursor is at the source's head.
+    /// Since when the contents have differed although the cursor is at the source's head.
     pub(super) diverged_since: Option<Millis>,
 }
 
 impl SourceState {
-    /// A source that was never polled.
+    /// The state of a source that was never polled.
     pub(super) fn new(first_poll: Millis) -> Self {
         Self {
             cursor: Cursor::default(),
@@ -80,7 +81,7 @@
             .filter(|request| request.nonce == nonce)
     }
 
-    /// Replaces the cursor; ranges received for the previous one are void.
+    /// Replaces the cursor. Ranges received for the previous cursor are dropped.
     pub(super) fn set_cursor(&mut self, cursor: Cursor) {
         self.cursor = cursor;
         self.clear_out_of_order();
@@ -90,7 +91,7 @@
         self.out_of_order.clear();
     }
 
-    /// Takes a received range of changes, and moves the cursor over all that join it.
+    /// Records a received range of changes, and advances the cursor over all contiguous ranges.
     pub(super) fn advance_cursor(&mut self, received: SequenceRange) {
         if self.out_of_order.len() < MAX_OUT_OF_ORDER {
             self.out_of_order.push(received);
@@ -106,7 +107,7 @@
         self.out_of_order.retain(|range| range.up_to > sequence);
     }
 
-    /// Everything written before this time is held here; the time never goes back.
+    /// Records that everything written before this time is held. The recorded time never decreases.
     pub(super) fn record_sync(&mut self, as_of: i64) {
         let latest = self.synced_as_of.map_or(as_of, |before| before.max(as_of));
         self.synced_as_of = Some(latest);
--- a/crates/distribution/src/follower/status.rs
+++ b/crates/distribution/src/follower/status.rs
@@ -1,4 +1,4 @@
-//! A follower's status for operators. The JSON names are read by tools and stay.
+//! A follower's status for operators. Tools read the JSON names, which therefore must not change.
 
 use super::{Follower, elapsed_since};
 use crate::Millis;
@@ -8,14 +8,14 @@
 /// A source in [`FollowerStatus`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FollowedSourceStatus {
-    /// Its name.
+    /// The source's name.
     pub name: String,
     /// 1 for the primary source, 2 for the secondary, 0 for the others.
     pub role: u8,
-    /// It does not respond.
+    /// Whether the source is disconnected.
     #[serde(rename = "silent")]
     pub disconnected: bool,
-    /// The age of the data received from it, in milliseconds.
+    /// The age of the data received from the source, in milliseconds.
     #[serde(rename = "age")]
     pub data_age: Option<Millis>,
 }
@@ -23,7 +23,7 @@
 /// A follower's status.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FollowerStatus {
-    /// Its name.
+    /// The follower's name.
     pub name: String,
     /// The number of entries, tombstones included.
     pub entries: usize,
@@ -36,13 +36,13 @@
     /// The age of the data, in milliseconds.
     #[serde(rename = "age")]
     pub data_age: Option<Millis>,
-    /// It has held all that a source had, at least once.
+    /// Whether the follower has held, at least once, everything of a source that had heard from a writer.
     #[serde(rename = "full")]
     pub synchronized: bool,
-    /// No source responds.
+    /// Whether all sources are disconnected.
     #[serde(rename = "dark")]
     pub disconnected: bool,
-    /// A resynchronization is under way.
+    /// Whether a resynchronization is in progress.
     #[serde(rename = "catching_up")]
     pub resyncing: bool,
     /// The sources, in order of preference.
--- a/crates/distribution/src/follower/versions_held.rs
+++ b/crates/distribution/src/follower/versions_held.rs
@@ -1,11 +1,11 @@
-//! Which versions a request for newer entries lists.
+//! The versions listed in a request for newer entries.
 
 use crate::messages::{
     ENTRY_VERSION_SIZE, EntryVersion, LeafVersions, MAX_HEADER, MAX_MESSAGE, leaf_versions_size,
 };
 use crate::store::{EntryStore, leaf_range};
 
-/// The versions held in as many of these leaves as a request has space for, from a position on.
+/// The versions held in as many of these leaves as a request has space for, starting at a position.
 pub(super) fn versions_held(store: &EntryStore, leaves: &[u16], from: u64) -> Vec<LeafVersions> {
     let mut requested = Vec::new();
     let mut size = MAX_HEADER;
@@ -22,8 +22,9 @@
 }
 
 fn leaf_versions(store: &EntryStore, leaf: u16, from: u64) -> LeafVersions {
-    // Of more than a request has space for, those not listed are sent although they are held.
-    let most = (MAX_MESSAGE - MAX_HEADER - leaf_versions_size(0)) / ENTRY_VERSION_SIZE;
+    // If a leaf has more entries than a request has space for, the source also sends those that are held but not
+    // listed.
+    let max_versions = (MAX_MESSAGE - MAX_HEADER - leaf_versions_size(0)) / ENTRY_VERSION_SIZE;
     let range = leaf_range(leaf as usize);
     let entries = store.range((*range.start()).max(from)..=*range.end());
     let versions = entries.map(|(_, entry)| EntryVersion {
@@ -32,6 +33,6 @@
     });
     LeafVersions {
         leaf,
-        versions: versions.take(most).collect(),
+        versions: versions.take(max_versions).collect(),
     }
 }
