--- a/crates/distribution/tests/invalid_datagrams.rs
+++ b/crates/distribution/tests/invalid_datagrams.rs
@@ -47,30 +47,30 @@
 
 /// One follower of one source, and the source's sessions as a malicious with the right key would have them.
 struct MaliciousSource {
-    net: Net,
+    sim: Simulation,
     sessions: Sessions,
 }
 
 impl MaliciousSource {
     fn new(seed: u64) -> Self {
-        let mut net = Net::new(seed, &[HERE]);
-        net.publish_all(&entries(0..100, 10));
-        net.follow(HERE);
-        net.run(3000);
+        let mut sim = Simulation::new(seed, &[LOCAL_ZONE]);
+        sim.publish_all(&entries(0..100, 10));
+        sim.add_follower(LOCAL_ZONE);
+        sim.run(3000);
         // Another run of the source, which the follower has met.
         let me = handshake::id_of("control-0");
         let mut sessions = Sessions::new(me, 300, keys());
-        let identity = identity("control-0", source_at(0), 300);
+        let identity = identity("control-0", source_address(0), 300);
         let body = postcard::to_stdvec(&identity).expect("encoded");
         let hello = sessions.seal_answer(100, &body).expect("fits");
-        net.cut.insert(source_at(0));
-        net.followers[0].receive(net.now, source_at(0), &hello);
-        for effect in net.followers[0].take_outputs() {
-            if let spanspur_distribution::Output::Datagram(_, bytes) = effect {
+        sim.isolated.insert(source_address(0));
+        sim.followers[0].receive(sim.now, source_address(0), &hello);
+        for output in sim.followers[0].take_outputs() {
+            if let spanspur_distribution::Output::Datagram(_, bytes) = output {
                 let _ = sessions.open(&bytes);
             }
         }
-        Self { net, sessions }
+        Self { sim, sessions }
     }
 
     fn say(&mut self, body: &[u8]) {
@@ -79,11 +79,11 @@
             .sessions
             .seal(to, DatagramKind::Data, body)
             .expect("sealed");
-        self.net.followers[0].receive(self.net.now, source_at(0), &bytes);
+        self.sim.followers[0].receive(self.sim.now, source_address(0), &bytes);
     }
 
     fn counted(&self, reason: &str) -> u64 {
-        let counters = self.net.followers[0].counters();
+        let counters = self.sim.followers[0].counters();
         counters.get(reason).copied().unwrap_or(0)
     }
 }
@@ -91,7 +91,7 @@
 #[test]
 fn invalid_responses_under_the_right_key_are_rejected_whole_and_counted() {
     let mut malicious = MaliciousSource::new(51);
-    let before = malicious.net.followers[0].store().root_hash();
+    let before = malicious.sim.followers[0].store().root_hash();
     let mut absurd = changes();
     messages::append_entry(&mut absurd, &entry(1, 50));
     messages::append_entry(&mut absurd, &entry(2, MAX_VERSION + 1));
@@ -158,7 +158,7 @@
         malicious.say(&body);
         assert_eq!(malicious.counted(reason), counted + 1, "case {n}: {reason}");
         assert_eq!(
-            malicious.net.followers[0].store().root_hash(),
+            malicious.sim.followers[0].store().root_hash(),
             before,
             "case {n}"
         );
@@ -167,20 +167,20 @@
     let mut good = changes();
     messages::append_entry(&mut good, &entry(1, 50));
     malicious.say(&good);
-    let held = malicious.net.followers[0].store().get(1);
+    let held = malicious.sim.followers[0].store().get(1);
     assert_eq!(held.map(|entry| entry.version), Some(50));
 }
 
 #[test]
 fn invalid_requests_are_rejected_and_counted() {
-    let mut net = Net::new(52, &[HERE]);
-    net.publish_all(&entries(0..100, 10));
+    let mut sim = Simulation::new(52, &[LOCAL_ZONE]);
+    sim.publish_all(&entries(0..100, 10));
     let mut sessions = Sessions::new(handshake::id_of("liar"), 7, keys());
-    let body = postcard::to_stdvec(&identity("liar", follower_at(0), 7)).expect("encoded");
+    let body = postcard::to_stdvec(&identity("liar", follower_address(0), 7)).expect("encoded");
     let hello = sessions.seal_answer(100, &body).expect("fits");
-    net.sources[0].receive(net.now, follower_at(0), &hello);
-    for effect in net.sources[0].take_outputs() {
-        if let spanspur_distribution::Output::Datagram(_, bytes) = effect {
+    sim.sources[0].receive(sim.now, follower_address(0), &hello);
+    for output in sim.sources[0].take_outputs() {
+        if let spanspur_distribution::Output::Datagram(_, bytes) = output {
             sessions.open(&bytes).expect("an answer");
         }
     }
@@ -214,12 +214,12 @@
         let bytes = sessions
             .seal(to, DatagramKind::Data, &body)
             .expect("sealed");
-        net.sources[0].receive(net.now, follower_at(0), &bytes);
-        let datagrams = net.sources[0].take_outputs();
-        assert!(net.sources[0].counters()[reason] >= 1, "{reason}");
+        sim.sources[0].receive(sim.now, follower_address(0), &bytes);
+        let datagrams = sim.sources[0].take_outputs();
+        assert!(sim.sources[0].counters()[reason] >= 1, "{reason}");
         assert!(datagrams.is_empty(), "{reason}: answered");
     }
-    let counters = net.sources[0].counters();
+    let counters = sim.sources[0].counters();
     let refused = [
         "absurd-leaf",
         "garbled",
@@ -235,41 +235,41 @@
 #[test]
 fn datagrams_not_authenticated_for_this_incarnation_change_nothing() {
     for seed in 530..534 {
-        let mut net = Net::new(seed, &[HERE]);
-        net.tape = Some(Vec::new());
-        net.publish_all(&entries(0..500, 10));
-        net.follow(HERE);
-        net.run(5000);
-        let tape = net.tape.take().expect("kept");
+        let mut sim = Simulation::new(seed, &[LOCAL_ZONE]);
+        sim.capture = Some(Vec::new());
+        sim.publish_all(&entries(0..500, 10));
+        sim.add_follower(LOCAL_ZONE);
+        sim.run(5000);
+        let tape = sim.capture.take().expect("kept");
         let (store, acked) = (
-            net.followers[0].store().root_hash(),
-            net.sources[0].status(net.now),
+            sim.followers[0].store().root_hash(),
+            sim.sources[0].status(sim.now),
         );
         let mut tries = 0_u64;
         for _ in 0..4000 {
-            let (_, from, to, good) = &tape[net.rng.random_range(0..tape.len())];
+            let (_, from, to, good) = &tape[sim.rng.random_range(0..tape.len())];
             let mut bytes = good.clone();
-            match net.rng.random_range(0..4) {
-                0 => bytes.truncate(net.rng.random_range(0..good.len())),
+            match sim.rng.random_range(0..4) {
+                0 => bytes.truncate(sim.rng.random_range(0..good.len())),
                 1 => {
-                    let at = net.rng.random_range(0..bytes.len());
-                    bytes[at] ^= 1 << net.rng.random_range(0..8);
+                    let at = sim.rng.random_range(0..bytes.len());
+                    bytes[at] ^= 1 << sim.rng.random_range(0..8);
                 }
                 2 => {
-                    let size = net.rng.random_range(0..1500);
-                    bytes = (0..size).map(|_| net.rng.random()).collect();
+                    let size = sim.rng.random_range(0..1500);
+                    bytes = (0..size).map(|_| sim.rng.random()).collect();
                 }
                 // Again, as it was.
                 _ => {}
             }
             tries += 1;
-            net.deliver(*from, *to, &bytes);
+            sim.deliver(*from, *to, &bytes);
         }
         let other = Keys(vec![Key::new(b"the secret of somebody else")]);
         let stranger = Sessions::new(handshake::id_of("control-0"), 100, other);
         let forged = stranger.seal_answer(100, b"x").expect("fits");
-        net.deliver(source_at(0), follower_at(0), &forged);
-        let refused: u64 = [net.sources[0].counters(), net.followers[0].counters()]
+        sim.deliver(source_address(0), follower_address(0), &forged);
+        let refused: u64 = [sim.sources[0].counters(), sim.followers[0].counters()]
             .iter()
             .flat_map(|counters| {
                 ["size", "version", "forged", "replay", "other-run"]
@@ -278,13 +278,13 @@
             .sum();
         println!("seed {seed}: {refused} of {tries} refused before they were read");
         assert!(refused * 10 > tries * 9);
-        assert_eq!(net.followers[0].store().root_hash(), store);
-        assert_eq!(net.sources[0].status(net.now).followers, acked.followers);
-        net.run(3000);
-        assert!(net.same(0, 0));
-        net.publish_all(&[entry(1, 11)]);
-        net.run(1500);
-        assert!(net.same(0, 0), "they still understand each other");
+        assert_eq!(sim.followers[0].store().root_hash(), store);
+        assert_eq!(sim.sources[0].status(sim.now).followers, acked.followers);
+        sim.run(3000);
+        assert!(sim.same_content(0, 0));
+        sim.publish_all(&[entry(1, 11)]);
+        sim.run(1500);
+        assert!(sim.same_content(0, 0), "they still understand each other");
     }
 }
 
@@ -296,7 +296,7 @@
         let mut good = changes();
         messages::append_entry(&mut good, &entry(1, 50));
         for _ in 0..5000 {
-            let rng = &mut malicious.net.rng;
+            let rng = &mut malicious.sim.rng;
             let mut body = good.clone();
             for _ in 0..rng.random_range(1..4) {
                 let at = rng.random_range(0..body.len());
@@ -304,11 +304,11 @@
             }
             body.truncate(rng.random_range(0..=body.len()));
             malicious.say(&body);
-            let _ = malicious.net.followers[0].take_outputs();
+            let _ = malicious.sim.followers[0].take_outputs();
             let asked = messages::decode_request(&body);
             assert!(asked.is_err() || body[2] == 0);
         }
-        for entry in malicious.net.followers[0].store().iter() {
+        for entry in malicious.sim.followers[0].store().iter() {
             assert!(entry.version <= MAX_VERSION && entry.value.len() <= 512);
         }
     }
--- a/crates/distribution/tests/propagation.rs
+++ b/crates/distribution/tests/propagation.rs
@@ -6,29 +6,29 @@
 
 #[test]
 fn propagated_lagging_and_disconnected_are_distinguished() {
-    let mut net = Net::new(61, &[HERE]);
-    net.publish_all(&entries(0..100, 10));
+    let mut sim = Simulation::new(61, &[LOCAL_ZONE]);
+    sim.publish_all(&entries(0..100, 10));
     for _ in 0..10 {
-        net.follow(HERE);
+        sim.add_follower(LOCAL_ZONE);
     }
-    net.run(10_000);
-    let status = net.sources[0].status(net.now);
+    sim.run(10_000);
+    let status = sim.sources[0].status(sim.now);
     assert!(status.settled);
     assert_eq!((status.followers, status.primary_followers), (10, 10));
     assert_eq!((status.lagging, status.disconnected), (0, 0));
     // All reachable: in force once each has asked again after it had it.
-    net.publish_all(&[entry(1, 11)]);
-    net.run(2500);
-    let change = net.sources[0].status(net.now).changes[0].clone();
+    sim.publish_all(&[entry(1, 11)]);
+    sim.run(2500);
+    let change = sim.sources[0].status(sim.now).changes[0].clone();
     let after = change.propagated_after.expect("in force");
     println!("in force after {after} ms of {}", change.followers);
     assert_eq!((change.key, change.version, change.followers), (1, 11, 10));
     assert!(after <= 2000 + 2 * TRACKING_INTERVAL, "{after}");
     // One is cut off: first it lags, then it is dark, and the change is in force at the others.
-    net.cut.insert(follower_at(3));
-    net.publish_all(&[entry(2, 12)]);
-    net.run(LAG_THRESHOLD + 500);
-    let status = net.sources[0].status(net.now);
+    sim.isolated.insert(follower_address(3));
+    sim.publish_all(&[entry(2, 12)]);
+    sim.run(LAG_THRESHOLD + 500);
+    let status = sim.sources[0].status(sim.now);
     let names: Vec<&str> = status
         .lagging_followers
         .iter()
@@ -36,8 +36,8 @@
         .collect();
     assert_eq!((status.lagging, names), (1, vec!["balancer-3"]));
     assert_eq!(status.changes[0].propagated_after, None);
-    net.run(REACHABLE_FOR);
-    let status = net.sources[0].status(net.now);
+    sim.run(REACHABLE_FOR);
+    let status = sim.sources[0].status(sim.now);
     let names: Vec<&str> = status
         .disconnected_followers
         .iter()
@@ -48,9 +48,9 @@
     assert_eq!(status.changes[0].followers, 9);
     assert!(status.changes[0].propagated_after.is_some());
     // Back, it has it too.
-    net.cut.clear();
-    net.run(10_000);
-    let status = net.sources[0].status(net.now);
+    sim.isolated.clear();
+    sim.run(10_000);
+    let status = sim.sources[0].status(sim.now);
     assert_eq!(
         (
             status.disconnected,
@@ -59,49 +59,49 @@
         ),
         (0, 0, 10)
     );
-    assert!(net.same(3, 0));
+    assert!(sim.same_content(3, 0));
 }
 
 /// A restarted follower holds nothing, whatever its previous incarnation had confirmed.
 #[test]
 fn a_restarted_follower_has_confirmed_nothing() {
-    let mut net = Net::new(62, &[HERE]);
+    let mut sim = Simulation::new(62, &[LOCAL_ZONE]);
     // 167 pieces of 12 rows at 20 a second: a walk takes eight seconds.
-    (net.limits.datagrams_per_second, net.limits.burst) = (20, 8);
-    net.restart_source(0, 150);
-    net.publish_all(&entries(0..2000, 10));
-    net.follow(HERE);
-    net.run(20_000);
-    assert!(net.same(0, 0));
-    assert_eq!(net.sources[0].status(net.now).lagging, 0);
-    net.followers[0] = net.fresh_follower(0, HERE, 200);
-    net.seen[0] = Seen::default();
-    net.run(4000);
-    assert!(!net.same(0, 0));
-    assert_eq!(net.sources[0].status(net.now).lagging, 1);
-    net.run(16_000);
-    assert!(net.same(0, 0));
-    assert_eq!(net.sources[0].status(net.now).lagging, 0);
+    (sim.limits.datagrams_per_second, sim.limits.burst) = (20, 8);
+    sim.restart_source(0, 150);
+    sim.publish_all(&entries(0..2000, 10));
+    sim.add_follower(LOCAL_ZONE);
+    sim.run(20_000);
+    assert!(sim.same_content(0, 0));
+    assert_eq!(sim.sources[0].status(sim.now).lagging, 0);
+    sim.followers[0] = sim.new_follower(0, LOCAL_ZONE, 200);
+    sim.observations[0] = Observations::default();
+    sim.run(4000);
+    assert!(!sim.same_content(0, 0));
+    assert_eq!(sim.sources[0].status(sim.now).lagging, 1);
+    sim.run(16_000);
+    assert!(sim.same_content(0, 0));
+    assert_eq!(sim.sources[0].status(sim.now).lagging, 0);
 }
 
 /// The lists are bounded, their counts are not.
 #[test]
 fn lists_of_a_status_are_bounded() {
-    let mut net = Net::new(63, &[HERE]);
-    net.publish_all(&entries(0..10, 10));
+    let mut sim = Simulation::new(63, &[LOCAL_ZONE]);
+    sim.publish_all(&entries(0..10, 10));
     for _ in 0..100 {
-        net.follow(HERE);
+        sim.add_follower(LOCAL_ZONE);
     }
-    net.run(3000);
+    sim.run(3000);
     (0..100).for_each(|i| {
-        net.cut.insert(follower_at(i));
+        sim.isolated.insert(follower_address(i));
     });
-    net.run(10_000);
-    let status = net.sources[0].status(net.now);
+    sim.run(10_000);
+    let status = sim.sources[0].status(sim.now);
     assert_eq!(status.disconnected, 100);
     assert_eq!(status.disconnected_followers.len(), 64);
     for version in 11..400 {
-        net.publish_all(&[entry(1, version)]);
+        sim.publish_all(&[entry(1, version)]);
     }
-    assert_eq!(net.sources[0].status(net.now).changes.len(), 256);
+    assert_eq!(sim.sources[0].status(sim.now).changes.len(), 256);
 }
--- a/crates/distribution/tests/rate_limits.rs
+++ b/crates/distribution/tests/rate_limits.rs
@@ -12,36 +12,36 @@
 /// behind the others, and the rate holds in each second.
 #[test]
 fn many_followers_are_served_in_order_within_the_rate_and_none_starves() {
-    let mut net = Net::new(31, &[HERE]);
-    net.limits = Limits {
+    let mut sim = Simulation::new(31, &[LOCAL_ZONE]);
+    sim.limits = Limits {
         datagrams_per_second: 200,
         burst: 20,
         ..Limits::default()
     };
-    net.restart_source(0, 150);
-    net.publish_all(&entries(0..1000, 10));
+    sim.restart_source(0, 150);
+    sim.publish_all(&entries(0..1000, 10));
     for _ in 0..60 {
-        net.follow(HERE);
+        sim.add_follower(LOCAL_ZONE);
     }
-    let start = net.now;
+    let start = sim.now;
     let mut full = vec![None; 60];
-    while full.contains(&None) && net.now < start + 60_000 {
-        net.run(50);
+    while full.contains(&None) && sim.now < start + 60_000 {
+        sim.run(50);
         for (i, full) in full.iter_mut().enumerate() {
-            if full.is_none() && net.followers[i].is_synchronized() {
-                *full = Some(net.now - start);
+            if full.is_none() && sim.followers[i].is_synchronized() {
+                *full = Some(sim.now - start);
             }
         }
     }
     let mut took: Vec<u64> = full.iter().map(|at| at.expect("starved")).collect();
     took.sort_unstable();
-    let pieces = net.sources[0].counters()["pieces"];
+    let pieces = sim.sources[0].counters()["pieces"];
     println!("{pieces} pieces, full after {} to {} ms", took[0], took[59]);
-    println!("{:?}", net.sources[0].counters());
+    println!("{:?}", sim.sources[0].counters());
     let ideal = pieces * 1000 / 200;
     assert!(took[59] < ideal * 13 / 10 + 1000, "{} of {ideal}", took[59]);
     assert!(took[59] < took[0] * 2, "some wait far longer than others");
-    let times: Vec<u64> = net.pieces.iter().map(|(at, _)| *at).collect();
+    let times: Vec<u64> = sim.large_datagrams.iter().map(|(at, _)| *at).collect();
     for (n, at) in times.iter().enumerate() {
         let within = times[n..].iter().take_while(|t| **t < at + 1000).count() as u64;
         let most = 200 * (1000 + 2 * RESERVATION_TOLERANCE) / 1000 + 20;
@@ -50,34 +50,34 @@
     // Over all of it the rate itself holds, but for the burst.
     let span = times[times.len() - 1] - times[0];
     assert!(times.len() as u64 <= 200 * (span + 2 * RESERVATION_TOLERANCE) / 1000 + 20);
-    assert_eq!(net.backwards(), 0);
+    assert_eq!(sim.version_regressions(), 0);
 }
 
 /// A change waits for its slot like all others, and no longer.
 #[test]
 fn a_change_reaches_a_follower_while_many_others_resynchronize() {
-    let mut net = Net::new(32, &[HERE]);
-    net.limits.datagrams_per_second = 400;
-    net.limits.burst = 40;
-    net.restart_source(0, 150);
-    net.publish_all(&entries(0..2000, 10));
-    let one = net.follow(HERE);
-    net.run(5000);
-    assert!(net.same(one, 0));
+    let mut sim = Simulation::new(32, &[LOCAL_ZONE]);
+    sim.limits.datagrams_per_second = 400;
+    sim.limits.burst = 40;
+    sim.restart_source(0, 150);
+    sim.publish_all(&entries(0..2000, 10));
+    let one = sim.add_follower(LOCAL_ZONE);
+    sim.run(5000);
+    assert!(sim.same_content(one, 0));
     for _ in 0..40 {
-        net.follow(HERE);
+        sim.add_follower(LOCAL_ZONE);
     }
-    net.run(2000);
+    sim.run(2000);
     assert!(
-        net.sources[0].status(net.now).backlog > 0,
+        sim.sources[0].status(sim.now).backlog > 0,
         "not busy at all"
     );
-    net.publish_all(&[entry(1, 11)]);
-    let start = net.now;
-    while net.seen[one].versions[&1] < 11 && net.now < start + 20_000 {
-        net.run(20);
+    sim.publish_all(&[entry(1, 11)]);
+    let start = sim.now;
+    while sim.observations[one].versions[&1] < 11 && sim.now < start + 20_000 {
+        sim.run(20);
     }
-    let took = net.now - start;
+    let took = sim.now - start;
     println!("{took} ms among 40 that load");
     // An ask's turn, and a window for each of the crowd before it.
     assert!(took < 1000 + 41 * 8 * 1000 / 400 + 500, "{took}");
@@ -100,28 +100,28 @@
 /// One that polls and never reads, under many names: each costs one window of datagrams, then one small datagram.
 #[test]
 fn a_follower_that_never_reads_costs_a_bounded_amount() {
-    let mut net = Net::new(33, &[HERE]);
-    net.limits.datagrams_per_second = 100;
-    net.limits.burst = 16;
-    net.limits.requests_per_second = 50;
-    net.limits.handshakes_per_second = 20;
-    net.limits.max_followers = 30;
-    net.restart_source(0, 150);
-    net.publish_all(&entries(0..2000, 10));
+    let mut sim = Simulation::new(33, &[LOCAL_ZONE]);
+    sim.limits.datagrams_per_second = 100;
+    sim.limits.burst = 16;
+    sim.limits.requests_per_second = 50;
+    sim.limits.handshakes_per_second = 20;
+    sim.limits.max_followers = 30;
+    sim.restart_source(0, 150);
+    sim.publish_all(&entries(0..2000, 10));
     let mut bytes = 0;
     let mut later = 0;
     for second in 0..20 {
         for n in 0..100 {
             let name = format!("silent-{n}");
             let mut sessions = Sessions::new(handshake::id_of(&name), 7 + second, keys());
-            let me = identity(&name, follower_at(n), 7 + second);
+            let me = identity(&name, follower_address(n), 7 + second);
             let body = postcard::to_stdvec(&me).expect("encoded");
             let greeting = sessions.seal_greeting(&body).expect("fits");
             let hello = sessions.seal_answer(150, &body).expect("fits");
-            net.sources[0].receive(net.now, follower_at(n), &greeting);
-            net.sources[0].receive(net.now, follower_at(n), &hello);
-            for effect in net.sources[0].take_outputs() {
-                if let Output::Datagram(_, datagram) = effect {
+            sim.sources[0].receive(sim.now, follower_address(n), &greeting);
+            sim.sources[0].receive(sim.now, follower_address(n), &hello);
+            for output in sim.sources[0].take_outputs() {
+                if let Output::Datagram(_, datagram) = output {
                     let _ = sessions.open(&datagram);
                     bytes += datagram.len();
                 }
@@ -141,9 +141,9 @@
             else {
                 continue;
             };
-            net.sources[0].receive(net.now, follower_at(n), &sealed);
-            for effect in net.sources[0].take_outputs() {
-                if let Output::Datagram(_, datagram) = effect {
+            sim.sources[0].receive(sim.now, follower_address(n), &sealed);
+            for output in sim.sources[0].take_outputs() {
+                if let Output::Datagram(_, datagram) = output {
                     bytes += datagram.len();
                     if let Ok(opened) = sessions.open(&datagram)
                         && let Ok((answer, _)) = messages::decode_response(opened.body)
@@ -154,13 +154,13 @@
                 }
             }
         }
-        net.now += 1000;
-        net.sources[0].wake(net.now);
+        sim.now += 1000;
+        sim.sources[0].wake(sim.now);
     }
-    let counters = net.sources[0].counters();
+    let counters = sim.sources[0].counters();
     println!("{bytes} bytes in 20 s, {later} put off, {counters:?}");
     assert!(later > 0);
-    assert!(net.sources[0].status(net.now).followers <= 30);
+    assert!(sim.sources[0].status(sim.now).followers <= 30);
     assert!(counters["followers-full"] > 0);
     assert!(counters["greetings-unanswered"] > 0);
     // Pieces by the rate, asks and greetings by theirs.
@@ -171,15 +171,15 @@
 
 #[test]
 fn requests_above_their_rate_are_dropped_and_counted() {
-    let mut net = Net::new(34, &[HERE]);
-    net.limits.requests_per_second = 5;
-    net.restart_source(0, 150);
-    net.publish_all(&entries(0..10, 10));
+    let mut sim = Simulation::new(34, &[LOCAL_ZONE]);
+    sim.limits.requests_per_second = 5;
+    sim.restart_source(0, 150);
+    sim.publish_all(&entries(0..10, 10));
     for _ in 0..20 {
-        net.follow(HERE);
+        sim.add_follower(LOCAL_ZONE);
     }
-    net.run(20_000);
-    let counters = net.sources[0].counters();
+    sim.run(20_000);
+    let counters = sim.sources[0].counters();
     assert!(counters["asks"] <= 5 * 21);
     assert!(counters["asks-dropped"] > 0);
 }
--- a/crates/distribution/tests/wire_fixtures.rs
+++ b/crates/distribution/tests/wire_fixtures.rs
@@ -419,24 +419,24 @@
 }
 
 /// All that the ends put out since the last call, and how they stand.
-fn take_tape(net: &mut Net, kinds: &mut BTreeSet<&'static str>) -> Vec<u8> {
+fn take_tape(sim: &mut Simulation, kinds: &mut BTreeSet<&'static str>) -> Vec<u8> {
     let mut tape = Vec::new();
-    for (at, from, to, bytes) in net.tape.replace(Vec::new()).unwrap_or_default() {
+    for (at, from, to, bytes) in sim.capture.replace(Vec::new()).unwrap_or_default() {
         add_kinds(kinds, &bytes);
         tape.extend(encode(&(at, from, to, bytes)));
     }
-    let now = net.now;
-    for seen in &mut net.seen {
-        for (at, event) in std::mem::take(&mut seen.events) {
+    let now = sim.now;
+    for observations in &mut sim.observations {
+        for (at, event) in std::mem::take(&mut observations.events) {
             tape.extend(encode(&at));
             tape.extend(event_bytes(&event));
         }
-        tape.extend(encode(&seen.versions));
+        tape.extend(encode(&observations.versions));
     }
-    for source in &net.sources {
+    for source in &sim.sources {
         tape.extend(encode(&(source.status(now), source.counters())));
     }
-    for follower in &net.followers {
+    for follower in &sim.followers {
         let stands = (follower.status(now), follower.counters());
         tape.extend(encode(&stands));
     }
@@ -455,70 +455,70 @@
 const RUN_SECONDS: u64 = 170;
 
 /// What happens at the start of a second.
-fn events(net: &mut Net, second: u64) {
+fn events(sim: &mut Simulation, second: u64) {
     match second {
-        0 => net.publish_all(&entries(0..600, 10)),
+        0 => sim.publish_all(&entries(0..600, 10)),
         // Steady changes.
-        12..20 => net.publish_all(&entries(second * 10..second * 10 + 3, 11 + second)),
+        12..20 => sim.publish_all(&entries(second * 10..second * 10 + 3, 11 + second)),
         // A follower is cut off, and more changes than the log keeps.
         25 => {
-            net.cut.insert(follower_at(0));
+            sim.isolated.insert(follower_address(0));
         }
-        28 => net.publish_all(&entries(100..240, 40)),
-        34 => net.cut.clear(),
+        28 => sim.publish_all(&entries(100..240, 40)),
+        34 => sim.isolated.clear(),
         // The first source starts again and holds the same.
         50 => {
-            let held: Vec<Entry> = net.sources[0].store().iter().cloned().collect();
-            net.restart_source(0, 200);
-            net.publish(0, &held);
+            let held: Vec<Entry> = sim.sources[0].store().iter().cloned().collect();
+            sim.restart_source(0, 200);
+            sim.publish(0, &held);
         }
         // A source stands still for a while.
         60 => {
-            net.frozen.insert(source_at(0));
+            sim.paused.insert(source_address(0));
         }
-        66 => net.publish_all(&entries(0..5, 70)),
-        72 => net.frozen.clear(),
+        66 => sim.publish_all(&entries(0..5, 70)),
+        72 => sim.paused.clear(),
         // A follower starts again with nothing.
         85 => {
-            let follower = net.fresh_follower(1, NEAR, 300);
-            net.followers[1] = follower;
-            net.seen[1] = Seen::default();
+            let follower = sim.new_follower(1, OTHER_ZONE, 300);
+            sim.followers[1] = follower;
+            sim.observations[1] = Observations::default();
         }
         // Round trips take longer than the longest wait for an answer.
-        100 => net.delay = 2100,
-        110 | 120 => net.publish_all(&entries(second..second + 3, 80)),
-        150 => net.delay = 5,
+        100 => sim.delay = 2100,
+        110 | 120 => sim.publish_all(&entries(second..second + 3, 80)),
+        150 => sim.delay = 5,
         _ => {}
     }
 }
 
 /// Plays a seeded run, second by second, and returns which kinds of datagrams it had.
 fn seeded_run(file: &str, seed: u64, places: &[Location]) -> BTreeSet<&'static str> {
-    let mut net = Net::new(seed, places);
-    net.limits = LIMITS;
-    (net.loss, net.doubling) = (0.05, 0.02);
-    net.tape = Some(Vec::new());
+    let mut sim = Simulation::new(seed, places);
+    sim.limits = LIMITS;
+    (sim.loss, sim.duplication) = (0.05, 0.02);
+    sim.capture = Some(Vec::new());
     for source in 0..places.len() {
-        net.restart_source(source, 150);
+        sim.restart_source(source, 150);
     }
     let mut kinds = BTreeSet::new();
     let mut records = Vec::new();
     for second in 0..RUN_SECONDS {
-        events(&mut net, second);
+        events(&mut sim, second);
         if second == 1 {
-            net.follow(HERE);
-            net.follow(NEAR);
+            sim.add_follower(LOCAL_ZONE);
+            sim.add_follower(OTHER_ZONE);
         }
-        net.run(1000);
-        let tape = take_tape(&mut net, &mut kinds);
+        sim.run(1000);
+        let tape = take_tape(&mut sim, &mut kinds);
         let mut bytes = xxh3_64(&tape).to_le_bytes().to_vec();
         bytes.extend((tape.len() as u64).to_le_bytes());
         records.push(Record::new(format!("second-{second}"), bytes));
     }
     println!("{kinds:?}");
     check(file, records);
-    assert_eq!(net.backwards(), 0);
-    assert!(net.same(0, 0) && net.same(1, 0));
+    assert_eq!(sim.version_regressions(), 0);
+    assert!(sim.same_content(0, 0) && sim.same_content(1, 0));
     kinds
 }
 
@@ -543,12 +543,16 @@
 
 #[test]
 fn one_source_and_two_followers_put_out_the_same_bytes_as_before() {
-    let kinds = seeded_run("one_source_run.txt", 73, &[HERE]);
+    let kinds = seeded_run("one_source_run.txt", 73, &[LOCAL_ZONE]);
     assert!(kinds.iter().eq(&KINDS), "{kinds:?}");
 }
 
 #[test]
 fn three_sources_and_two_followers_put_out_the_same_bytes_as_before() {
-    let kinds = seeded_run("three_source_run.txt", 74, &[HERE, NEAR, FAR]);
+    let kinds = seeded_run(
+        "three_source_run.txt",
+        74,
+        &[LOCAL_ZONE, OTHER_ZONE, OTHER_REGION],
+    );
     assert!(kinds.contains("ask-leave"), "{kinds:?}");
 }
