--- a/crates/distribution/tests/propagation.rs
+++ b/crates/distribution/tests/propagation.rs
@@ -1,4 +1,5 @@
-//! A source knows which changes all its reachable followers have confirmed and since when, who lags and who is disconnected.
+//! A source tracks which changes all its reachable followers have confirmed and when, and which followers lag or are
+//! disconnected.
 
 mod common;
 use common::*;
@@ -16,15 +17,19 @@
     assert!(status.settled);
     assert_eq!((status.followers, status.primary_followers), (10, 10));
     assert_eq!((status.lagging, status.disconnected), (0, 0));
-    // All reachable: in force once each has asked again after it had it.
+    // All followers are reachable: a change has propagated once each of them has polled again after receiving it.
     sim.publish_all(&[entry(1, 11)]);
     sim.run(2500);
     let change = sim.sources[0].status(sim.now).changes[0].clone();
-    let after = change.propagated_after.expect("in force");
-    println!("in force after {after} ms of {}", change.followers);
+    let after = change.propagated_after.expect("propagated");
+    println!(
+        "propagated after {after} ms to {} followers",
+        change.followers
+    );
     assert_eq!((change.key, change.version, change.followers), (1, 11, 10));
     assert!(after <= 2000 + 2 * TRACKING_INTERVAL, "{after}");
-    // One is cut off: first it lags, then it is dark, and the change is in force at the others.
+    // One follower is isolated. At first it lags. Then it is disconnected, and the change has propagated to the
+    // others.
     sim.isolated.insert(follower_address(3));
     sim.publish_all(&[entry(2, 12)]);
     sim.run(LAG_THRESHOLD + 500);
@@ -32,7 +37,7 @@
     let names: Vec<&str> = status
         .lagging_followers
         .iter()
-        .map(|who| who.name.as_str())
+        .map(|follower| follower.name.as_str())
         .collect();
     assert_eq!((status.lagging, names), (1, vec!["balancer-3"]));
     assert_eq!(status.changes[0].propagated_after, None);
@@ -41,13 +46,13 @@
     let names: Vec<&str> = status
         .disconnected_followers
         .iter()
-        .map(|who| who.name.as_str())
+        .map(|follower| follower.name.as_str())
         .collect();
     assert_eq!((status.disconnected, names), (1, vec!["balancer-3"]));
     assert_eq!((status.lagging, status.primary_followers), (0, 9));
     assert_eq!(status.changes[0].followers, 9);
     assert!(status.changes[0].propagated_after.is_some());
-    // Back, it has it too.
+    // Once reachable again, the follower also receives the change.
     sim.isolated.clear();
     sim.run(10_000);
     let status = sim.sources[0].status(sim.now);
@@ -66,7 +71,7 @@
 #[test]
 fn a_restarted_follower_has_confirmed_nothing() {
     let mut sim = Simulation::new(62, &[LOCAL_ZONE]);
-    // 167 pieces of 12 rows at 20 a second: a walk takes eight seconds.
+    // 167 datagrams of 12 rows at 20 per second: an initial synchronization takes eight seconds.
     (sim.limits.datagrams_per_second, sim.limits.burst) = (20, 8);
     sim.restart_source(0, 150);
     sim.publish_all(&entries(0..2000, 10));
@@ -84,7 +89,7 @@
     assert_eq!(sim.sources[0].status(sim.now).lagging, 0);
 }
 
-/// The lists are bounded, their counts are not.
+/// The lists in a status are bounded, their counts are not.
 #[test]
 fn lists_of_a_status_are_bounded() {
     let mut sim = Simulation::new(63, &[LOCAL_ZONE]);
