--- a/crates/distribution/tests/sizes.rs
+++ b/crates/distribution/tests/sizes.rs
@@ -1,4 +1,4 @@
-//! The sizes of requests, responses and datagrams, and the memory of a follower at a source, within bounds.
+//! The sizes of requests, responses and datagrams, and the memory that a source uses per follower, stay within bounds.
 
 mod common;
 use common::*;
@@ -6,86 +6,88 @@
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicI64, Ordering};
 
-struct Counted;
-static HELD: AtomicI64 = AtomicI64::new(0);
+struct CountingAllocator;
+static ALLOCATED: AtomicI64 = AtomicI64::new(0);
 
-// The standard allocator, with a sum of what is held.
-unsafe impl GlobalAlloc for Counted {
+// The system allocator, with a count of the allocated bytes.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        HELD.fetch_add(layout.size() as i64, Ordering::Relaxed);
+        ALLOCATED.fetch_add(layout.size() as i64, Ordering::Relaxed);
         unsafe { System.alloc(layout) }
     }
-    unsafe fn dealloc(&self, at: *mut u8, layout: Layout) {
-        HELD.fetch_sub(layout.size() as i64, Ordering::Relaxed);
-        unsafe { System.dealloc(at, layout) }
+    unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
+        ALLOCATED.fetch_sub(layout.size() as i64, Ordering::Relaxed);
+        unsafe { System.dealloc(pointer, layout) }
     }
 }
 
 #[global_allocator]
-static ALLOCATOR: Counted = Counted;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
-/// One test alone in this file: the sum is of the whole process.
+/// This is the only test in this file, because the count covers the whole process.
 #[test]
 fn requests_and_the_record_of_a_follower_are_small() {
     let mut sim = Simulation::new(71, &[LOCAL_ZONE, OTHER_ZONE]);
     sim.publish_all(&entries(0..5000, 1 << 50));
-    let one = sim.add_follower(LOCAL_ZONE);
+    let follower = sim.add_follower(LOCAL_ZONE);
     sim.run(8000);
-    assert!(sim.same_content(one, 0));
-    let sizes = |sim: &mut Simulation, span: u64| {
+    assert!(sim.same_content(follower, 0));
+    let sizes = |sim: &mut Simulation, duration: u64| {
         sim.capture = Some(Vec::new());
-        sim.run(span);
-        let tape = sim.capture.take().expect("kept");
-        let of = |ours: bool| {
-            let mine = tape
+        sim.run(duration);
+        let capture = sim.capture.take().expect("captured");
+        let sizes_sent = |by_follower: bool| {
+            let datagrams = capture
                 .iter()
-                .filter(|(_, from, ..)| (*from == follower_address(one)) == ours);
-            mine.map(|(.., bytes)| bytes.len()).collect::<Vec<usize>>()
+                .filter(|(_, from, ..)| (*from == follower_address(follower)) == by_follower);
+            datagrams
+                .map(|(.., bytes)| bytes.len())
+                .collect::<Vec<usize>>()
         };
-        (of(true), of(false))
+        (sizes_sent(true), sizes_sent(false))
     };
-    let (asks, answers) = sizes(&mut sim, 10_000);
-    let (ask, answer) = (asks.iter().max(), answers.iter().max());
-    let second = (asks.iter().sum::<usize>() + answers.iter().sum::<usize>()) / 10;
+    let (requests, responses) = sizes(&mut sim, 10_000);
+    let (request, response) = (requests.iter().max(), responses.iter().max());
+    let bytes_per_second = (requests.iter().sum::<usize>() + responses.iter().sum::<usize>()) / 10;
     println!(
-        "nothing new: ask {ask:?} B, answer {answer:?} B, {second} B/s both ways, two sources"
+        "no changes: request {request:?} B, response {response:?} B, {bytes_per_second} B/s in both directions, two sources"
     );
-    assert_eq!((asks.len(), answers.len()), (20, 20));
-    assert!(ask <= Some(&100) && answer <= Some(&80) && second < 400);
+    assert_eq!((requests.len(), responses.len()), (20, 20));
+    assert!(request <= Some(&100) && response <= Some(&80) && bytes_per_second < 400);
     sim.publish_all(&[entry(1, (1 << 50) + 1)]);
-    let (_, answers) = sizes(&mut sim, 1000);
-    println!("one row of 90 bytes: answers {answers:?} B");
+    let (_, responses) = sizes(&mut sim, 1000);
+    println!("one row of 90 bytes: responses {responses:?} B");
     sim.publish_all(&entries(0..100, (1 << 50) + 2));
-    let (_, answers) = sizes(&mut sim, 1000);
-    println!("100 rows of 90 bytes: answers {answers:?} B");
-    assert!(answers.iter().all(|bytes| *bytes <= MAX_DATAGRAM));
+    let (_, responses) = sizes(&mut sim, 1000);
+    println!("100 rows of 90 bytes: responses {responses:?} B");
+    assert!(responses.iter().all(|bytes| *bytes <= MAX_DATAGRAM));
 
-    // A follower that is known and asks once a second, at a source that holds little.
+    // The memory for each follower that is known to a source with few entries.
     let mut sim = Simulation::new(72, &[LOCAL_ZONE]);
     sim.publish_all(&entries(0..10, 10));
     for _ in 0..10 {
         sim.add_follower(LOCAL_ZONE);
     }
     sim.run(5000);
-    let tape = |sim: &mut Simulation, n: usize| {
-        let before = HELD.load(Ordering::Relaxed);
+    let memory_per_follower = |sim: &mut Simulation, n: usize| {
+        let before = ALLOCATED.load(Ordering::Relaxed);
         let source = &mut sim.sources[0];
-        let mut made = Vec::new();
+        let mut registered = Vec::new();
         for i in 0..n {
             let name = format!("balancer-of-a-zone-{i}");
             let id = spanspur_membership::handshake::id_of(&name);
             let sessions = spanspur_membership::Sessions::new(id, 9, keys());
-            let me = identity(&name, follower_address(100 + i), 9);
-            let body = postcard::to_stdvec(&me).expect("encoded");
-            let hello = sessions.seal_answer(100, &body).expect("fits");
-            source.receive(sim.now, follower_address(100 + i), &hello);
+            let identity = identity(&name, follower_address(100 + i), 9);
+            let body = postcard::to_stdvec(&identity).expect("encoded");
+            let answer = sessions.seal_answer(100, &body).expect("fits");
+            source.receive(sim.now, follower_address(100 + i), &answer);
             drop(source.take_outputs());
-            made.push(i);
+            registered.push(i);
         }
-        drop(made);
-        (HELD.load(Ordering::Relaxed) - before) / n as i64
+        drop(registered);
+        (ALLOCATED.load(Ordering::Relaxed) - before) / n as i64
     };
-    let each = tape(&mut sim, 1000);
-    println!("{each} B for each follower at a source, its session with it");
+    let each = memory_per_follower(&mut sim, 1000);
+    println!("{each} B for each follower at a source, including its session");
     assert!(each < 1500, "{each}");
 }
