--- a/crates/distribution/tests/invalid_datagrams.rs
+++ b/crates/distribution/tests/invalid_datagrams.rs
@@ -1,4 +1,4 @@
-//! Invalid datagrams are counted by their reason and dropped: no panic, and none applied in part.
+//! Invalid datagrams are counted by their reason and dropped. None of them causes a panic or is applied in part.
 
 mod common;
 use common::*;
@@ -12,24 +12,24 @@
 use spanspur_membership::authentication::DatagramKind;
 use spanspur_membership::{Key, Keys, Sessions, handshake};
 
-fn answer(part: ResponseBody) -> PollResponse {
+fn response(body: ResponseBody) -> PollResponse {
     PollResponse {
         nonce: 1,
         data_age: Some(0),
         head: 100,
-        body: part,
+        body,
     }
 }
 
 fn changes() -> Vec<u8> {
-    messages::encode_response(&answer(ResponseBody::Changes {
+    messages::encode_response(&response(ResponseBody::Changes {
         after: 0,
         up_to: 100,
         last: true,
     }))
 }
 
-fn ask(want: Query) -> PollRequest {
+fn request(query: Query) -> PollRequest {
     PollRequest {
         nonce: 1,
         is_primary: true,
@@ -37,15 +37,15 @@
         sequence: 0,
         root_hash: 0,
         window: MAX_WINDOW,
-        query: want,
+        query,
     }
 }
 
-fn put(bytes: &mut Vec<u8>, what: &impl Serialize) {
-    bytes.extend(postcard::to_stdvec(what).expect("encoded"));
+fn append(bytes: &mut Vec<u8>, value: &impl Serialize) {
+    bytes.extend(postcard::to_stdvec(value).expect("encoded"));
 }
 
-/// One follower of one source, and the source's sessions as a malicious with the right key would have them.
+/// A follower of one source, and the sessions of a malicious source with the right key.
 struct MaliciousSource {
     sim: Simulation,
     sessions: Sessions,
@@ -57,14 +57,14 @@
         sim.publish_all(&entries(0..100, 10));
         sim.add_follower(LOCAL_ZONE);
         sim.run(3000);
-        // Another run of the source, which the follower has met.
-        let me = handshake::id_of("control-0");
-        let mut sessions = Sessions::new(me, 300, keys());
+        // Another incarnation of the source, which has completed a handshake with the follower.
+        let id = handshake::id_of("control-0");
+        let mut sessions = Sessions::new(id, 300, keys());
         let identity = identity("control-0", source_address(0), 300);
         let body = postcard::to_stdvec(&identity).expect("encoded");
-        let hello = sessions.seal_answer(100, &body).expect("fits");
+        let answer = sessions.seal_answer(100, &body).expect("fits");
         sim.isolated.insert(source_address(0));
-        sim.followers[0].receive(sim.now, source_address(0), &hello);
+        sim.followers[0].receive(sim.now, source_address(0), &answer);
         for output in sim.followers[0].take_outputs() {
             if let spanspur_distribution::Output::Datagram(_, bytes) = output {
                 let _ = sessions.open(&bytes);
@@ -73,7 +73,7 @@
         Self { sim, sessions }
     }
 
-    fn say(&mut self, body: &[u8]) {
+    fn send(&mut self, body: &[u8]) {
         let to = handshake::id_of("balancer-0");
         let bytes = self
             .sessions
@@ -82,7 +82,7 @@
         self.sim.followers[0].receive(self.sim.now, source_address(0), &bytes);
     }
 
-    fn counted(&self, reason: &str) -> u64 {
+    fn count_of(&self, reason: &str) -> u64 {
         let counters = self.sim.followers[0].counters();
         counters.get(reason).copied().unwrap_or(0)
     }
@@ -92,81 +92,86 @@
 fn invalid_responses_under_the_right_key_are_rejected_whole_and_counted() {
     let mut malicious = MaliciousSource::new(51);
     let before = malicious.sim.followers[0].store().root_hash();
-    let mut absurd = changes();
-    messages::append_entry(&mut absurd, &entry(1, 50));
-    messages::append_entry(&mut absurd, &entry(2, MAX_VERSION + 1));
-    let mut zero = changes();
-    messages::append_entry(&mut zero, &entry(1, 50));
-    messages::append_entry(&mut zero, &entry(2, 0));
-    let mut large = changes();
-    messages::append_entry(&mut large, &entry(1, 50));
+    let mut version_too_high = changes();
+    messages::append_entry(&mut version_too_high, &entry(1, 50));
+    messages::append_entry(&mut version_too_high, &entry(2, MAX_VERSION + 1));
+    let mut version_zero = changes();
+    messages::append_entry(&mut version_zero, &entry(1, 50));
+    messages::append_entry(&mut version_zero, &entry(2, 0));
+    let mut value_too_large = changes();
+    messages::append_entry(&mut value_too_large, &entry(1, 50));
     let value = vec![0; 600];
     messages::append_entry(
-        &mut large,
+        &mut value_too_large,
         &Entry {
             key: 3,
             version: 60,
             value,
         },
     );
-    // A row that claims far more bytes than there are.
-    let mut claims = changes();
-    messages::append_entry(&mut claims, &entry(1, 50));
-    put(&mut claims, &([9_u8; 8], 60_u64, u64::MAX));
-    let mut cut = changes();
-    messages::append_entry(&mut cut, &entry(1, 50));
-    messages::append_entry(&mut cut, &entry(2, 50));
-    cut.truncate(cut.len() - 1);
-    let mut later = changes();
-    messages::append_entry(&mut later, &entry(1, 50));
-    later[1] = FORMAT_VERSION + 1;
-    let back = messages::encode_response(&answer(ResponseBody::Changes {
+    // A row with a length beyond the end of the message.
+    let mut length_too_large = changes();
+    messages::append_entry(&mut length_too_large, &entry(1, 50));
+    append(&mut length_too_large, &([9_u8; 8], 60_u64, u64::MAX));
+    let mut truncated = changes();
+    messages::append_entry(&mut truncated, &entry(1, 50));
+    messages::append_entry(&mut truncated, &entry(2, 50));
+    truncated.truncate(truncated.len() - 1);
+    let mut later_version = changes();
+    messages::append_entry(&mut later_version, &entry(1, 50));
+    later_version[1] = FORMAT_VERSION + 1;
+    let reversed_range = messages::encode_response(&response(ResponseBody::Changes {
         after: 50,
         up_to: 20,
         last: true,
     }));
-    let beyond = messages::encode_response(&answer(ResponseBody::Changes {
+    let range_beyond_head = messages::encode_response(&response(ResponseBody::Changes {
         after: 0,
         up_to: 101,
         last: true,
     }));
-    let mut leaves = messages::encode_response(&answer(ResponseBody::LeafHashes { last: true }));
-    messages::append_leaf_hashes(&mut leaves, 64, &[0; 64]);
-    let mut trailing = messages::encode_response(&answer(ResponseBody::AdoptHead));
+    let mut invalid_branch =
+        messages::encode_response(&response(ResponseBody::LeafHashes { last: true }));
+    messages::append_leaf_hashes(&mut invalid_branch, 64, &[0; 64]);
+    let mut trailing = messages::encode_response(&response(ResponseBody::AdoptHead));
     trailing.push(0);
-    let tree = messages::encode_response(&answer(ResponseBody::BranchHashes));
-    let asked = messages::encode_request(&ask(Query::Changes), &[]);
+    let no_branch_hashes = messages::encode_response(&response(ResponseBody::BranchHashes));
+    let request = messages::encode_request(&request(Query::Changes), &[]);
     let cases = [
-        (absurd, "absurd-version"),
-        (zero, "absurd-version"),
-        (large, "value-too-large"),
-        (claims, "garbled"),
-        (cut, "garbled"),
-        (later, "later-form"),
-        (back, "absurd-cursor"),
-        (beyond, "absurd-cursor"),
-        (leaves, "absurd-leaf"),
+        (version_too_high, "absurd-version"),
+        (version_zero, "absurd-version"),
+        (value_too_large, "value-too-large"),
+        (length_too_large, "garbled"),
+        (truncated, "garbled"),
+        (later_version, "later-form"),
+        (reversed_range, "absurd-cursor"),
+        (range_beyond_head, "absurd-cursor"),
+        (invalid_branch, "absurd-leaf"),
         (trailing, "garbled"),
-        (tree, "garbled"),
-        (asked, "other-kind"),
+        (no_branch_hashes, "garbled"),
+        (request, "other-kind"),
         (vec![0, 1, 2, 3], "other-kind"),
         (Vec::new(), "garbled"),
         (vec![MAGIC, FORMAT_VERSION, 1], "garbled"),
     ];
     for (n, (body, reason)) in cases.into_iter().enumerate() {
-        let counted = malicious.counted(reason);
-        malicious.say(&body);
-        assert_eq!(malicious.counted(reason), counted + 1, "case {n}: {reason}");
+        let before_count = malicious.count_of(reason);
+        malicious.send(&body);
+        assert_eq!(
+            malicious.count_of(reason),
+            before_count + 1,
+            "case {n}: {reason}"
+        );
         assert_eq!(
             malicious.sim.followers[0].store().root_hash(),
             before,
             "case {n}"
         );
     }
-    // The same ends still understand each other.
-    let mut good = changes();
-    messages::append_entry(&mut good, &entry(1, 50));
-    malicious.say(&good);
+    // Valid messages in the same session are still accepted.
+    let mut valid = changes();
+    messages::append_entry(&mut valid, &entry(1, 50));
+    malicious.send(&valid);
     let held = malicious.sim.followers[0].store().get(1);
     assert_eq!(held.map(|entry| entry.version), Some(50));
 }
@@ -175,38 +180,45 @@
 fn invalid_requests_are_rejected_and_counted() {
     let mut sim = Simulation::new(52, &[LOCAL_ZONE]);
     sim.publish_all(&entries(0..100, 10));
-    let mut sessions = Sessions::new(handshake::id_of("liar"), 7, keys());
-    let body = postcard::to_stdvec(&identity("liar", follower_address(0), 7)).expect("encoded");
-    let hello = sessions.seal_answer(100, &body).expect("fits");
-    sim.sources[0].receive(sim.now, follower_address(0), &hello);
+    let mut sessions = Sessions::new(handshake::id_of("malicious"), 7, keys());
+    let body =
+        postcard::to_stdvec(&identity("malicious", follower_address(0), 7)).expect("encoded");
+    let answer = sessions.seal_answer(100, &body).expect("fits");
+    sim.sources[0].receive(sim.now, follower_address(0), &answer);
     for output in sim.sources[0].take_outputs() {
         if let spanspur_distribution::Output::Datagram(_, bytes) = output {
-            sessions.open(&bytes).expect("an answer");
+            sessions.open(&bytes).expect("a handshake answer");
         }
     }
-    let mut leaves = messages::encode_request(&ask(Query::NewerEntries { from: 0 }), &[]);
-    put(&mut leaves, &(9_u16, 0_u16));
-    let mut twice = leaves.clone();
-    put(&mut twice, &(9_u16, 0_u16));
-    let mut beyond = leaves.clone();
-    put(&mut beyond, &(4096_u16, 0_u16));
-    let mut many = leaves.clone();
-    put(&mut many, &(10_u16, u16::MAX));
-    let (mut wide, mut none, mut ahead) = (
-        ask(Query::Changes),
-        ask(Query::Changes),
-        ask(Query::Changes),
+    let mut leaves = messages::encode_request(&request(Query::NewerEntries { from: 0 }), &[]);
+    append(&mut leaves, &(9_u16, 0_u16));
+    let mut duplicate_leaf = leaves.clone();
+    append(&mut duplicate_leaf, &(9_u16, 0_u16));
+    let mut invalid_leaf = leaves.clone();
+    append(&mut invalid_leaf, &(4096_u16, 0_u16));
+    let mut count_too_large = leaves.clone();
+    append(&mut count_too_large, &(10_u16, u16::MAX));
+    let (mut window_too_large, mut window_zero, mut sequence_beyond_head) = (
+        request(Query::Changes),
+        request(Query::Changes),
+        request(Query::Changes),
     );
-    wide.window = MAX_WINDOW + 1;
-    none.window = 0;
-    ahead.sequence = 101;
+    window_too_large.window = MAX_WINDOW + 1;
+    window_zero.window = 0;
+    sequence_beyond_head.sequence = 101;
     let cases = [
-        (twice, "absurd-leaf"),
-        (beyond, "absurd-leaf"),
-        (many, "garbled"),
-        (messages::encode_request(&wide, &[]), "absurd-window"),
-        (messages::encode_request(&none, &[]), "absurd-window"),
-        (messages::encode_request(&ahead, &[]), "absurd-cursor"),
+        (duplicate_leaf, "absurd-leaf"),
+        (invalid_leaf, "absurd-leaf"),
+        (count_too_large, "garbled"),
+        (
+            messages::encode_request(&window_too_large, &[]),
+            "absurd-window",
+        ),
+        (messages::encode_request(&window_zero, &[]), "absurd-window"),
+        (
+            messages::encode_request(&sequence_beyond_head, &[]),
+            "absurd-cursor",
+        ),
         (changes(), "other-kind"),
     ];
     for (body, reason) in cases {
@@ -217,21 +229,21 @@
         sim.sources[0].receive(sim.now, follower_address(0), &bytes);
         let datagrams = sim.sources[0].take_outputs();
         assert!(sim.sources[0].counters()[reason] >= 1, "{reason}");
-        assert!(datagrams.is_empty(), "{reason}: answered");
+        assert!(datagrams.is_empty(), "{reason}: a response was sent");
     }
     let counters = sim.sources[0].counters();
-    let refused = [
+    let reasons = [
         "absurd-leaf",
         "garbled",
         "absurd-window",
         "absurd-cursor",
         "other-kind",
     ];
-    let counts: Vec<u64> = refused.iter().map(|reason| counters[reason]).collect();
+    let counts: Vec<u64> = reasons.iter().map(|reason| counters[reason]).collect();
     assert_eq!(counts, [2, 1, 2, 1, 1]);
 }
 
-/// Datagrams under another key, truncated, with a flipped bit, of random bytes, or replayed change nothing.
+/// Datagrams with another key, truncated, with a flipped bit, of random bytes, or replayed change nothing.
 #[test]
 fn datagrams_not_authenticated_for_this_incarnation_change_nothing() {
     for seed in 530..534 {
@@ -240,17 +252,17 @@
         sim.publish_all(&entries(0..500, 10));
         sim.add_follower(LOCAL_ZONE);
         sim.run(5000);
-        let tape = sim.capture.take().expect("kept");
-        let (store, acked) = (
+        let capture = sim.capture.take().expect("captured");
+        let (root_hash_before, status_before) = (
             sim.followers[0].store().root_hash(),
             sim.sources[0].status(sim.now),
         );
-        let mut tries = 0_u64;
+        let mut attempts = 0_u64;
         for _ in 0..4000 {
-            let (_, from, to, good) = &tape[sim.rng.random_range(0..tape.len())];
-            let mut bytes = good.clone();
+            let (_, from, to, sent) = &capture[sim.rng.random_range(0..capture.len())];
+            let mut bytes = sent.clone();
             match sim.rng.random_range(0..4) {
-                0 => bytes.truncate(sim.rng.random_range(0..good.len())),
+                0 => bytes.truncate(sim.rng.random_range(0..sent.len())),
                 1 => {
                     let at = sim.rng.random_range(0..bytes.len());
                     bytes[at] ^= 1 << sim.rng.random_range(0..8);
@@ -259,54 +271,57 @@
                     let size = sim.rng.random_range(0..1500);
                     bytes = (0..size).map(|_| sim.rng.random()).collect();
                 }
-                // Again, as it was.
+                // An unchanged replay.
                 _ => {}
             }
-            tries += 1;
+            attempts += 1;
             sim.deliver(*from, *to, &bytes);
         }
-        let other = Keys(vec![Key::new(b"the secret of somebody else")]);
-        let stranger = Sessions::new(handshake::id_of("control-0"), 100, other);
-        let forged = stranger.seal_answer(100, b"x").expect("fits");
+        let other_keys = Keys(vec![Key::new(b"the secret of somebody else")]);
+        let other_sessions = Sessions::new(handshake::id_of("control-0"), 100, other_keys);
+        let forged = other_sessions.seal_answer(100, b"x").expect("fits");
         sim.deliver(source_address(0), follower_address(0), &forged);
-        let refused: u64 = [sim.sources[0].counters(), sim.followers[0].counters()]
+        let rejected: u64 = [sim.sources[0].counters(), sim.followers[0].counters()]
             .iter()
             .flat_map(|counters| {
                 ["size", "version", "forged", "replay", "other-run"]
-                    .map(|why| counters.get(why).copied().unwrap_or(0))
+                    .map(|reason| counters.get(reason).copied().unwrap_or(0))
             })
             .sum();
-        println!("seed {seed}: {refused} of {tries} refused before they were read");
-        assert!(refused * 10 > tries * 9);
-        assert_eq!(sim.followers[0].store().root_hash(), store);
-        assert_eq!(sim.sources[0].status(sim.now).followers, acked.followers);
+        println!("seed {seed}: {rejected} of {attempts} rejected before decoding");
+        assert!(rejected * 10 > attempts * 9);
+        assert_eq!(sim.followers[0].store().root_hash(), root_hash_before);
+        assert_eq!(
+            sim.sources[0].status(sim.now).followers,
+            status_before.followers
+        );
         sim.run(3000);
         assert!(sim.same_content(0, 0));
         sim.publish_all(&[entry(1, 11)]);
         sim.run(1500);
-        assert!(sim.same_content(0, 0), "they still understand each other");
+        assert!(sim.same_content(0, 0), "valid datagrams are still accepted");
     }
 }
 
-/// Authenticated, with random bytes inside, as a later or faulty program would send them.
+/// Authenticated datagrams with random contents, as a later or faulty version would send them, cause no panic.
 #[test]
 fn random_bodies_under_the_right_key_never_panic() {
     for seed in 540..544 {
         let mut malicious = MaliciousSource::new(seed);
-        let mut good = changes();
-        messages::append_entry(&mut good, &entry(1, 50));
+        let mut valid = changes();
+        messages::append_entry(&mut valid, &entry(1, 50));
         for _ in 0..5000 {
             let rng = &mut malicious.sim.rng;
-            let mut body = good.clone();
+            let mut body = valid.clone();
             for _ in 0..rng.random_range(1..4) {
                 let at = rng.random_range(0..body.len());
                 body[at] = rng.random();
             }
             body.truncate(rng.random_range(0..=body.len()));
-            malicious.say(&body);
+            malicious.send(&body);
             let _ = malicious.sim.followers[0].take_outputs();
-            let asked = messages::decode_request(&body);
-            assert!(asked.is_err() || body[2] == 0);
+            let request = messages::decode_request(&body);
+            assert!(request.is_err() || body[2] == 0);
         }
         for entry in malicious.sim.followers[0].store().iter() {
             assert!(entry.version <= MAX_VERSION && entry.value.len() <= 512);
@@ -317,25 +332,25 @@
 #[test]
 fn a_full_store_rejects_entries_with_the_reason() {
     let mut store = EntryStore::default();
-    let large = |key, version| Entry {
+    let max_size_entry = |key, version| Entry {
         key,
         version,
         value: vec![1; 512],
     };
-    let room = (16 << 20) / 512;
-    for key in 0..room {
-        assert_eq!(store.insert_if_newer(&large(key, 1)), Ok(true));
+    let capacity = (16 << 20) / 512;
+    for key in 0..capacity {
+        assert_eq!(store.insert_if_newer(&max_size_entry(key, 1)), Ok(true));
     }
     assert_eq!(
-        store.insert_if_newer(&large(room, 1)),
+        store.insert_if_newer(&max_size_entry(capacity, 1)),
         Err(EntryError::StoreFull)
     );
     assert_eq!(
-        store.insert_if_newer(&large(3, 2)),
+        store.insert_if_newer(&max_size_entry(3, 2)),
         Ok(true),
-        "in place of the older"
+        "replaces the older version"
     );
-    let mut small = EntryStore::default();
+    let mut full_of_keys = EntryStore::default();
     for key in 0..65_536 {
         let value = Vec::new();
         let entry = Entry {
@@ -343,19 +358,19 @@
             version: 1,
             value,
         };
-        assert_eq!(small.insert_if_newer(&entry), Ok(true));
+        assert_eq!(full_of_keys.insert_if_newer(&entry), Ok(true));
     }
     assert_eq!(
-        small.insert_if_newer(&entry(70_000, 1)),
+        full_of_keys.insert_if_newer(&entry(70_000, 1)),
         Err(EntryError::StoreFull)
     );
     assert_eq!(
-        small.insert_if_newer(&entry(1, 0)),
+        full_of_keys.insert_if_newer(&entry(1, 0)),
         Err(EntryError::InvalidVersion)
     );
     assert_eq!(
-        small.insert_if_newer(&entry(1, MAX_VERSION + 1)),
+        full_of_keys.insert_if_newer(&entry(1, MAX_VERSION + 1)),
         Err(EntryError::InvalidVersion)
     );
-    assert_eq!(small.len(), 65_536);
+    assert_eq!(full_of_keys.len(), 65_536);
 }
