--- a/tests/hostile.rs
+++ b/tests/hostile.rs
@@ -24,7 +24,7 @@
 }
 
 struct World {
-    node: Node,
+    node: TestBalancer,
     random: Random,
     now: Time,
     seen: BTreeMap<RequestId, ObservedRequest>,
@@ -61,7 +61,7 @@
 impl World {
     fn new(seed: u64) -> Self {
         let mut world = World {
-            node: Node::seeded(settings(), seed),
+            node: TestBalancer::seeded(settings(), seed),
             random: Random(seed),
             now: 100.0,
             seen: BTreeMap::new(),
@@ -85,7 +85,7 @@
         };
         let old = self
             .listed
-            .get(&server(number).id)
+            .get(&endpoint(number).id)
             .map_or(0.0, |m| m.started_at);
         let started_at = if self.random.below(6) == 0 {
             self.now
@@ -97,7 +97,7 @@
             started_at,
             zone: number as u32 % 3,
             cell: number as u32 % 4,
-            ..server(number)
+            ..endpoint(number)
         }
     }
 
@@ -126,7 +126,7 @@
     }
 
     fn give(&mut self, event: Event) {
-        for action in self.node.give(self.now, event) {
+        for action in self.node.handle(self.now, event) {
             self.carry_out(action);
         }
     }
@@ -376,7 +376,7 @@
             80 => self.list(UpdateKind::Full),
             81 => self.give(Event::DiscoveryFailed),
             82..=84 => {
-                let at = server(self.random.below(SERVERS + 2)).id;
+                let at = endpoint(self.random.below(SERVERS + 2)).id;
                 let delay = self.random.below(30) as f64 / 1000.0;
                 self.give(Event::LatencyReport {
                     server: at,
@@ -406,7 +406,7 @@
                 };
                 self.listed = listed;
                 let entries: Vec<Endpoint> = self.listed.values().copied().collect();
-                self.node = Node::seeded(settings(), ids);
+                self.node = TestBalancer::seeded(settings(), ids);
                 self.give(Event::EndpointsUpdated {
                     kind: UpdateKind::Cached,
                     endpoints: entries.into(),
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -57,11 +57,11 @@
     let list: Vec<Endpoint> = (0..4)
         .map(|i| Endpoint {
             weight: weights[i],
-            ..server(i as u64)
+            ..endpoint(i as u64)
         })
         .collect();
-    let mut node = Node::new(config());
-    node.list(0.0, UpdateKind::Full, &list);
+    let mut node = TestBalancer::new(config());
+    node.update_endpoints(0.0, UpdateKind::Full, &list);
     let keys = 20_000;
     let mut counts = [0usize; 4];
     for i in 0..keys {
@@ -87,13 +87,13 @@
     let list: Vec<Endpoint> = (0..4)
         .map(|i| Endpoint {
             weight: unusable[i],
-            ..server(i as u64)
+            ..endpoint(i as u64)
         })
         .collect();
-    let plain: Vec<Endpoint> = (0..4).map(server).collect();
-    let (mut a, mut b) = (Node::new(config()), Node::new(config()));
-    a.list(0.0, UpdateKind::Full, &list);
-    b.list(0.0, UpdateKind::Full, &plain);
+    let plain: Vec<Endpoint> = (0..4).map(endpoint).collect();
+    let (mut a, mut b) = (TestBalancer::new(config()), TestBalancer::new(config()));
+    a.update_endpoints(0.0, UpdateKind::Full, &list);
+    b.update_endpoints(0.0, UpdateKind::Full, &plain);
     for i in 0..500 {
         let key = Key::of(&format!("key {i}"));
         assert_eq!(a.place(0.0, key), b.place(0.0, key));
@@ -102,10 +102,10 @@
 
 #[test]
 fn adding_or_removing_a_server_moves_only_its_own_keys() {
-    let list: Vec<Endpoint> = (0..10).map(server).collect();
-    let (mut all, mut fewer) = (Node::new(config()), Node::new(config()));
-    all.list(0.0, UpdateKind::Full, &list);
-    fewer.list(0.0, UpdateKind::Full, &list[1..]);
+    let list: Vec<Endpoint> = (0..10).map(endpoint).collect();
+    let (mut all, mut fewer) = (TestBalancer::new(config()), TestBalancer::new(config()));
+    all.update_endpoints(0.0, UpdateKind::Full, &list);
+    fewer.update_endpoints(0.0, UpdateKind::Full, &list[1..]);
     let mut moved = 0;
     for i in 0..2000 {
         let key = Key::of(&format!("key {i}"));
@@ -124,12 +124,12 @@
 
 #[test]
 fn balancers_with_the_same_endpoints_in_any_order_agree() {
-    let list: Vec<Endpoint> = (0..20).map(server).collect();
+    let list: Vec<Endpoint> = (0..20).map(endpoint).collect();
     let back: Vec<Endpoint> = list.iter().rev().copied().collect();
-    let mut a = Node::new(config());
-    let mut b = Node::seeded(config(), 99);
-    a.list(0.0, UpdateKind::Full, &list);
-    b.list(0.0, UpdateKind::Cached, &back);
+    let mut a = TestBalancer::new(config());
+    let mut b = TestBalancer::seeded(config(), 99);
+    a.update_endpoints(0.0, UpdateKind::Full, &list);
+    b.update_endpoints(0.0, UpdateKind::Cached, &back);
     for i in 0..500 {
         let key = Key::of(&format!("key {i}"));
         assert_eq!(a.place(0.0, key), b.place(0.0, key));
@@ -138,7 +138,7 @@
 
 #[test]
 fn the_placement_key_is_the_group_else_the_client_else_the_request() {
-    let list: Vec<Endpoint> = (0..20).map(server).collect();
+    let list: Vec<Endpoint> = (0..20).map(endpoint).collect();
     let best = |key: Key| {
         let high = |a: &&Endpoint, b: &&Endpoint| {
             score(key, a.id, 1.0)
@@ -147,8 +147,8 @@
         };
         list.iter().max_by(high).map(|m| m.id)
     };
-    let mut node = Node::new(config());
-    node.list(0.0, UpdateKind::Full, &list);
+    let mut node = TestBalancer::new(config());
+    node.update_endpoints(0.0, UpdateKind::Full, &list);
     let (group, client) = (Some(Key::of("shop")), Some(Key::of("till")));
     for (group, client) in [(group, client), (None, client), (None, None)] {
         let id = node.next_id();
@@ -158,6 +158,6 @@
             ..Request::new(id, 0, 2.0)
         };
         let want = best(group.or(client).unwrap_or(Key(id.0)));
-        assert_eq!(node.ask(0.0, request), want);
+        assert_eq!(node.request(0.0, request), want);
     }
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 fn fleet(count: u64) -> Vec<Endpoint> {
-    (0..count).map(server).collect()
+    (0..count).map(endpoint).collect()
 }
 
 fn with_message_objective() -> BalancerConfig {
@@ -23,16 +23,16 @@
 }
 
 /// A node with `each` connections established to each server.
-fn with_connections(config: BalancerConfig, seed: u64, servers: u64, each: u64) -> Node {
-    let mut node = Node::seeded(config, seed);
-    node.list(0.0, UpdateKind::Cached, &fleet(servers));
+fn with_connections(config: BalancerConfig, seed: u64, servers: u64, each: u64) -> TestBalancer {
+    let mut node = TestBalancer::seeded(config, seed);
+    node.update_endpoints(0.0, UpdateKind::Cached, &fleet(servers));
     for i in 0..servers * each {
         let id = RequestId(1_000_000 + i);
-        node.give(
+        node.handle(
             0.0,
             Event::AlreadyEstablished {
                 request: Request::new(id, 0, 2.0),
-                server: server(i % servers).id,
+                server: endpoint(i % servers).id,
             },
         );
     }
@@ -50,7 +50,7 @@
 fn attempts_at_cold_server(nodes: u64, each: u64, cold_capacity_share: f64, until: Time) -> usize {
     let cold = Endpoint {
         started_at: 100.0,
-        ..server(0)
+        ..endpoint(0)
     };
     let mut count = 0;
     for seed in 0..nodes {
@@ -68,8 +68,8 @@
         // Ten connections of the mean load fill a unit of weight: 80 a server.
         let large = |m: Endpoint| Endpoint { weight: 8.0, ..m };
         let list: Vec<Endpoint> = fleet(10).into_iter().map(large).collect();
-        node.list(99.0, UpdateKind::Full, &list);
-        node.list(100.0, UpdateKind::Delta, &[large(cold)]);
+        node.update_endpoints(99.0, UpdateKind::Full, &list);
+        node.update_endpoints(100.0, UpdateKind::Delta, &[large(cold)]);
         let mut now = 100.0;
         while now < until {
             let key = (0..)
@@ -97,7 +97,7 @@
 /// A key that ranks the first server of a fleet first.
 fn key_of_first(servers: u64) -> Key {
     let mut keys = (0..).map(Key);
-    keys.find(|key| prefers(*key, servers, server(0).id))
+    keys.find(|key| prefers(*key, servers, endpoint(0).id))
         .expect("a key")
 }
 
@@ -130,16 +130,16 @@
                 ..with_message_objective()
             };
             let mut fresh = with_connections(config, i, 10, 5);
-            fresh.list(
+            fresh.update_endpoints(
                 100.0,
                 UpdateKind::Delta,
                 &[Endpoint {
                     started_at: 100.0,
-                    ..server(0)
+                    ..endpoint(0)
                 }],
             );
             hits +=
-                usize::from(fresh.place(100.0 + age, Key(mix(i, age, 0))) == Some(server(0).id));
+                usize::from(fresh.place(100.0 + age, Key(mix(i, age, 0))) == Some(endpoint(0).id));
         }
         hits as f64 / 3000.0
     };
@@ -154,30 +154,30 @@
 #[test]
 fn a_server_that_restarts_under_the_same_id_warms_up_again() {
     let mut node = with_connections(with_message_objective(), 1, 2, 1);
-    node.list(
+    node.update_endpoints(
         50.0,
         UpdateKind::Delta,
         &[Endpoint {
             started_at: 50.0,
-            ..server(0)
+            ..endpoint(0)
         }],
     );
     let key = key_of_first(2);
     let first = (0..20)
-        .filter(|_| node.place(50.0, key) == Some(server(0).id))
+        .filter(|_| node.place(50.0, key) == Some(endpoint(0).id))
         .count();
     assert!(first <= 1, "{first} at once");
-    assert_eq!(node.place(65.0, key), Some(server(0).id), "warm");
-    node.list(
+    assert_eq!(node.place(65.0, key), Some(endpoint(0).id), "warm");
+    node.update_endpoints(
         70.0,
         UpdateKind::Delta,
         &[Endpoint {
             started_at: 70.0,
-            ..server(0)
+            ..endpoint(0)
         }],
     );
     let again = (0..20)
-        .filter(|_| node.place(70.0, key) == Some(server(0).id))
+        .filter(|_| node.place(70.0, key) == Some(endpoint(0).id))
         .count();
     assert!(again <= 1, "{again} at once after the restart");
 }
@@ -187,24 +187,24 @@
     let list: Vec<Endpoint> = (0..5)
         .map(|i| Endpoint {
             started_at: 10.0,
-            ..server(i)
+            ..endpoint(i)
         })
         .collect();
-    let mut node = Node::new(with_message_objective());
-    node.list(10.0, UpdateKind::Full, &list);
+    let mut node = TestBalancer::new(with_message_objective());
+    node.update_endpoints(10.0, UpdateKind::Full, &list);
     let (mut placed, mut answered) = (0, 0);
     let mut end = BTreeMap::new();
     for step in 0..400 {
         let now = 10.0 + f64::from(step) * 0.05;
         let id = node.next_id();
         end.insert(id, now + 2.0);
-        let mut actions = node.give(now, Event::Request(Request::new(id, 0, now + 2.0)));
-        actions.extend(node.give(now, Event::Timer(2)));
+        let mut actions = node.handle(now, Event::Request(Request::new(id, 0, now + 2.0)));
+        actions.extend(node.handle(now, Event::Timer(2)));
         for action in actions {
             match action {
                 Action::StartAttempt { id, server, .. } => {
                     placed += 1;
-                    node.give(now, Event::Established { id, server });
+                    node.handle(now, Event::Established { id, server });
                     end.remove(&id);
                 }
                 Action::Reject { id, .. } => {
@@ -227,25 +227,25 @@
     let before: Vec<_> = (0..300)
         .map(|i| node.place(1.0, Key(mix(9, 0.0, i))))
         .collect();
-    node.give(
+    node.handle(
         2.0,
         Event::LatencyReport {
-            server: server(0).id,
+            server: endpoint(0).id,
             message_latency: 0.024,
         },
     );
     for (i, was) in before.iter().enumerate() {
         let to = node.place(2.1, Key(mix(9, 0.0, i as u64)));
-        if *was == Some(server(0).id) {
+        if *was == Some(endpoint(0).id) {
             assert!(to.is_some() && to != *was);
         } else {
             assert_eq!(to, *was);
         }
     }
-    node.give(
+    node.handle(
         3.0,
         Event::LatencyReport {
-            server: server(0).id,
+            server: endpoint(0).id,
             message_latency: 0.004,
         },
     );
@@ -258,37 +258,37 @@
 fn a_busy_report_expires() {
     let mut node = with_connections(with_message_objective(), 1, 2, 0);
     let key = key_of_first(2);
-    node.give(
+    node.handle(
         2.0,
         Event::LatencyReport {
-            server: server(0).id,
+            server: endpoint(0).id,
             message_latency: 0.024,
         },
     );
-    assert_eq!(node.place(5.0, key), Some(server(1).id));
-    assert_eq!(node.place(12.0, key), Some(server(0).id));
+    assert_eq!(node.place(5.0, key), Some(endpoint(1).id));
+    assert_eq!(node.place(12.0, key), Some(endpoint(0).id));
 }
 
 #[test]
 fn of_busy_servers_the_least_busy_is_used_and_of_overloaded_ones_none() {
     let mut node = with_connections(with_message_objective(), 1, 3, 2);
     for (i, delay) in [0.027, 0.022, 0.029].into_iter().enumerate() {
-        node.give(
+        node.handle(
             2.0,
             Event::LatencyReport {
-                server: server(i as u64).id,
+                server: endpoint(i as u64).id,
                 message_latency: delay,
             },
         );
     }
     for i in 0..50 {
-        assert_eq!(node.place(2.1, Key(mix(5, 0.0, i))), Some(server(1).id));
+        assert_eq!(node.place(2.1, Key(mix(5, 0.0, i))), Some(endpoint(1).id));
     }
     (0..3).for_each(|i| {
-        drop(node.give(
+        drop(node.handle(
             3.0,
             Event::LatencyReport {
-                server: server(i).id,
+                server: endpoint(i).id,
                 message_latency: 0.5,
             },
         ))
@@ -310,19 +310,19 @@
     for _ in 0..4 {
         let id = node.next_id();
         assert_eq!(
-            node.ask(
+            node.request(
                 now,
                 Request {
                     key,
                     ..Request::new(id, 0, now + 2.0)
                 }
             ),
-            Some(server(0).id)
+            Some(endpoint(0).id)
         );
-        node.end(now, id, 0, server(0).id, Outcome::ConnectFailed);
-        node.give(now, Event::ClientDisconnected(id));
+        node.end_attempt(now, id, 0, endpoint(0).id, Outcome::ConnectFailed);
+        node.handle(now, Event::ClientDisconnected(id));
         let from = now;
-        while node.place(now, first_server_key) != Some(server(0).id) {
+        while node.place(now, first_server_key) != Some(endpoint(0).id) {
             now += 0.1;
             assert!(now - from < 60.0, "never used again");
         }
@@ -331,37 +331,43 @@
     }
     assert!(ejections.windows(2).all(|w| w[1] > w[0]), "{ejections:?}");
     let id = node.next_id();
-    node.ask(
+    node.request(
         now,
         Request {
             key,
             ..Request::new(id, 0, now + 2.0)
         },
     );
-    node.give(
+    node.handle(
         now,
         Event::Established {
             id,
-            server: server(0).id,
+            server: endpoint(0).id,
         },
     );
     let id = node.next_id();
-    node.ask(
+    node.request(
         now,
         Request {
             key,
             ..Request::new(id, 0, now + 2.0)
         },
     );
-    node.end(now, id, 0, server(0).id, Outcome::ConnectFailed);
-    assert_eq!(node.place(now + 0.1, first_server_key), Some(server(1).id));
-    assert_eq!(node.place(now + 30.0, first_server_key), Some(server(0).id));
+    node.end_attempt(now, id, 0, endpoint(0).id, Outcome::ConnectFailed);
+    assert_eq!(
+        node.place(now + 0.1, first_server_key),
+        Some(endpoint(1).id)
+    );
+    assert_eq!(
+        node.place(now + 30.0, first_server_key),
+        Some(endpoint(0).id)
+    );
 }
 
 #[test]
 fn busy_servers_lose_the_heaviest_connections_gradually_and_saturated_ones_in_any_case() {
     let mut node = with_connections(with_message_objective(), 1, 5, 100);
-    node.give(
+    node.handle(
         1.0,
         Event::LoadReport {
             id: RequestId(1_000_000 + 35),
@@ -370,10 +376,10 @@
     );
     let slight: usize = (0..10)
         .map(|i| {
-            migrations(&node.give(
+            migrations(&node.handle(
                 2.0 + f64::from(i),
                 Event::LatencyReport {
-                    server: server(1).id,
+                    server: endpoint(1).id,
                     message_latency: 0.021,
                 },
             ))
@@ -383,10 +389,10 @@
         slight <= 10,
         "{slight} migrations off a server that is just busy"
     );
-    let actions = node.give(
+    let actions = node.handle(
         20.0,
         Event::LatencyReport {
-            server: server(0).id,
+            server: endpoint(0).id,
             message_latency: 0.2,
         },
     );
@@ -400,36 +406,36 @@
         "the heaviest goes first"
     );
     let mut node = with_connections(with_message_objective(), 1, 2, 100);
-    node.give(
+    node.handle(
         2.0,
         Event::LatencyReport {
-            server: server(1).id,
+            server: endpoint(1).id,
             message_latency: 0.5,
         },
     );
     assert!(
-        migrations(&node.give(
+        migrations(&node.handle(
             2.0,
             Event::LatencyReport {
-                server: server(0).id,
+                server: endpoint(0).id,
                 message_latency: 0.5
             }
         )) > 0,
         "migrate though no server has capacity"
     );
     let mut node = with_connections(with_message_objective(), 1, 2, 100);
-    node.give(
+    node.handle(
         2.0,
         Event::LatencyReport {
-            server: server(1).id,
+            server: endpoint(1).id,
             message_latency: 0.05,
         },
     );
     assert_eq!(
-        migrations(&node.give(
+        migrations(&node.handle(
             2.0,
             Event::LatencyReport {
-                server: server(0).id,
+                server: endpoint(0).id,
                 message_latency: 0.05
             }
         )),
@@ -445,28 +451,28 @@
     for i in 0..50 {
         node.place(f64::from(i) * 0.1, key);
     }
-    node.give(
+    node.handle(
         6.0,
         Event::LatencyReport {
-            server: server(0).id,
+            server: endpoint(0).id,
             message_latency: 0.5,
         },
     );
-    node.give(
+    node.handle(
         7.0,
         Event::LatencyReport {
-            server: server(0).id,
+            server: endpoint(0).id,
             message_latency: 0.001,
         },
     );
     let burst = (0..100)
-        .filter(|_| node.place(7.1, key) == Some(server(0).id))
+        .filter(|_| node.place(7.1, key) == Some(endpoint(0).id))
         .count();
     assert!(
         burst < 40,
         "{burst} of 100 at once at a server that has just recovered"
     );
-    assert_eq!(node.place(20.0, key), Some(server(0).id));
+    assert_eq!(node.place(20.0, key), Some(endpoint(0).id));
 }
 
 #[test]
@@ -483,24 +489,24 @@
             each,
         );
         let key = Some(key_of_first(2));
-        node.give(
+        node.handle(
             6.0,
             Event::LatencyReport {
-                server: server(1).id,
+                server: endpoint(1).id,
                 message_latency: 0.5,
             },
         );
-        node.give(
+        node.handle(
             6.0,
             Event::LatencyReport {
-                server: server(0).id,
+                server: endpoint(0).id,
                 message_latency: 0.5,
             },
         );
-        node.give(
+        node.handle(
             7.0,
             Event::LatencyReport {
-                server: server(0).id,
+                server: endpoint(0).id,
                 message_latency: 0.001,
             },
         );
@@ -512,9 +518,9 @@
                 is_reconnect: true,
                 ..Request::new(id, 0, now + 0.04)
             };
-            let to = node.ask(now, request);
-            node.give(now, Event::ClientDisconnected(id));
-            to == Some(server(0).id)
+            let to = node.request(now, request);
+            node.handle(now, Event::ClientDisconnected(id));
+            to == Some(endpoint(0).id)
         });
         sent.count()
     };
@@ -532,24 +538,25 @@
     for i in 0..200 {
         let now = 1.0 + f64::from(i) * 0.01;
         let id = node.next_id();
-        let mut actions = node.give(now, Event::Request(Request::new(id, 0, now + 2.0)));
-        while let Some(Action::StartAttempt { id, server, .. }) =
-            actions.iter().find(|a| sent(&[(*a).clone()]).is_some())
+        let mut actions = node.handle(now, Event::Request(Request::new(id, 0, now + 2.0)));
+        while let Some(Action::StartAttempt { id, server, .. }) = actions
+            .iter()
+            .find(|a| attempted_server(&[(*a).clone()]).is_some())
         {
             sends += 1;
-            actions = node.end(now, *id, 0, *server, Outcome::Error);
+            actions = node.end_attempt(now, *id, 0, *server, Outcome::Error);
         }
     }
     assert!(sends < 40, "{sends} attempts in 2 s while all fail");
     let id = node.next_id();
     let to = node
-        .ask(30.0, Request::new(id, 0, 32.0))
+        .request(30.0, Request::new(id, 0, 32.0))
         .expect("an attempt after the gap");
-    (0..3).for_each(|_| drop(node.give(30.0, Event::Established { id, server: to })));
+    (0..3).for_each(|_| drop(node.handle(30.0, Event::Established { id, server: to })));
     for i in 0..4 {
         let id = node.next_id();
-        if let Some(to) = node.ask(40.0 + 5.0 * f64::from(i), Request::new(id, 0, 60.0)) {
-            node.give(
+        if let Some(to) = node.request(40.0 + 5.0 * f64::from(i), Request::new(id, 0, 60.0)) {
+            node.handle(
                 40.0 + 5.0 * f64::from(i),
                 Event::Established { id, server: to },
             );
@@ -563,10 +570,13 @@
 
 #[test]
 fn requests_without_hints_or_groups_are_placed_on_a_single_server() {
-    let mut node = Node::new(config());
-    node.list(0.0, UpdateKind::Full, &fleet(1));
+    let mut node = TestBalancer::new(config());
+    node.update_endpoints(0.0, UpdateKind::Full, &fleet(1));
     for i in 0..100 {
-        assert_eq!(node.place(f64::from(i), Key(i as u64)), Some(server(0).id));
+        assert_eq!(
+            node.place(f64::from(i), Key(i as u64)),
+            Some(endpoint(0).id)
+        );
     }
 }
 
@@ -587,7 +597,7 @@
         let now = 10.0 + f64::from(i) * 0.025;
         if i == 400 {
             for j in 0..20 {
-                let (id, server) = (RequestId(1_000_000 + 5 * j), server(0).id);
+                let (id, server) = (RequestId(1_000_000 + 5 * j), endpoint(0).id);
                 let ended = AttemptEnded {
                     id,
                     attempt: 0,
@@ -595,16 +605,16 @@
                     outcome: Outcome::Reset,
                     is_final: true,
                 };
-                node.give(now, Event::AttemptEnded(ended));
+                node.handle(now, Event::AttemptEnded(ended));
             }
         }
         let id = node.next_id();
-        let mut actions = node.give(now, Event::Request(Request::new(id, 0, now + 2.0)));
-        actions.extend(node.give(now, Event::Timer(2)));
+        let mut actions = node.handle(now, Event::Request(Request::new(id, 0, now + 2.0)));
+        actions.extend(node.handle(now, Event::Timer(2)));
         for action in actions {
             if let Action::StartAttempt { id, server, .. } = action {
                 placed += usize::from((400..480).contains(&i));
-                node.give(now, Event::Established { id, server });
+                node.handle(now, Event::Established { id, server });
             }
         }
     }
@@ -625,7 +635,7 @@
     // One heavy connection and nine light ones: together more than the server's weight of 1 can do.
     let heavy = RequestId(1_000_000);
     for i in 1..50 {
-        node.give(
+        node.handle(
             1.0,
             Event::LoadReport {
                 id: RequestId(1_000_000 + i),
@@ -633,8 +643,8 @@
             },
         );
     }
-    assert_eq!(node.place(1.5, first_server_key), Some(server(0).id));
-    let actions = node.give(
+    assert_eq!(node.place(1.5, first_server_key), Some(endpoint(0).id));
+    let actions = node.handle(
         2.0,
         Event::LoadReport {
             id: heavy,
@@ -642,15 +652,15 @@
         },
     );
     assert_eq!(migrations(&actions), 0, "{actions:?}");
-    assert_ne!(node.place(3.0, first_server_key), Some(server(0).id));
-    node.give(
+    assert_ne!(node.place(3.0, first_server_key), Some(endpoint(0).id));
+    node.handle(
         14.0,
         Event::LoadReport {
             id: heavy,
             load: 1_000.0,
         },
     );
-    assert_eq!(node.place(15.0, first_server_key), Some(server(0).id));
+    assert_eq!(node.place(15.0, first_server_key), Some(endpoint(0).id));
 }
 
 #[test]
@@ -662,22 +672,22 @@
     one.classes[0].message_latency_objective = Some(0.25);
     let mut node = with_connections(one, 1, 5, 0);
     let first_server_key = key_of_first(5);
-    let set_up = |node: &mut Node, at: Time, took: Time| {
+    let set_up = |node: &mut TestBalancer, at: Time, took: Time| {
         let id = node.next_id();
         let request = Request {
             key: Some(first_server_key),
             ..Request::new(id, 0, at + 2.0)
         };
-        let to = node.ask(at, request).expect("a server");
-        node.give(at + took, Event::Established { id, server: to });
+        let to = node.request(at, request).expect("a server");
+        node.handle(at + took, Event::Established { id, server: to });
         to
     };
     // Set-up times vary, above all in a burst; an excess below the busy threshold says nothing.
     for (i, took) in [0.015, 0.01, 0.02, 0.08].repeat(3).into_iter().enumerate() {
-        assert_eq!(set_up(&mut node, i as f64, took), server(0).id);
+        assert_eq!(set_up(&mut node, i as f64, took), endpoint(0).id);
     }
-    assert_eq!(set_up(&mut node, 12.0, 0.18), server(0).id);
-    assert_ne!(set_up(&mut node, 13.0, 0.015), server(0).id);
+    assert_eq!(set_up(&mut node, 12.0, 0.18), endpoint(0).id);
+    assert_ne!(set_up(&mut node, 13.0, 0.015), endpoint(0).id);
 }
 
 #[test]
@@ -687,18 +697,18 @@
         let ended = AttemptEnded {
             id: RequestId(1_000_000 + 5 * i),
             attempt: 0,
-            server: server(0).id,
+            server: endpoint(0).id,
             outcome: Outcome::Reset,
             is_final: true,
         };
-        node.give(1.0, Event::AttemptEnded(ended));
+        node.handle(1.0, Event::AttemptEnded(ended));
     }
     // The others take the reconnecting clients, and that server is used again soon.
     for i in 0..5 {
         let at = 1.5 + i as f64 / 2.0;
         assert!(node.place(at, Key(i)).is_some(), "queued at {at}");
     }
-    assert_eq!(node.place(12.0, key_of_first(5)), Some(server(0).id));
+    assert_eq!(node.place(12.0, key_of_first(5)), Some(endpoint(0).id));
 }
 
 #[test]
@@ -706,7 +716,7 @@
     let mut node = with_connections(with_message_objective(), 1, 2, 10);
     for second in 2..6 {
         for i in 0..20 {
-            node.give(
+            node.handle(
                 f64::from(second),
                 Event::LoadReport {
                     id: RequestId(1_000_000 + i),
@@ -729,14 +739,14 @@
             ..Request::new(id, 0, at + 2.0)
         };
         // One error may be the request's own fault.
-        assert_eq!(node.ask(at, request), Some(server(0).id));
-        node.end(at, id, 0, server(0).id, Outcome::Error);
-        node.give(at, Event::ClientDisconnected(id));
+        assert_eq!(node.request(at, request), Some(endpoint(0).id));
+        node.end_attempt(at, id, 0, endpoint(0).id, Outcome::Error);
+        node.handle(at, Event::ClientDisconnected(id));
     }
     let next = node
         .place(1.5, first_server_key)
         .expect("an attempt at once");
-    assert_ne!(next, server(0).id);
+    assert_ne!(next, endpoint(0).id);
 }
 
 #[test]
@@ -754,10 +764,10 @@
             key: Some(first_server_key),
             ..Request::new(id, 0, at + 2.0)
         };
-        let to = node.ask(at, request).expect("a server");
-        there += u32::from(to == server(0).id);
-        node.give(at, Event::Established { id, server: to });
-        node.give(at, Event::LoadReport { id, load: 50_000.0 });
+        let to = node.request(at, request).expect("a server");
+        there += u32::from(to == endpoint(0).id);
+        node.handle(at, Event::Established { id, server: to });
+        node.handle(at, Event::LoadReport { id, load: 50_000.0 });
     }
     assert!((5..25).contains(&there), "{there} of 40 at one server");
 }
@@ -768,10 +778,10 @@
     let ended = AttemptEnded {
         id: RequestId(1_000_000),
         attempt: 0,
-        server: server(0).id,
+        server: endpoint(0).id,
         outcome: Outcome::Reset,
         is_final: true,
     };
-    node.give(1.0, Event::AttemptEnded(ended));
-    assert_eq!(node.place(1.01, key_of_first(5)), Some(server(0).id));
+    node.handle(1.0, Event::AttemptEnded(ended));
+    assert_eq!(node.place(1.01, key_of_first(5)), Some(endpoint(0).id));
 }
--- a/tests/snapshot.rs
+++ b/tests/snapshot.rs
@@ -8,7 +8,7 @@
 #[path = "common/fixture.rs"]
 mod fixture;
 
-use common::{Node, Random, config, server};
+use common::{Random, TestBalancer, config, endpoint};
 use spanspur::Balancer;
 use spanspur::api::*;
 use std::collections::BTreeMap;
@@ -64,7 +64,7 @@
 }
 
 struct World {
-    node: Node,
+    node: TestBalancer,
     random: Random,
     now: Time,
     asked: BTreeMap<RequestId, Asked>,
@@ -98,7 +98,7 @@
 impl World {
     fn new() -> Self {
         let mut world = Self {
-            node: Node::seeded(settings(), SEED),
+            node: TestBalancer::seeded(settings(), SEED),
             random: Random(SEED),
             now: 100.0,
             asked: BTreeMap::new(),
@@ -113,7 +113,7 @@
     }
 
     fn give(&mut self, event: Event) {
-        for action in self.node.give(self.now, event) {
+        for action in self.node.handle(self.now, event) {
             let (kind, text) = line(&action);
             *self.counts.entry(kind).or_default() += 1;
             let _ = writeln!(self.lines, "{kind} {text}");
@@ -171,7 +171,7 @@
                 weight: [2.0, 0.5, 1.0][number as usize % 3],
                 started_at: self.started.get(&number).copied().unwrap_or(0.0),
                 cell: number as u32 % 4,
-                ..server(number)
+                ..endpoint(number)
             });
         }
         self.give(Event::EndpointsUpdated {
@@ -300,7 +300,7 @@
             3 => self.list(UpdateKind::Full),
             4 => self.give(Event::DiscoveryFailed),
             5..=6 => {
-                let id = server(self.random.below(SERVERS)).id;
+                let id = endpoint(self.random.below(SERVERS)).id;
                 let until = (self.random.below(2) == 0).then_some(now + 1.5);
                 self.give(Event::HealthChecked {
                     server: id,
@@ -334,7 +334,7 @@
 
     /// Another process goes on: it has the snapshot, the settings and the list, and is given what stands.
     fn replace(&mut self, balancer: Balancer) {
-        self.node.balancer = balancer;
+        self.node.inner = balancer;
         self.timers.clear();
         self.asked
             .retain(|_, asked| matches!(asked.phase, Phase::Standing(_)));
@@ -366,7 +366,7 @@
     let mut world = World::new();
     let mut text = String::new();
     world.run("before", TURNS_BEFORE, &mut text);
-    let snapshot = write(&world.node.balancer);
+    let snapshot = write(&world.node.inner);
     assert!(
         snapshot.len() > 500,
         "{} bytes: too few to say anything",
@@ -382,7 +382,7 @@
 
     world.replace(read(&kept));
     world.run("after", TURNS_AFTER, &mut text);
-    let last = write(&world.node.balancer);
+    let last = write(&world.node.inner);
     let _ = writeln!(
         text,
         "last snapshot: {} bytes, {:016x}",
