--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -1,20 +1,20 @@
-//! Admission: a request that no server has capacity for is queued, and attempted again at intervals,
-//! until an attempt is started or none would be in time.
+//! Admission: a request for which no server has capacity is queued. The queue is retried at intervals, until
+//! an attempt starts or could no longer be in time.
 
 use super::Balancer;
 use super::api::{Action, BalancerConfig, Request, RequestId, Time};
 use super::request_state::{Phase, RequestState};
 
-/// The timer that attempts the queued requests again.
+/// Token of the timer that retries the queue.
 pub(super) const QUEUE_TIMER: u64 = 2;
-/// The interval between two passes over the queue, in the shortest latency objective.
+/// The interval between two passes over the queue, as a fraction of the shortest latency objective.
 const QUEUE_INTERVAL_OBJECTIVES: f64 = 0.25;
-/// Its least value, in seconds.
+/// Minimum of the interval, in seconds.
 const MIN_QUEUE_INTERVAL: Time = 0.01;
-/// Its greatest value, in seconds.
+/// Maximum of the interval, in seconds.
 const MAX_QUEUE_INTERVAL: Time = 1.0;
 
-/// Seconds between two passes over the queue.
+/// Seconds between two passes over the queue, before jitter.
 pub(super) fn queue_interval(config: &BalancerConfig) -> Time {
     let shortest_objective = config
         .classes
@@ -25,7 +25,7 @@
 }
 
 impl Balancer {
-    /// Takes a client's request. One with a known id is a duplicate of the event.
+    /// Admits a client's request. A request with a known id is a duplicate event and ignored.
     pub(super) fn admit_request(
         &mut self,
         now: Time,
@@ -41,7 +41,7 @@
         self.dispatch_request(now, request.id, actions);
     }
 
-    /// Keeps a request until the next pass over the queue.
+    /// Queues a request until the next pass over the queue.
     pub(super) fn enqueue_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if self.queue.is_empty() {
             actions.push(Action::SetTimer {
@@ -52,7 +52,7 @@
         self.queue.push(id);
     }
 
-    /// Attempts all queued requests again, in order of arrival. Those that ended meanwhile are dropped.
+    /// Dispatches all queued requests again, in order of arrival. Drops those that ended in the meantime.
     pub(super) fn retry_queued(&mut self, now: Time, actions: &mut Vec<Action>) {
         for id in std::mem::take(&mut self.queue) {
             self.dispatch_request(now, id, actions);
--- a/src/balancer/attempt.rs
+++ b/src/balancer/attempt.rs
@@ -1,20 +1,19 @@
-//! The attempts of a request: the next step of a pending one, its start, and what follows while it is in
-//! flight.
+//! Attempts: what a pending request does next, the start of an attempt, and events while it is in flight.
 
 use super::Balancer;
 use super::api::{Action, Request, RequestId, ServerId, Time};
 use super::request_state::{Phase, RequestState};
 use super::retry::RetryDecision;
 
-/// What is done with a pending request.
+/// What a pending request does next.
 enum NextStep {
     Start {
         server: ServerId,
         timeout_at: Time,
     },
-    /// No server has capacity yet.
+    /// Wait for capacity.
     Queue,
-    /// No attempt may follow, or none would be in time.
+    /// No attempt may start, or none would be in time.
     GiveFinalAnswer,
 }
 
@@ -43,7 +42,7 @@
             let timeout_at = self.attempt_timeout_at(now, state);
             return NextStep::Start { server, timeout_at };
         }
-        // A rejected client retries at once: to keep it waiting here costs the servers nothing.
+        // A rejected client retries at once, whereas a queued request costs the servers nothing.
         if now + self.latency_objective(state) < state.request.deadline {
             NextStep::Queue
         } else {
@@ -77,7 +76,7 @@
         self.attach_request(id, server, load);
     }
 
-    /// Leaves a gap after an attempt while servers fail.
+    /// Starts the backoff gap after an attempt, if the backoff is active.
     fn start_backoff_gap(&mut self, now: Time) {
         if self.backoff.is_active() {
             let gap = self
@@ -88,7 +87,7 @@
         }
     }
 
-    /// The attempt in flight became an established connection.
+    /// Handles that the attempt in flight became an established connection.
     pub(super) fn attempt_established(
         &mut self,
         now: Time,
@@ -104,20 +103,20 @@
         }
         state.phase = Phase::Established(server);
         let setup_time = now - state.sent_at;
-        self.established += 1;
+        self.established_count += 1;
         self.backoff.decrease();
         if let Some(server) = self.server_mut(server) {
             server.record_established();
         }
         if let Some(excess) = self.setup_time.record(setup_time) {
-            let latency_ratio = excess / self.busy_message_latency;
+            let latency_ratio = excess / self.busy_latency_threshold;
             if latency_ratio >= 1.0 {
                 self.record_latency_ratio(now, server, latency_ratio, actions);
             }
         }
     }
 
-    /// Takes over a connection that was established before this balancer started.
+    /// Adopts a connection that was established before this balancer started.
     pub(super) fn adopt_established(&mut self, now: Time, request: &Request, server: ServerId) {
         if self.requests.contains_key(&request.id) || self.server_index(server).is_none() {
             return;
@@ -125,11 +124,12 @@
         let phase = Phase::Established(server);
         let state = RequestState::new(now, request, phase, self.mean_load());
         self.attach_request(request.id, server, state.load);
-        self.established += 1;
+        self.established_count += 1;
         self.requests.insert(request.id, state);
     }
 
-    /// Forgets a request whose client disconnected, and cancels its attempt in flight to spare the server.
+    /// Releases a request whose client disconnected. Cancels its attempt in flight, if allowed, to spare the
+    /// server the work.
     pub(super) fn client_disconnected(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if let Some(state) = self.release_request(id)
             && matches!(state.phase, Phase::InFlight(_))
--- a/src/balancer/backoff.rs
+++ b/src/balancer/backoff.rs
@@ -1,19 +1,20 @@
-//! Backoff of a whole balancer: while servers fail, it leaves a gap between attempts, which doubles with
-//! each failure and halves with each established connection. Immediate retries would keep an overloaded
-//! fleet down.
+//! Backoff of a whole balancer: while servers fail, it leaves a gap between attempts. The gap doubles with
+//! each failure, and its exponent halves with each established connection. Immediate retries would keep an
+//! overloaded fleet down.
 
 use super::api::Time;
 use serde::{Deserialize, Serialize};
 
-/// Highest exponent: the gap is at most 2^7 units.
+/// Maximum exponent: the gap is at most 2^7 units.
 const MAX_EXPONENT: u32 = 7;
-/// The unit of the gap, in mean times between first attempts: busy balancers send more in the same gap.
-const GAP_ARRIVAL_SHARE: f64 = 1.0 / 12.0;
+/// The unit of the gap, in mean interarrival times of first attempts: in the same gap, more requests arrive
+/// at a busy balancer.
+const GAP_UNIT_INTERARRIVAL_TIMES: f64 = 1.0 / 12.0;
 
-/// The present gap. A part of the snapshot: the order and the types of the fields are fixed.
+/// The state of the backoff. Part of the snapshot: the order and the types of the fields are fixed.
 #[derive(Default, Deserialize, Serialize)]
 pub(super) struct Backoff {
-    /// 0: no gap.
+    /// The gap is 2 to this power units; 0 means no gap.
     backoff_exponent: u32,
     /// No attempt starts before this time.
     next_attempt_at: Time,
@@ -24,12 +25,12 @@
         now >= self.next_attempt_at
     }
 
-    /// A server failed.
+    /// Records a failure of a server.
     pub(super) fn increase(&mut self) {
         self.backoff_exponent = (self.backoff_exponent + 1).min(MAX_EXPONENT);
     }
 
-    /// A connection was established.
+    /// Records an established connection.
     pub(super) fn decrease(&mut self) {
         self.backoff_exponent /= 2;
     }
@@ -38,10 +39,10 @@
         self.backoff_exponent > 0
     }
 
-    /// The gap in seconds before jitter. `longest_unit` in seconds, `first_attempt_rate` in attempts a
+    /// The gap in seconds, before jitter. `max_unit` is in seconds, `first_attempt_rate` in attempts per
     /// second.
-    pub(super) fn gap(&self, longest_unit: Time, first_attempt_rate: f64) -> Time {
-        let unit = longest_unit.min(GAP_ARRIVAL_SHARE / first_attempt_rate);
+    pub(super) fn gap(&self, max_unit: Time, first_attempt_rate: f64) -> Time {
+        let unit = max_unit.min(GAP_UNIT_INTERARRIVAL_TIMES / first_attempt_rate);
         unit * f64::from(1 << self.backoff_exponent)
     }
 
--- a/src/balancer/discovery_poll.rs
+++ b/src/balancer/discovery_poll.rs
@@ -1,30 +1,30 @@
-//! Polls of discovery: once at the start and after a change of the configuration, then with backoff after
-//! failures.
+//! Polling of discovery: once at the start and after each configuration change, then with backoff after each
+//! failure.
 
 use super::Balancer;
 use super::api::{Action, DiscoveryMode, Time};
 use serde::{Deserialize, Serialize};
 
-/// The timer that polls discovery again.
+/// Token of the timer that polls discovery again.
 pub(super) const DISCOVERY_POLL_TIMER: u64 = 1;
-/// Backoff after the first failure, in `discovery_backoff_base`.
+/// Backoff after the first failure, as a fraction of `discovery_backoff_base`.
 const INITIAL_BACKOFF_SHARE: f64 = 1.0 / 32.0;
-/// How often the backoff is doubled at most: it stays within half of `discovery_backoff_base`.
+/// Maximum number of times the backoff is doubled: it is at most half of `discovery_backoff_base`.
 const MAX_BACKOFF_DOUBLINGS: i32 = 4;
-/// Longest backoff before jitter, in seconds.
+/// Maximum backoff before jitter, in seconds.
 const MAX_BACKOFF: Time = 2.0;
 
-/// State of the polls. A part of the snapshot: the order and the types of the fields are fixed.
+/// State of the polling. Part of the snapshot: the order and the types of the fields are fixed.
 #[derive(Default, Deserialize, Serialize)]
 pub(super) struct DiscoveryPoll {
     consecutive_failures: i32,
-    /// The first poll was requested.
+    /// Whether the first poll was requested.
     is_started: bool,
 }
 
 impl DiscoveryPoll {
-    /// Forgets failures: the configuration may name another discovery service.
-    pub(super) fn restart(&mut self) {
+    /// Forgets all failures and polls anew: the configuration may name another discovery service.
+    pub(super) fn reset(&mut self) {
         *self = Self::default();
     }
 
@@ -32,7 +32,7 @@
         self.consecutive_failures = 0;
     }
 
-    /// Takes a failure; seconds until the next poll, before jitter.
+    /// Records a failure and returns the seconds until the next poll, before jitter.
     fn record_failure(&mut self, discovery_backoff_base: Time) -> Time {
         let doublings = self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
         let share = INITIAL_BACKOFF_SHARE * f64::from(1 << doublings);
@@ -42,7 +42,7 @@
 }
 
 impl Balancer {
-    /// Requests the first poll, if that has not been done.
+    /// Requests the first poll, unless it was requested before.
     pub(super) fn poll_discovery_at_start(&mut self, actions: &mut Vec<Action>) {
         let was_started = std::mem::replace(&mut self.discovery_poll.is_started, true);
         if !was_started && self.config.discovery_mode == DiscoveryMode::Polled {
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Polls again after a backoff. Jitter keeps balancers apart whose polls failed at the same time.
+    /// Schedules the next poll after a backoff. Jitter spreads out balancers whose polls failed at the same
+    /// time.
     pub(super) fn schedule_discovery_poll(&mut self, actions: &mut Vec<Action>) {
         let backoff = self
             .discovery_poll
--- a/src/balancer/load_estimate.rs
+++ b/src/balancer/load_estimate.rs
@@ -1,34 +1,34 @@
-//! Estimates of load: the rate of arrivals, the mean load of a connection, and how far this balancer's
-//! load on a server exceeds its part of the server's capacity.
+//! Load estimates: the arrival rate, the mean load of a connection, and how far this balancer's load on a
+//! server exceeds the balancer's share of the server's capacity.
 
 use super::Balancer;
 use super::api::{RequestId, ServerId, Time};
 use super::servers::Server;
 use serde::{Deserialize, Serialize};
 
-/// Capacity of a server per unit of weight, in microseconds of work a second.
+/// Capacity of a server per unit of weight, in microseconds of work per second.
 pub(super) const CAPACITY_PER_WEIGHT: f64 = 1e6;
-/// Assumed load of a connection before any is reported, in microseconds of work a second.
+/// Assumed load of a connection before the first load report, in microseconds of work per second.
 const DEFAULT_CONNECTION_LOAD: f64 = CAPACITY_PER_WEIGHT / 10.0;
-/// Arrivals are averaged exponentially over this many seconds.
+/// Time constant of the exponential average of arrivals, in seconds.
 const ARRIVAL_RATE_TIME_CONSTANT: Time = 10.0;
-/// The mean load is taken over about this many reports.
+/// Number of reports over which the mean load is taken, approximately.
 const MEAN_LOAD_SAMPLES: f64 = 100.0;
-/// Share of its capacity to which a server is filled in the order of the ranking.
+/// Share of its capacity up to which a server is filled in rendezvous order.
 const TARGET_UTILIZATION: f64 = 0.8;
-/// By how many standard deviations (Poisson) this balancer's load may exceed its part: of few connections
-/// it cannot tell how loaded the server is.
+/// Standard deviations (Poisson) by which this balancer's load may exceed its share: from few connections,
+/// the balancer cannot tell how loaded the server is.
 const TOLERATED_DEVIATIONS: f64 = 2.0;
 
-/// Requests a second, averaged exponentially. A part of the snapshot: the order and the types of the
-/// fields are fixed.
+/// Exponential average of requests per second. Part of the snapshot: the order and the types of the fields
+/// are fixed.
 #[derive(Default, Deserialize, Serialize)]
 pub(super) struct ArrivalRate {
-    /// Requests of clients that do not reconnect, a second.
+    /// Requests per second, without reconnects.
     pub(super) first_attempts: f64,
-    /// All requests, a second.
+    /// Requests per second, including reconnects.
     pub(super) total: f64,
-    /// When a request was last recorded.
+    /// When the last request was recorded.
     updated_at: Time,
 }
 
@@ -43,12 +43,12 @@
     }
 }
 
-/// A mean in which each new sample has the weight of one among the last [`MEAN_LOAD_SAMPLES`]. A part of
-/// the snapshot: the order and the types of the fields are fixed.
+/// A running mean in which a new sample has the weight of one in [`MEAN_LOAD_SAMPLES`] samples, or of one in
+/// all samples while there are fewer. Part of the snapshot: the order and the types of the fields are fixed.
 #[derive(Default, Deserialize, Serialize)]
 pub(super) struct RunningMean {
     mean: f64,
-    /// How many samples the mean is of, at most [`MEAN_LOAD_SAMPLES`].
+    /// Number of samples, at most [`MEAN_LOAD_SAMPLES`].
     samples: f64,
 }
 
@@ -64,7 +64,7 @@
 }
 
 impl Balancer {
-    /// Takes the present load of a connection, in microseconds of work a second.
+    /// Records the current load of a connection, in microseconds of work per second.
     pub(super) fn record_load(&mut self, id: RequestId, load: f64) {
         let Some(state) = self.requests.get_mut(&id) else {
             return;
@@ -78,7 +78,7 @@
         self.mean_load.record(load);
     }
 
-    /// Puts a request with its load on a server.
+    /// Adds a request and its load to a server.
     pub(super) fn attach_request(&mut self, id: RequestId, server: ServerId, load: f64) {
         if let Some(server) = self.server_mut(server) {
             server.in_flight.insert(id);
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Mean load of a connection, in microseconds of work a second.
+    /// Mean load of a connection, in microseconds of work per second.
     pub(super) fn mean_load(&self) -> f64 {
         let mean = self.mean_load.mean;
         if mean > 0.0 {
@@ -96,22 +96,22 @@
         }
     }
 
-    /// By which share this balancer's load on a server, with one more connection, exceeds its part of the
-    /// target utilization; 0 if it does not. Balancers do not know each other's load: if each keeps to
-    /// its part, the sum is kept.
+    /// The fraction by which this balancer's load on a server, with one more connection, would exceed the
+    /// balancer's share of the target utilization; 0 if it would not. Balancers do not know each other's
+    /// load: if each keeps within its share, their sum keeps within the target.
     pub(super) fn excess_load(&self, server: &Server, capacity_share: f64) -> f64 {
         if self.mean_load.is_empty() {
             return 0.0;
         }
         let target_load =
             TARGET_UTILIZATION * CAPACITY_PER_WEIGHT * server.endpoint.weight * capacity_share;
-        let part = target_load / self.balancer_count();
+        let fair_share = target_load / self.balancer_count();
         let mean_load = self.mean_load();
-        // A part of less than one connection says nothing: it would spread a group over all servers.
-        if part < mean_load {
+        // A share of less than one connection is not meaningful: it would spread a group over all servers.
+        if fair_share < mean_load {
             return 0.0;
         }
-        let tolerated = part + TOLERATED_DEVIATIONS * libm::sqrt(part * mean_load);
-        ((server.load.max(0.0) + mean_load) / tolerated - 1.0).max(0.0)
+        let tolerated_load = fair_share + TOLERATED_DEVIATIONS * libm::sqrt(fair_share * mean_load);
+        ((server.load.max(0.0) + mean_load) / tolerated_load - 1.0).max(0.0)
     }
 }
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,20 +1,20 @@
-//! All decisions of one balancer, sans-I/O: [`Balancer::handle`] takes an event and gives the actions to
+//! All decisions of one balancer, sans-I/O: [`Balancer::handle`] takes an event and returns the actions to
 //! carry out.
 //!
-//! Each rule has its module:
+//! Each decision has its module:
 //!
-//! | Question | Module |
+//! | Decision | Module |
 //! | --- | --- |
 //! | Which server gets a request | `selection`, `rendezvous` |
-//! | How many attempts a server gets after its start or a fault | `slow_start` |
+//! | How many attempts a server gets after it has started or failed | `slow_start` |
 //! | When a server is ejected for failures, and for how long | `outlier_ejection` |
 //! | When a server counts as busy, and which connections migrate | `overload`, `setup_time` |
-//! | What a request does next: an attempt, the queue or its final answer | `attempt`, `admission` |
-//! | Whether an attempt may follow, when, and which final answer is given | `retry`, `backoff` |
-//! | What load a server has | `load_estimate` |
+//! | What a request does next: start an attempt, wait in the queue or end | `attempt`, `admission` |
+//! | Whether and when another attempt may start, and which final answer is given | `retry`, `backoff` |
+//! | How loaded a server is | `load_estimate` |
 //! | When discovery is polled again | `discovery_poll` |
 //!
-//! State: `servers` (per server), `request_state` (per request), and [`Balancer`] itself.
+//! State is kept per server in `servers`, per request in `request_state`, and otherwise in [`Balancer`].
 
 mod admission;
 pub mod api;
@@ -40,7 +40,7 @@
 use backoff::Backoff;
 use discovery_poll::{DISCOVERY_POLL_TIMER, DiscoveryPoll};
 use load_estimate::{ArrivalRate, RunningMean};
-use overload::busy_message_latency;
+use overload::busy_latency_threshold;
 use random::RandomSource;
 use request_state::RequestState;
 use serde::{Deserialize, Serialize};
@@ -48,41 +48,41 @@
 use setup_time::MedianSetupTime;
 use std::collections::BTreeMap;
 
-/// The decisions of one balancer.
+/// The decision state of one balancer.
 ///
-/// Serialized, it is the snapshot that a hot restart hands to the successor. The bytes depend on the
-/// order and the types of the fields; requests and connections are not part of it.
+/// A hot restart serializes it as the snapshot for the successor. The snapshot format is the order and the
+/// types of the fields. Requests and connections are not part of the snapshot.
 #[derive(Default, Deserialize, Serialize)]
 pub struct Balancer {
     #[serde(skip)]
     config: BalancerConfig,
     random: RandomSource,
-    /// Sorted by id, so that no decision depends on the order of the endpoint list.
+    /// Sorted by id, so that decisions do not depend on the order of the endpoint list.
     servers: Vec<Server>,
     #[serde(skip)]
     requests: BTreeMap<RequestId, RequestState>,
-    /// Seconds between two passes over the queue.
+    /// Seconds between two passes over the queue, before jitter.
     queue_interval: Time,
-    /// The message latency, in seconds, from which on a server is busy.
-    busy_message_latency: Time,
+    /// Message latency, in seconds, at or above which a server is busy.
+    busy_latency_threshold: Time,
     setup_time: MedianSetupTime,
     discovery_poll: DiscoveryPoll,
-    /// Load of a connection, in microseconds of work a second.
+    /// Load of a connection, in microseconds of work per second.
     mean_load: RunningMean,
     arrival_rate: ArrivalRate,
     /// Sum of the weights of all ready servers.
     total_weight: f64,
-    /// How many connections of this balancer are established.
+    /// Established connections of this balancer.
     #[serde(skip)]
-    established: u32,
-    /// Requests that wait for capacity, in order of arrival.
+    established_count: u32,
+    /// Requests waiting for capacity, in order of arrival.
     #[serde(skip)]
     queue: Vec<RequestId>,
     backoff: Backoff,
 }
 
 impl Balancer {
-    /// A balancer without servers. All its randomness derives from `seed`.
+    /// Creates a balancer without servers. All its random numbers derive from `seed`.
     pub fn new(config: BalancerConfig, seed: u64) -> Self {
         let mut balancer = Self {
             random: RandomSource::new(seed),
@@ -92,7 +92,7 @@
         balancer
     }
 
-    /// Takes an event at the time `now` and appends the actions to carry out, in order.
+    /// Handles an event at time `now` and appends the actions to carry out, in order.
     pub fn handle(&mut self, now: Time, event: &Event, actions: &mut Vec<Action>) {
         if let Event::ConfigChanged(config) = event {
             self.apply_config(config);
@@ -130,8 +130,8 @@
 
     fn apply_config(&mut self, config: &BalancerConfig) {
         self.queue_interval = queue_interval(config);
-        self.busy_message_latency = busy_message_latency(config);
-        self.discovery_poll.restart();
+        self.busy_latency_threshold = busy_latency_threshold(config);
+        self.discovery_poll.reset();
         self.config = config.clone();
     }
 
@@ -150,7 +150,7 @@
         self.config.classes.get(state.request.class)
     }
 
-    /// How many balancers share the servers, at least 1.
+    /// Number of balancers that share the servers, at least 1.
     fn balancer_count(&self) -> f64 {
         f64::from(self.config.balancer_count.max(1))
     }
--- a/src/balancer/outlier_ejection.rs
+++ b/src/balancer/outlier_ejection.rs
@@ -1,18 +1,18 @@
-//! Outlier ejection: a server that fails gets nothing for a while, twice as long after each failure in a
-//! row.
+//! Outlier ejection: a server that fails gets no attempts for a while. The ejection time doubles with each
+//! consecutive failure.
 
 use super::Balancer;
 use super::api::{Outcome, ServerId, Time};
 use super::servers::Server;
 
-/// Ejection after the first failure, in connect timeouts.
+/// Ejection time after the first failure, in connect timeouts.
 const BASE_EJECTION_CONNECT_TIMEOUTS: f64 = 2.0;
-/// How often that is doubled at most.
+/// Maximum number of times the ejection time is doubled.
 const MAX_EJECTION_DOUBLINGS: u32 = 5;
-/// Errors and resets are failures of the server from this share of its answers on: one alone may be the
-/// request's fault, or the network's.
+/// Error rate at or above which errors and resets count as failures of the server: a single one may be the
+/// fault of the request or the network.
 const FAILING_ERROR_RATE: f64 = 0.4;
-/// Weight of an answer in the moving average of the error rate.
+/// Weight of one answer in the moving average of the error rate.
 const ERROR_RATE_SMOOTHING: f64 = 0.25;
 
 impl Server {
@@ -34,10 +34,10 @@
         let ejection = base_ejection * f64::from(1 << doublings);
         self.ejected_until = self.ejected_until.max(now + ejection);
         self.consecutive_failures += 1;
-        self.unhealthy_since = now;
+        self.last_unhealthy_at = now;
     }
 
-    /// An attempt became an established connection.
+    /// Records that an attempt became an established connection.
     pub(super) fn record_established(&mut self) {
         self.error_rate -= self.error_rate * ERROR_RATE_SMOOTHING;
         if self.error_rate < FAILING_ERROR_RATE {
@@ -47,7 +47,7 @@
 }
 
 impl Balancer {
-    /// Takes the outcome of an attempt or a connection, and ejects a server that fails.
+    /// Records the outcome of an attempt or a connection, and ejects the server if it fails.
     pub(super) fn record_outcome(&mut self, now: Time, server: ServerId, outcome: Outcome) {
         let base_ejection = BASE_EJECTION_CONNECT_TIMEOUTS * self.config.connect_timeout;
         let Some(server) = self.server_mut(server) else {
@@ -59,18 +59,18 @@
         if !server.is_failure(outcome) {
             return;
         }
-        // What ends during an ejection began before it: many connections that break at once are one
-        // failure.
+        // An attempt or connection that ends during an ejection began before it: many connections that break
+        // at once count as one failure.
         if server.consecutive_failures == 0 || now >= server.ejected_until {
             server.eject(now, base_ejection);
-            // A server that cannot be reached takes no harm from attempts.
+            // Attempts do no harm to a server that cannot be reached.
             if outcome != Outcome::ConnectFailed {
                 self.backoff.increase();
             }
         }
     }
 
-    /// A health check has reached a server (`None`), or it stays ejected until a time.
+    /// Records a health check: the server responded (`None`), or stays ejected until the given time.
     pub(super) fn record_health_check(
         &mut self,
         now: Time,
@@ -83,7 +83,7 @@
         if let Some(ejected_until) = ejected_until {
             server.ejected_until = server.ejected_until.max(ejected_until);
             server.consecutive_failures = server.consecutive_failures.max(1);
-            server.unhealthy_since = now;
+            server.last_unhealthy_at = now;
         } else if server.consecutive_failures > 0 {
             server.consecutive_failures = 0;
             server.ejected_until = now;
--- a/src/balancer/overload.rs
+++ b/src/balancer/overload.rs
@@ -1,29 +1,31 @@
-//! Overload: a server with slow messages is avoided, and some of its connections migrate, the heaviest first.
+//! Overload: a server with high message latency is avoided, and some of its connections migrate, the
+//! heaviest first.
 //!
-//! The latency ratio of a server is its message latency over the busy threshold: from 1 on it is busy, from
-//! [`OVERLOADED_RATIO`] on overloaded, from [`SATURATED_RATIO`] on saturated.
+//! The latency ratio of a server is its message latency divided by the busy threshold. From 1 the server is
+//! busy, from [`OVERLOADED_RATIO`] overloaded, from [`SATURATED_RATIO`] saturated.
 
 use super::Balancer;
 use super::api::{Action, BalancerConfig, RequestId, ServerId, Time};
 use super::request_state::{Phase, RequestState};
 
-/// The busy threshold, in the strictest message latency objective. Servers report latency from there on.
+/// The busy threshold as a fraction of the strictest message latency objective. Servers report latency above
+/// it.
 const BUSY_THRESHOLD_OBJECTIVES: f64 = 1.0 / 3.0;
-/// The latency ratio from which on a server gets no attempt even if all others are busy too.
+/// Latency ratio at or above which a server gets no attempts, even if all others are busy too.
 pub(super) const OVERLOADED_RATIO: f64 = 1.5;
-/// The latency ratio at which messages take as long as the strictest latency objective.
+/// Latency ratio at which messages take as long as the strictest message latency objective.
 const SATURATED_RATIO: f64 = 1.0 / BUSY_THRESHOLD_OBJECTIVES;
-/// Seconds that a report of a busy server holds. A balancer without connections there gets no report when
-/// it is clear again.
+/// Seconds after which a report that a server is busy expires. A balancer without connections to the server
+/// gets no report when the server is no longer busy.
 const BUSY_REPORT_TTL: Time = 8.0;
-/// Share of this balancer's connections to a saturated server that migrate at each latency report.
+/// Share of this balancer's connections to a saturated server that migrate on each latency report.
 const MIGRATION_SHARE: f64 = 0.12;
-/// By how much that share grows for a single connection there: where most balancers have none, the few
-/// have to migrate more.
+/// Relative increase of that share for a balancer with a single connection to the server. Where most
+/// balancers have no connection to it, the few that have one must migrate more.
 const SINGLE_CONNECTION_MIGRATION_BOOST: f64 = 2.5;
 
-/// The message latency, in seconds, from which on a server is busy; infinite without an objective.
-pub(super) fn busy_message_latency(config: &BalancerConfig) -> Time {
+/// The message latency, in seconds, at or above which a server is busy; infinite without an objective.
+pub(super) fn busy_latency_threshold(config: &BalancerConfig) -> Time {
     let strictest_objective = config
         .classes
         .iter()
@@ -32,7 +34,7 @@
     strictest_objective * BUSY_THRESHOLD_OBJECTIVES
 }
 
-/// How many of a busy server's connections are to migrate at a report, before rounding.
+/// Number of a busy server's connections to migrate on a report, before rounding.
 fn migration_count(in_flight: usize, latency_ratio: f64) -> f64 {
     let boost = SINGLE_CONNECTION_MIGRATION_BOOST * libm::exp(1.0 - in_flight as f64);
     let share = MIGRATION_SHARE * (1.0 + boost);
@@ -40,7 +42,7 @@
 }
 
 impl Balancer {
-    /// Takes a server's report of how long messages take there, in seconds.
+    /// Records the message latency that a server reports, in seconds.
     pub(super) fn record_message_latency(
         &mut self,
         now: Time,
@@ -48,11 +50,11 @@
         message_latency: Time,
         actions: &mut Vec<Action>,
     ) {
-        let latency_ratio = message_latency / self.busy_message_latency;
+        let latency_ratio = message_latency / self.busy_latency_threshold;
         self.record_latency_ratio(now, server, latency_ratio, actions);
     }
 
-    /// Takes a server's latency ratio, and migrates connections off it if it is busy.
+    /// Records a server's latency ratio, and migrates connections off the server if it is busy.
     pub(super) fn record_latency_ratio(
         &mut self,
         now: Time,
@@ -63,13 +65,13 @@
         if let Some(server) = self.server_mut(id) {
             let is_busy = latency_ratio >= 1.0;
             server.latency_ratio = latency_ratio;
-            // Ends an ejection for failures too: the server responds.
+            // This also ends an ejection for failures, since the server responds.
             server.ejected_until = if is_busy { now + BUSY_REPORT_TTL } else { now };
             if latency_ratio >= OVERLOADED_RATIO {
-                server.unhealthy_since = now;
+                server.last_unhealthy_at = now;
             }
         }
-        // Drawn for each report, so that the number of draws does not depend on what is reported.
+        // Drawn for every report, so that the random sequence does not depend on the reported values.
         let rounding = self.random.next_fraction();
         if latency_ratio < 1.0 {
             return;
@@ -77,7 +79,8 @@
         self.migrate_connections(now, id, latency_ratio, rounding, actions);
     }
 
-    /// Migrates the heaviest connections off a busy server; `rounding` is a random fraction.
+    /// Migrates the heaviest connections off a busy server. Their number is rounded up or down at random by
+    /// the fraction `rounding`.
     fn migrate_connections(
         &self,
         now: Time,
@@ -98,8 +101,8 @@
             .collect();
         heaviest.sort_by(|a, b| b.load.total_cmp(&a.load));
         heaviest.truncate((count + rounding) as usize);
-        // A saturated server serves nobody in time: connections leave it even if they have to queue for
-        // another.
+        // A saturated server serves no connection in time: connections migrate off it even if they must queue
+        // for another server.
         heaviest
             .retain(|state| latency_ratio >= SATURATED_RATIO || self.can_migrate(now, state, from));
         actions.extend(
--- a/src/balancer/request_state.rs
+++ b/src/balancer/request_state.rs
@@ -1,9 +1,9 @@
-//! State of a request from its arrival to its end, an established connection included.
+//! Per-request state, from the arrival of a request to its end or the end of its connection.
 
 use super::Balancer;
 use super::api::{Key, Request, RequestId, ServerId, Time};
 
-/// Where a request is.
+/// The phase of a request.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Phase {
     /// Between attempts, or queued for capacity.
@@ -15,7 +15,7 @@
 }
 
 impl Phase {
-    /// The server that has the request.
+    /// The server of the attempt or connection, if any.
     pub(super) fn server(self) -> Option<ServerId> {
         match self {
             Self::Pending => None,
@@ -24,8 +24,7 @@
     }
 }
 
-/// The first attempt of a request that may have executed: later ones have to respect its deduplication
-/// scope and window.
+/// The first attempt that may have executed. Its deduplication scope and window limit later attempts.
 #[derive(Clone, Copy)]
 pub(super) struct PossibleExecution {
     pub(super) sent_at: Time,
@@ -33,20 +32,20 @@
     pub(super) cell: u32,
 }
 
-/// A request from its arrival to its end.
+/// The state of a request.
 pub(super) struct RequestState {
     pub(super) request: Request,
     pub(super) phase: Phase,
-    /// How many attempts were started.
+    /// Number of attempts started.
     pub(super) attempts: u32,
     /// The servers of these attempts.
     pub(super) attempted: Vec<ServerId>,
-    /// When the last attempt was started.
+    /// When the last attempt started.
     pub(super) sent_at: Time,
     pub(super) first_possible_execution: Option<PossibleExecution>,
-    /// As last reported, else as hinted, else the mean; in microseconds of work a second.
+    /// Load in microseconds of work per second: the last reported one, else the hint, else the mean.
     pub(super) load: f64,
-    /// How many servers answered with an error.
+    /// Number of servers that answered with an error.
     pub(super) error_responses: u32,
 }
 
@@ -64,7 +63,7 @@
         }
     }
 
-    /// What the servers are ranked by: the group, else the client, else the request itself.
+    /// The key that ranks the servers: that of the group, else of the client, else of the request itself.
     pub(super) fn placement_key(&self) -> Key {
         let request = &self.request;
         request.group.or(request.key).unwrap_or(Key(request.id.0))
@@ -72,17 +71,17 @@
 }
 
 impl Balancer {
-    /// Forgets a request that has ended.
+    /// Removes a request that has ended.
     pub(super) fn release_request(&mut self, id: RequestId) -> Option<RequestState> {
         let state = self.requests.remove(&id)?;
         self.detach_request(id, state.phase, state.load);
         Some(state)
     }
 
-    /// Takes a request and its load off its server.
+    /// Removes a request and its load from its server.
     pub(super) fn detach_request(&mut self, id: RequestId, phase: Phase, load: f64) {
         if matches!(phase, Phase::Established(_)) {
-            self.established -= 1;
+            self.established_count -= 1;
         }
         if let Some(server) = phase.server()
             && let Some(server) = self.server_mut(server)
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -1,4 +1,5 @@
-//! Retries: whether an attempt may follow, when it times out, and the final answer where none may.
+//! Retries: whether another attempt may start, when it times out, and which final answer a request gets
+//! otherwise.
 
 use super::Balancer;
 use super::api::{
@@ -6,35 +7,34 @@
 };
 use super::request_state::{Phase, PossibleExecution, RequestState};
 
-/// An attempt's timeout in latency objectives, unless it is the last one.
+/// Timeout of an attempt that is not the last one, in latency objectives.
 const ATTEMPT_TIMEOUT_OBJECTIVES: f64 = 2.0;
-/// A request that this many servers answer with an error is itself at fault, and fails.
+/// Number of error responses after which a request fails: the request itself is taken to be at fault.
 const MAX_ERROR_RESPONSES: u32 = 2;
 
-/// Whether an attempt may be started; otherwise the reason why not.
+/// Whether an attempt may start, and if not, why.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum RetryDecision {
     Allowed,
-    /// The request had its maximum of attempts.
+    /// The request had its maximum number of attempts.
     AttemptsExhausted,
     /// The client has given up.
     DeadlineExceeded,
     /// An attempt may have executed, and a second execution does harm.
     MayHaveExecuted,
-    /// An attempt may have executed, and its duplicates are discarded only until before this one would
-    /// arrive.
+    /// An attempt may have executed, and another one might arrive after the deduplication window.
     DeduplicationWindowOver,
 }
 
 impl RequestState {
-    /// Whether the server has the request now.
+    /// Whether the request is at the server, in flight or established.
     fn is_at(&self, server: ServerId) -> bool {
         self.phase.server() == Some(server)
     }
 }
 
 impl Balancer {
-    /// Whether a request may have an attempt now.
+    /// Decides whether an attempt of a request may start now.
     pub(super) fn decide_retry(&self, now: Time, state: &RequestState) -> RetryDecision {
         if state.attempts >= self.config.max_attempts {
             return RetryDecision::AttemptsExhausted;
@@ -56,7 +56,8 @@
         }
     }
 
-    /// When an attempt that starts now times out. Leaves time for another one, unless it is the last.
+    /// When an attempt that starts now times out. Unless it is the last attempt, the timeout leaves time for
+    /// another one.
     pub(super) fn attempt_timeout_at(&self, now: Time, state: &RequestState) -> Time {
         let is_last = state.attempts + 1 >= self.config.max_attempts;
         let timeout = if is_last {
@@ -67,14 +68,14 @@
         state.request.deadline.min(now + timeout)
     }
 
-    /// In seconds; for a request of a class that does not exist, its deadline.
+    /// The latency objective in seconds. For a request whose class does not exist, its deadline.
     pub(super) fn latency_objective(&self, state: &RequestState) -> Time {
         self.class(state)
             .map_or(state.request.deadline, |class| class.latency_objective)
     }
 
-    /// Takes the end of an attempt: its outcome counts for the ejection of the server, then the request is
-    /// released, fails or is attempted again.
+    /// Handles the end of an attempt: records the outcome for outlier ejection, then releases, fails or
+    /// retries the request.
     pub(super) fn attempt_ended(
         &mut self,
         now: Time,
@@ -107,7 +108,7 @@
         self.dispatch_request(now, ended.id, actions);
     }
 
-    /// Takes a request off the server that has it.
+    /// Detaches a request from its server.
     fn return_to_pending(&mut self, id: RequestId) {
         if let Some(state) = self.requests.get_mut(&id) {
             let phase = std::mem::replace(&mut state.phase, Phase::Pending);
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Keeps when and where a request may have executed first.
+    /// Records when and where a request may have executed, if that is its first possible execution.
     fn record_possible_execution(&mut self, id: RequestId, server: ServerId) {
         let (zone, cell) = self.location(server);
         if let Some(state) = self.requests.get_mut(&id) {
@@ -129,7 +130,7 @@
         }
     }
 
-    /// How many servers have answered a request with an error, with this answer.
+    /// Counts an error response to a request, and returns the count.
     fn count_error_response(&mut self, id: RequestId) -> u32 {
         self.requests.get_mut(&id).map_or(0, |state| {
             state.error_responses += 1;
@@ -137,7 +138,7 @@
         })
     }
 
-    /// Zone and cell of a server; 0 and 0 if it is unknown.
+    /// Zone and cell of a server; 0 for both if the server is unknown.
     fn location(&self, server: ServerId) -> (u32, u32) {
         self.server_index(server).map_or((0, 0), |index| {
             let endpoint = &self.servers[index].endpoint;
@@ -145,8 +146,8 @@
         })
     }
 
-    /// Ends a request without a connection: rejected where a retry by the client does no harm, else failed.
-    /// Retry-After is random up to `max_retry_after`, so that rejected clients do not return all at once.
+    /// Ends a request without a connection: rejects it if a retry by the client does no harm, else fails it.
+    /// Retry-After is random up to `max_retry_after`, so that rejected clients do not all return at once.
     pub(super) fn give_final_answer(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(state) = self.release_request(id) else {
             return;
@@ -159,7 +160,8 @@
         });
     }
 
-    /// The client's retry may reach any server: duplicates have to be discarded by all of them.
+    /// Whether a retry by the client does no harm. A client's retry may reach any server, so keyed requests
+    /// must be deduplicated by all servers.
     fn is_client_retry_harmless(&self, state: &RequestState) -> bool {
         let is_repeatable = match self.class(state).map(|class| class.idempotency) {
             Some(Idempotency::NonIdempotent) => false,
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -1,5 +1,5 @@
-//! Selection of a server: of the eligible servers with the lowest load level, the one that the request's
-//! key ranks first by weighted rendezvous hashing.
+//! Server selection: among the eligible servers with the lowest load level, the one that the request's
+//! placement key ranks first by weighted rendezvous hashing.
 
 use super::Balancer;
 use super::api::{
@@ -10,38 +10,38 @@
 use super::request_state::{PossibleExecution, RequestState};
 use super::servers::Server;
 
-/// Load level of a server with nothing against it.
-const CLEAR_LEVEL: f64 = 0.0;
-/// Load level of a server that warms up and has an attempt available: its budget is used first.
+/// Load level of a server that is neither busy nor estimated to be loaded above its share.
+const NORMAL_LEVEL: f64 = 0.0;
+/// Load level of a server that warms up and has budget left. The lowest, so that the budget is used first.
 const WARMING_UP_LEVEL: f64 = -1.0;
-/// Highest load level that follows from estimated load alone, without a report that the server is busy.
+/// Highest load level that estimated load alone leads to, below the level of a server that is reported busy.
 const MAX_ESTIMATED_LEVEL: f64 = 0.95;
-/// A server that warms up is used by the keys that rank it within this share of the servers, or more.
+/// A server that warms up is preferred by the keys that rank it within at least this share of the servers.
 const MIN_PREFERRED_SHARE: f64 = 0.2;
-/// With few arrivals within an overload window that share is this factor over the square of their number.
+/// With few arrivals in an overload window, the share is this factor divided by the square of the arrivals.
 const FEW_ARRIVALS_PREFERRED_FACTOR: f64 = 0.27;
 
 /// Why a server gets no attempt of a request.
 enum Ineligible {
-    /// It is draining or removed.
+    /// The server is draining or removed.
     NotReady,
-    /// It would not discard a duplicate of an attempt that may have executed.
+    /// The server would not discard a duplicate of an attempt that may have executed.
     OutsideDeduplicationScope,
-    /// It had an attempt of this request, or the connection is to migrate off it.
+    /// The server had an attempt of this request, or the connection is to migrate off it.
     AlreadyAttempted,
-    /// It warms up or recovers, and this balancer has used its budget there.
+    /// The server warms up or recovers, and this balancer's budget for it is spent.
     SlowStartBudgetSpent,
-    /// It is ejected because of failures.
+    /// The server is ejected because of failures.
     Ejected,
-    /// Its load level is that of an overloaded server: where all are, waiting does less harm.
+    /// The server is overloaded. If all servers are, waiting does less harm than another attempt.
     Overloaded,
 }
 
-/// What the ranking needs to know of an eligible server.
+/// The properties of an eligible server by which candidates are compared.
 struct Eligible {
     /// 0 to 1, see [`Balancer::capacity_share`].
     capacity_share: f64,
-    /// The lowest wins; a latency ratio where the server is busy.
+    /// The lowest wins. For a busy server, its latency ratio.
     load_level: f64,
 }
 
@@ -50,13 +50,13 @@
     now: Time,
     state: &'a RequestState,
     key: Key,
-    /// Where the duplicates of an attempt that may have executed are discarded.
-    deduplicated_by: Option<(DeduplicationScope, PossibleExecution)>,
-    /// The server that the connection is to leave.
+    /// The scope that discards duplicates, and the attempt that may have executed in it.
+    deduplication: Option<(DeduplicationScope, PossibleExecution)>,
+    /// The server that the connection is to migrate off.
     migrating_from: Option<ServerId>,
 }
 
-/// An eligible server with its rank for the key.
+/// An eligible server with its rendezvous score for the key.
 struct Candidate {
     server: ServerId,
     load_level: f64,
@@ -65,14 +65,14 @@
     hash: f64,
 }
 
-/// The best candidate so far.
+/// Tracks the best candidate for a key.
 struct Ranking {
     key: Key,
     best: Option<Candidate>,
 }
 
 impl Ranking {
-    fn offer(&mut self, server: &Server, eligible: Eligible) {
+    fn consider(&mut self, server: &Server, eligible: Eligible) {
         let load_level = eligible.load_level;
         if let Some(best) = &self.best
             && load_level > best.load_level
@@ -82,7 +82,8 @@
         let id = server.endpoint.id;
         let weight = server.endpoint.weight * eligible.capacity_share;
         let hash = rendezvous::hash(self.key, id);
-        // Skips the logarithm, the costliest part of a placement, where the score cannot be the higher one.
+        // Computing the score's logarithm is the most expensive part of a placement. It is skipped where the
+        // score cannot be higher.
         if let Some(best) = &self.best
             && load_level == best.load_level
             && weight <= best.weight
@@ -108,16 +109,16 @@
 }
 
 impl Balancer {
-    /// The server for the next attempt, `None` if there is no eligible one.
+    /// Chooses the server of the next attempt; `None` if no server is eligible.
     pub(super) fn choose_server(&self, now: Time, state: &RequestState) -> Option<ServerId> {
         let best = self.best_candidate(now, state, None)?;
         Some(best.server)
     }
 
-    /// Whether another server would take a connection without being loaded above its part.
+    /// Whether another server can take a connection without exceeding its share of the load.
     pub(super) fn can_migrate(&self, now: Time, state: &RequestState, from: ServerId) -> bool {
         self.best_candidate(now, state, Some(from))
-            .is_some_and(|best| best.load_level <= CLEAR_LEVEL)
+            .is_some_and(|best| best.load_level <= NORMAL_LEVEL)
     }
 
     fn best_candidate(
@@ -131,7 +132,7 @@
             now,
             state,
             key: state.placement_key(),
-            deduplicated_by: deduplicated_by(class, state),
+            deduplication: required_deduplication(class, state),
             migrating_from,
         };
         let mut ranking = Ranking {
@@ -140,7 +141,7 @@
         };
         for server in &self.servers {
             if let Ok(eligible) = self.check_eligibility(&selection, server) {
-                ranking.offer(server, eligible);
+                ranking.consider(server, eligible);
             }
         }
         ranking.best
@@ -181,7 +182,7 @@
         capacity_share: f64,
     ) -> Result<f64, Ineligible> {
         if selection.state.request.mid_flow {
-            return Ok(CLEAR_LEVEL);
+            return Ok(NORMAL_LEVEL);
         }
         if server.is_ejected(selection.now) {
             return Err(Ineligible::Ejected);
@@ -197,7 +198,7 @@
             .min(MAX_ESTIMATED_LEVEL))
     }
 
-    /// Whether the key ranks a server that warms up among the first once it has its full weight.
+    /// Whether the key ranks a server that warms up among the first, by the server's full weight.
     fn is_preferred_by(&self, key: Key, server: &Server) -> bool {
         let arrivals = self.arrival_rate.total * self.config.overload_window;
         let share =
@@ -207,7 +208,9 @@
     }
 }
 
-fn deduplicated_by(
+/// Where duplicates of a keyed request that may have executed are discarded; `None` if any server may get an
+/// attempt.
+fn required_deduplication(
     class: &RequestClass,
     state: &RequestState,
 ) -> Option<(DeduplicationScope, PossibleExecution)> {
@@ -218,7 +221,8 @@
 }
 
 impl Selection<'_> {
-    /// A draining server still takes the packets of a connection that it may have.
+    /// Draining servers are accepted for the first attempt of a mid-flow request, whose connection they may
+    /// have.
     fn accepts_state(&self, state: EndpointState) -> bool {
         match state {
             EndpointState::Ready => true,
@@ -228,7 +232,7 @@
     }
 
     fn is_within_scope(&self, server: &Server) -> bool {
-        match self.deduplicated_by {
+        match self.deduplication {
             Some((DeduplicationScope::Zone, execution)) => server.endpoint.zone == execution.zone,
             Some((DeduplicationScope::Cell, execution)) => server.endpoint.cell == execution.cell,
             Some((DeduplicationScope::All, _)) | None => true,
--- a/src/balancer/servers.rs
+++ b/src/balancer/servers.rs
@@ -1,4 +1,4 @@
-//! The servers as this balancer knows them, and updates of the endpoint list.
+//! Per-server state, and updates of the endpoint list.
 
 use super::Balancer;
 use super::api::{Endpoint, EndpointState, RequestId, Time, UpdateKind};
@@ -7,31 +7,31 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// The golden ratio's conjugate: its multiples modulo 1 are spread evenly.
+/// The conjugate of the golden ratio: its multiples modulo 1 are evenly distributed.
 const GOLDEN_RATIO_CONJUGATE: f64 = 0.618_033_988_749_895;
 
-/// A server as this balancer knows it. A part of the snapshot: the order and the types of the fields are
-/// fixed.
+/// This balancer's state of a server. Part of the snapshot: the order and the types of the fields are fixed.
 #[derive(Default, Deserialize, Serialize)]
 pub(super) struct Server {
     pub(super) endpoint: Endpoint,
-    /// Requests of this balancer that the server holds: in flight, or established connections.
+    /// Requests of this balancer at the server: attempts in flight and established connections.
     #[serde(skip)]
     pub(super) in_flight: BTreeSet<RequestId>,
-    /// Message latency in busy thresholds: from 1 on the server is busy.
+    /// Message latency divided by the busy threshold: the server is busy at 1 or more.
     pub(super) latency_ratio: f64,
-    /// Until then it is ejected because of failures, or counts as busy if there are none.
+    /// Until when the server is ejected, or counts as busy if `consecutive_failures` is 0.
     pub(super) ejected_until: Time,
-    /// Ejections for failures in a row.
+    /// Consecutive ejections for failures.
     pub(super) consecutive_failures: u32,
-    /// Moving average of the share of its answers that are errors or resets.
+    /// Moving average of the share of answers that are errors or resets.
     pub(super) error_rate: f64,
-    /// Load of the requests in `in_flight`, in microseconds of work a second.
+    /// Load of the requests in `in_flight`, in microseconds of work per second.
     #[serde(skip)]
     pub(super) load: f64,
-    /// When it was last overloaded or ejected for a failure; it recovers for a slow-start window.
-    pub(super) unhealthy_since: Time,
-    /// Attempts that this balancer may start there while it warms up or recovers.
+    /// When the server was last overloaded or ejected for a failure. Its recovery takes a slow-start window
+    /// from then on.
+    pub(super) last_unhealthy_at: Time,
+    /// Attempts that this balancer may start at the server while it warms up or recovers.
     pub(super) slow_start_tokens: TokenBucket,
 }
 
@@ -39,32 +39,32 @@
     fn new(now: Time, endpoint: Endpoint, balancer_index: u32) -> Self {
         Self {
             endpoint,
-            unhealthy_since: f64::NEG_INFINITY,
+            last_unhealthy_at: f64::NEG_INFINITY,
             slow_start_tokens: TokenBucket::new(now, initial_tokens(&endpoint, balancer_index)),
             ..Self::default()
         }
     }
 
-    /// Ejected because of failures: it gets no attempt.
+    /// Whether the server is ejected because of failures, and so gets no attempts.
     pub(super) fn is_ejected(&self, now: Time) -> bool {
         self.ejected_until > now && self.consecutive_failures > 0
     }
 
-    /// Reported busy: it gets an attempt only where no other server is less busy.
+    /// Whether the server is reported busy, and so gets attempts only if no other server is less busy.
     pub(super) fn is_busy(&self, now: Time) -> bool {
         self.ejected_until > now && self.consecutive_failures == 0
     }
 }
 
-/// The fraction of an attempt that a balancer's budget for a new server begins with. Spread evenly over the
-/// balancers, so that each of many small budgets adds up to an attempt at another time.
+/// The fraction of a token with which a balancer's budget for a new server starts. It is evenly distributed
+/// over the balancers, so that many small budgets reach a whole token at different times.
 fn initial_tokens(endpoint: &Endpoint, balancer_index: u32) -> f64 {
     let phase =
         f64::from(balancer_index) * GOLDEN_RATIO_CONJUGATE + unit_fraction(mix64(endpoint.id.0));
     phase.fract()
 }
 
-/// The entry with a start that is not in the future and a usable weight.
+/// The entry with a start time that is not in the future and a usable weight.
 fn sanitized(now: Time, entry: &Endpoint) -> Endpoint {
     let has_usable_weight = entry.weight.is_finite() && entry.weight > 0.0;
     Endpoint {
@@ -75,7 +75,7 @@
 }
 
 impl Balancer {
-    /// Takes over an update of the endpoint list.
+    /// Applies an update of the endpoint list.
     pub(super) fn update_endpoints(&mut self, now: Time, kind: UpdateKind, entries: &[Endpoint]) {
         self.discovery_poll.record_success();
         if kind != UpdateKind::Delta {
@@ -102,7 +102,7 @@
                 if known.endpoint.started_at == endpoint.started_at {
                     known.endpoint = endpoint;
                 } else {
-                    // Restarted: failures and latency of the old process do not apply to the new one.
+                    // A restart: failures and latency of the old process do not apply to the new one.
                     let old = std::mem::replace(known, new);
                     known.in_flight = old.in_flight;
                     known.load = old.load;
@@ -119,8 +119,8 @@
             .sum()
     }
 
-    /// Keeps a removed server while it has requests, and while it would be warming up: one that is listed
-    /// again must not start with a fresh slow-start budget.
+    /// Forgets removed servers, except those that have requests or would still be warming up: a server that
+    /// is listed again must not get a new slow-start budget.
     fn forget_removed_servers(&mut self, now: Time) {
         let warming_up_since = now - self.config.slow_start_window;
         self.servers.retain(|server| {
--- a/src/balancer/setup_time.rs
+++ b/src/balancer/setup_time.rs
@@ -1,35 +1,34 @@
-//! The median set-up time of a connection: a set-up far above it shows a busy server where no latency is
-//! reported.
+//! The median set-up time of a connection. Where no message latency is reported, a set-up time far above the
+//! median shows that a server is busy.
 
 use super::api::Time;
 use serde::{Deserialize, Serialize};
 
-/// Each set-up moves the estimated median up or down by this factor.
+/// Factor by which each set-up moves the estimated median up or down.
 const MEDIAN_STEP_FACTOR: f64 = 1.05;
-/// The median is not used before this many set-ups.
+/// Number of set-ups before the median is used.
 const MIN_SAMPLES: u32 = 8;
 
-/// A running estimate of the median. A part of the snapshot: the order and the types of the fields are
-/// fixed.
+/// A running estimate of the median. Part of the snapshot: the order and the types of the fields are fixed.
 #[derive(Default, Deserialize, Serialize)]
 pub(super) struct MedianSetupTime {
-    /// Seconds; 0 before the first set-up.
+    /// In seconds; 0 before the first set-up.
     median_setup_time: Time,
     samples: u32,
 }
 
 impl MedianSetupTime {
-    /// Takes a set-up time into the median, and returns by how much it lay above the median before, if
-    /// that is known.
+    /// Records a set-up time and returns its excess over the previous median in seconds. Returns `None` while
+    /// there are too few samples.
     pub(super) fn record(&mut self, setup_time: Time) -> Option<Time> {
-        let median_before = self.median_setup_time;
-        let direction = if setup_time > median_before { 1 } else { -1 };
-        self.median_setup_time = if median_before <= 0.0 {
+        let previous_median = self.median_setup_time;
+        let direction = if setup_time > previous_median { 1 } else { -1 };
+        self.median_setup_time = if previous_median <= 0.0 {
             setup_time
         } else {
-            median_before * MEDIAN_STEP_FACTOR.powi(direction)
+            previous_median * MEDIAN_STEP_FACTOR.powi(direction)
         };
         self.samples = self.samples.saturating_add(1);
-        (self.samples > MIN_SAMPLES).then_some(setup_time - median_before)
+        (self.samples > MIN_SAMPLES).then_some(setup_time - previous_median)
     }
 }
