--- a/src/config/process.rs
+++ b/src/config/process.rs
@@ -174,7 +174,7 @@
 
 fn parse_endpoints(value: Option<serde_json::Value>) -> Result<EndpointList, ConfigError> {
     match value {
-        Some(value) => EndpointList::read(value).map_err(ConfigError::InvalidEndpointList),
+        Some(value) => EndpointList::from_json(value).map_err(ConfigError::InvalidEndpointList),
         None => Ok(EndpointList::default()),
     }
 }
--- a/src/discovery/endpoint_list.rs
+++ b/src/discovery/endpoint_list.rs
@@ -77,7 +77,7 @@
     ///
     /// # Errors
     /// If a field is missing or has another type.
-    pub fn read(value: serde_json::Value) -> Result<Self, EndpointListError> {
+    pub fn from_json(value: serde_json::Value) -> Result<Self, EndpointListError> {
         let raw: RawList = serde_json::from_value(value).map_err(EndpointListError::Malformed)?;
         let mut list = Self {
             revision: raw.revision,
@@ -96,9 +96,9 @@
     /// Reads the body of an answer.
     ///
     /// # Errors
-    /// If it is not JSON, or as [`EndpointList::read`].
+    /// If it is not JSON, or as [`EndpointList::from_json`].
     pub fn parse(text: &[u8]) -> Result<Self, EndpointListError> {
-        Self::read(serde_json::from_slice(text).map_err(EndpointListError::NotJson)?)
+        Self::from_json(serde_json::from_slice(text).map_err(EndpointListError::NotJson)?)
     }
 }
 
--- a/src/protocol/client/open_request.rs
+++ b/src/protocol/client/open_request.rs
@@ -61,7 +61,7 @@
     /// How long the client waits for its answer, in seconds.
     pub wait: Time,
     /// The server at which the connection is established already.
-    pub established_at: Option<ServerId>,
+    pub established_server: Option<ServerId>,
     /// The line up to the digits of the wait, and after them.
     before_wait: String,
     after_wait: String,
@@ -98,7 +98,7 @@
         Ok(Self {
             request,
             wait: wait.milliseconds as f64 / MILLISECONDS_PER_SECOND,
-            established_at: parser.established_at,
+            established_server: parser.established_server,
             before_wait: line[..wait.digits.start].to_owned(),
             after_wait: line[wait.digits.end..].to_owned(),
         })
@@ -123,7 +123,7 @@
     request: Request,
     class: Option<usize>,
     wait: Option<WaitField>,
-    established_at: Option<ServerId>,
+    established_server: Option<ServerId>,
 }
 
 impl<'a> FieldParser<'a> {
@@ -134,7 +134,7 @@
             request: Request::new(id, 0, 0.0),
             class: None,
             wait: None,
-            established_at: None,
+            established_server: None,
         }
     }
 
@@ -157,7 +157,7 @@
                 set_once(&mut self.wait, wait)
             }
             "g" if self.groups_enabled => set_once(&mut self.request.group, Key::of(value)),
-            "at" => set_once(&mut self.established_at, ServerId::of(value)),
+            "at" => set_once(&mut self.established_server, ServerId::of(value)),
             "again" => {
                 self.request.is_reconnect = value == "1";
                 Ok(())
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -56,7 +56,7 @@
     let Some((registration, mut commands)) = runtime.register_request(request.id) else {
         return Err(malformed(MalformedRequest::IdInUse));
     };
-    let (server, attempt, backend) = match open_request.established_at {
+    let (server, attempt, backend) = match open_request.established_server {
         Some(server) => {
             let backend = open_again(runtime, client, &open_request, server).await?;
             (server, 0, backend)
@@ -74,7 +74,7 @@
 
 /// Nobody is kept longer than its class waits, whatever it asks for; a connection that is reopened has longer.
 fn deadline(runtime: &Runtime, open_request: &OpenRequest) -> Time {
-    let longest_wait = match open_request.established_at {
+    let longest_wait = match open_request.established_server {
         Some(_) => LONGEST_REOPEN_WAIT,
         None => runtime.process_config().max_client_wait,
     };
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -48,10 +48,10 @@
 
 impl Node {
     pub fn new(config: BalancerConfig) -> Self {
-        Self::seeded(config, 7)
+        Self::with_seed(config, 7)
     }
 
-    pub fn seeded(config: BalancerConfig, seed: u64) -> Self {
+    pub fn with_seed(config: BalancerConfig, seed: u64) -> Self {
         Self {
             balancer: Balancer::new(config, seed),
             actions: Vec::new(),
@@ -60,13 +60,18 @@
     }
 
     /// Handles an event and returns the actions.
-    pub fn give(&mut self, now: Time, event: Event) -> Vec<Action> {
+    pub fn handle_event(&mut self, now: Time, event: Event) -> Vec<Action> {
         self.balancer.handle(now, &event, &mut self.actions);
         std::mem::take(&mut self.actions)
     }
 
-    pub fn list(&mut self, now: Time, kind: UpdateKind, entries: &[Endpoint]) -> Vec<Action> {
-        self.give(
+    pub fn update_endpoints(
+        &mut self,
+        now: Time,
+        kind: UpdateKind,
+        entries: &[Endpoint],
+    ) -> Vec<Action> {
+        self.handle_event(
             now,
             Event::EndpointsUpdated {
                 kind,
@@ -81,26 +86,26 @@
     }
 
     /// Makes this request and returns the server of its attempt.
-    pub fn ask(&mut self, now: Time, request: Request) -> Option<ServerId> {
-        sent(&self.give(now, Event::Request(request)))
+    pub fn start_request(&mut self, now: Time, request: Request) -> Option<ServerId> {
+        attempted_server(&self.handle_event(now, Event::Request(request)))
     }
 
     /// Makes a request with a key, returns the server of its attempt and disconnects the client.
     pub fn place(&mut self, now: Time, key: Key) -> Option<ServerId> {
         let id = self.next_id();
-        let to = self.ask(
+        let to = self.start_request(
             now,
             Request {
                 key: Some(key),
                 ..Request::new(id, 0, now + 2.0)
             },
         );
-        self.give(now, Event::ClientDisconnected(id));
+        self.handle_event(now, Event::ClientDisconnected(id));
         to
     }
 
     /// Ends attempt `attempt` of a request, not final.
-    pub fn end(
+    pub fn end_attempt(
         &mut self,
         now: Time,
         id: RequestId,
@@ -108,7 +113,7 @@
         server: ServerId,
         outcome: Outcome,
     ) -> Vec<Action> {
-        self.give(
+        self.handle_event(
             now,
             Event::AttemptEnded(AttemptEnded {
                 id,
@@ -122,7 +127,7 @@
 }
 
 /// The server of the only attempt among these actions.
-pub fn sent(actions: &[Action]) -> Option<ServerId> {
+pub fn attempted_server(actions: &[Action]) -> Option<ServerId> {
     let mut sends = actions.iter().filter_map(|a| match a {
         Action::StartAttempt { server, .. } => Some(*server),
         _ => None,
--- a/tests/config_errors.rs
+++ b/tests/config_errors.rs
@@ -246,7 +246,7 @@
     assert_eq!(error("{}"), "missing field `revision`");
     let unusable = json!({"revision": 1, "complete": true, "members": [
         {"id": "s-1", "host_port": "somewhere:80", "phase": "SERVING"}]});
-    let list = EndpointList::read(unusable).unwrap_or_else(|e| panic!("{e}"));
+    let list = EndpointList::from_json(unusable).unwrap_or_else(|e| panic!("{e}"));
     assert_eq!(list.unusable.as_deref(), Some("'somewhere:80' of s-1"));
 }
 
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -50,19 +50,19 @@
                 balancer_index,
                 ..config.clone()
             };
-            let mut node = Node::seeded(config, seed + 1);
-            node.list(0.0, UpdateKind::Cached, &old);
+            let mut node = Node::with_seed(config, seed + 1);
+            node.update_endpoints(0.0, UpdateKind::Cached, &old);
             for i in 0..established {
                 let id = RequestId(1_000_000 + i);
                 let to = old[((seed + i) % servers) as usize].id;
-                node.give(
+                node.handle_event(
                     0.0,
                     Event::AlreadyEstablished {
                         request: Request::new(id, 0, 2.0),
                         server: to,
                     },
                 );
-                node.give(0.1, Event::LoadReport { id, load: LOAD });
+                node.handle_event(0.1, Event::LoadReport { id, load: LOAD });
             }
             node
         };
@@ -79,15 +79,15 @@
             group: Some(Key::of(&group.to_string())),
             ..Request::new(id, 0, now + 2.0)
         };
-        let to = self.nodes[node].ask(now, request)?;
-        self.nodes[node].give(now, Event::Established { id, server: to });
-        self.nodes[node].give(now, Event::LoadReport { id, load: LOAD });
+        let to = self.nodes[node].start_request(now, request)?;
+        self.nodes[node].handle_event(now, Event::Established { id, server: to });
+        self.nodes[node].handle_event(now, Event::LoadReport { id, load: LOAD });
         Some(to)
     }
 
     fn update_endpoints(&mut self, now: Time, entries: &[Endpoint]) {
         for node in &mut self.nodes {
-            node.list(now, UpdateKind::Delta, entries);
+            node.update_endpoints(now, UpdateKind::Delta, entries);
         }
     }
 }
@@ -229,7 +229,7 @@
                 if restarts && tick > 300 && restarted < nodes as usize && tick % 6 == 0 {
                     let fresh = Fleet::of(nodes, 8, 6).nodes.swap_remove(restarted);
                     fleet.nodes[restarted] = fresh;
-                    fleet.nodes[restarted].list(now, UpdateKind::Delta, &cold);
+                    fleet.nodes[restarted].update_endpoints(now, UpdateKind::Delta, &cold);
                     restarted += 1;
                 }
                 // Four seconds of requests, then the lull, then a burst of a tenth of a second.
--- a/tests/hostile.rs
+++ b/tests/hostile.rs
@@ -61,7 +61,7 @@
 impl World {
     fn new(seed: u64) -> Self {
         let mut world = World {
-            node: Node::seeded(settings(), seed),
+            node: Node::with_seed(settings(), seed),
             random: Random(seed),
             now: 100.0,
             seen: BTreeMap::new(),
@@ -126,7 +126,7 @@
     }
 
     fn give(&mut self, event: Event) {
-        for action in self.node.give(self.now, event) {
+        for action in self.node.handle_event(self.now, event) {
             self.carry_out(action);
         }
     }
@@ -406,7 +406,7 @@
                 };
                 self.listed = listed;
                 let entries: Vec<Endpoint> = self.listed.values().copied().collect();
-                self.node = Node::seeded(settings(), ids);
+                self.node = Node::with_seed(settings(), ids);
                 self.give(Event::EndpointsUpdated {
                     kind: UpdateKind::Cached,
                     endpoints: entries.into(),
--- a/tests/life.rs
+++ b/tests/life.rs
@@ -26,14 +26,14 @@
 
 fn started(config: BalancerConfig, servers: u64) -> Node {
     let mut node = Node::new(config);
-    node.list(0.0, UpdateKind::Full, &fleet(servers));
+    node.update_endpoints(0.0, UpdateKind::Full, &fleet(servers));
     node
 }
 
 fn request(node: &mut Node, now: Time) -> (RequestId, ServerId) {
     let id = node.next_id();
     let to = node
-        .ask(now, Request::new(id, 0, now + 2.0))
+        .start_request(now, Request::new(id, 0, now + 2.0))
         .expect("a server");
     (id, to)
 }
@@ -58,13 +58,14 @@
     ] {
         let mut node = started(with(effect), 10);
         let (id, first) = request(&mut node, 1.0);
-        let second = sent(&node.end(1.1, id, 0, first, Outcome::Rejected)).expect("a next one");
+        let second = attempted_server(&node.end_attempt(1.1, id, 0, first, Outcome::Rejected))
+            .expect("a next one");
         // Rejections raise the backoff: the third attempt is queued.
-        let mut actions = node.end(1.2, id, 1, second, Outcome::ConnectFailed);
-        if sent(&actions).is_none() {
-            actions = node.give(1.5, Event::Timer(2));
+        let mut actions = node.end_attempt(1.2, id, 1, second, Outcome::ConnectFailed);
+        if attempted_server(&actions).is_none() {
+            actions = node.handle_event(1.5, Event::Timer(2));
         }
-        let third = sent(&actions).expect("a next one");
+        let third = attempted_server(&actions).expect("a next one");
         assert!(first != second && second != third && first != third);
     }
 }
@@ -79,21 +80,21 @@
     {
         // Errors and timeouts raise the backoff: the request is queued.
         let now = 1.0 + 0.2 * (attempt + 1) as f64;
-        let mut actions = node.end(now, id, attempt as u32, to, outcome);
-        if sent(&actions).is_none() {
+        let mut actions = node.end_attempt(now, id, attempt as u32, to, outcome);
+        if attempted_server(&actions).is_none() {
             assert!(
                 matches!(actions[..], [Action::SetTimer { .. }]),
                 "{actions:?}"
             );
-            actions = node.give(now + 0.15, Event::Timer(2));
+            actions = node.handle_event(now + 0.15, Event::Timer(2));
         }
-        match sent(&actions) {
+        match attempted_server(&actions) {
             Some(next) => to = next,
             None => return assert!(attempt > 0, "no second attempt: {actions:?}"),
         }
     }
     assert!(
-        rejected(&node.end(1.8, id, 3, to, Outcome::Rejected)),
+        rejected(&node.end_attempt(1.8, id, 3, to, Outcome::Rejected)),
         "the fourth attempt was the last"
     );
 }
@@ -108,7 +109,7 @@
     ] {
         let mut node = started(with(Idempotency::NonIdempotent), 10);
         let (id, to) = request(&mut node, 1.0);
-        let mut actions = node.end(1.9, id, 0, to, outcome);
+        let mut actions = node.end_attempt(1.9, id, 0, to, outcome);
         actions.retain(|action| !matches!(action, Action::SetTimer { .. }));
         assert!(failed(&actions), "{outcome:?}: {actions:?}");
     }
@@ -125,17 +126,20 @@
     ] {
         let mut node = started(with(Idempotency::Keyed { scope, window: 0.5 }), 12);
         let (id, first) = request(&mut node, 1.0);
-        let second =
-            sent(&node.end(1.1, id, 0, first, Outcome::Reset)).expect("a retry within the window");
+        let second = attempted_server(&node.end_attempt(1.1, id, 0, first, Outcome::Reset))
+            .expect("a retry within the window");
         match scope {
             DeduplicationScope::All => {}
             DeduplicationScope::Zone => assert_eq!(zone_of(first), zone_of(second)),
             DeduplicationScope::Cell => assert_eq!(cell_of(first), cell_of(second)),
         }
         // After the window, counted from the first attempt, no attempt may follow.
-        let actions = node.end(1.6, id, 1, second, Outcome::Rejected);
-        assert_eq!(sent(&actions), None);
-        let actions = node.give(1.99, Event::Timer(2)).into_iter().chain(actions);
+        let actions = node.end_attempt(1.6, id, 1, second, Outcome::Rejected);
+        assert_eq!(attempted_server(&actions), None);
+        let actions = node
+            .handle_event(1.99, Event::Timer(2))
+            .into_iter()
+            .chain(actions);
         let last: Vec<Action> = actions
             .filter(|a| !matches!(a, Action::SetTimer { .. }))
             .collect();
@@ -154,7 +158,7 @@
     for (ended, is_retried) in [(1.24, true), (1.26, false)] {
         let mut node = started(with(keyed), 12);
         let (id, first) = request(&mut node, 1.0);
-        let second = sent(&node.end(ended, id, 0, first, Outcome::Reset));
+        let second = attempted_server(&node.end_attempt(ended, id, 0, first, Outcome::Reset));
         assert_eq!(second.is_some(), is_retried, "{ended}");
     }
 }
@@ -171,29 +175,29 @@
         let mut node = started(with(effect), 3);
         // In flight: it may still execute.
         let (in_flight, server) = request(&mut node, 1.0);
-        let actions = node.give(1.1, Event::ShutdownDeadline(in_flight));
+        let actions = node.handle_event(1.1, Event::ShutdownDeadline(in_flight));
         assert_eq!(
             (rejected(&actions), failed(&actions)),
             (harmless, !harmless)
         );
         assert!(
-            node.end(1.2, in_flight, 0, server, Outcome::Cancelled)
+            node.end_attempt(1.2, in_flight, 0, server, Outcome::Cancelled)
                 .is_empty()
         );
         assert!(
-            node.give(1.2, Event::ShutdownDeadline(in_flight))
+            node.handle_event(1.2, Event::ShutdownDeadline(in_flight))
                 .is_empty(),
             "only once"
         );
         // Never executed: it may be rejected whatever its idempotency.
-        node.list(1.3, UpdateKind::Full, &[]);
+        node.update_endpoints(1.3, UpdateKind::Full, &[]);
         let queued = node.next_id();
-        assert_eq!(node.ask(1.3, Request::new(queued, 0, 3.3)), None);
+        assert_eq!(node.start_request(1.3, Request::new(queued, 0, 3.3)), None);
         assert!(
-            rejected(&node.give(1.4, Event::ShutdownDeadline(queued))),
+            rejected(&node.handle_event(1.4, Event::ShutdownDeadline(queued))),
             "{effect:?}"
         );
-        assert!(node.give(1.5, Event::Timer(2)).is_empty());
+        assert!(node.handle_event(1.5, Event::Timer(2)).is_empty());
     }
 }
 
@@ -201,20 +205,20 @@
 fn attempt_timeouts_leave_time_for_another_attempt_and_end_by_the_deadline() {
     let mut node = started(config(), 10);
     let id = node.next_id();
-    let actions = node.give(1.0, Event::Request(Request::new(id, 0, 3.0)));
+    let actions = node.handle_event(1.0, Event::Request(Request::new(id, 0, 3.0)));
     assert!(
         matches!(actions[..], [Action::StartAttempt { timeout_at, .. }] if timeout_at > 1.0 && timeout_at < 3.0),
         "{actions:?}"
     );
     let late = node.next_id();
-    let actions = node.give(1.0, Event::Request(Request::new(late, 0, 1.2)));
+    let actions = node.handle_event(1.0, Event::Request(Request::new(late, 0, 1.2)));
     assert!(
         matches!(actions[..], [Action::StartAttempt { timeout_at, .. }] if timeout_at == 1.2),
         "{actions:?}"
     );
     let over = node.next_id();
     assert!(rejected(
-        &node.give(1.0, Event::Request(Request::new(over, 0, 1.0)))
+        &node.handle_event(1.0, Event::Request(Request::new(over, 0, 1.0)))
     ));
 }
 
@@ -222,7 +226,7 @@
 fn with_no_endpoints_a_request_is_queued_and_rejected_before_its_deadline() {
     let mut node = Node::new(config());
     let id = node.next_id();
-    let actions = node.give(1.0, Event::Request(Request::new(id, 0, 3.0)));
+    let actions = node.handle_event(1.0, Event::Request(Request::new(id, 0, 3.0)));
     assert!(
         matches!(actions[..], [Action::SetTimer { .. }]),
         "queued: {actions:?}"
@@ -230,7 +234,7 @@
     let mut now = 1.0;
     loop {
         now += 0.1;
-        let actions = node.give(now, Event::Timer(2));
+        let actions = node.handle_event(now, Event::Timer(2));
         if actions.iter().any(|a| matches!(a, Action::Reject { .. })) {
             break assert!(now < 3.0);
         }
@@ -238,9 +242,9 @@
     }
     // A queued request is started once there are endpoints.
     let id = node.next_id();
-    node.give(4.0, Event::Request(Request::new(id, 0, 6.0)));
-    node.list(4.05, UpdateKind::Full, &fleet(3));
-    assert!(sent(&node.give(4.2, Event::Timer(2))).is_some());
+    node.handle_event(4.0, Event::Request(Request::new(id, 0, 6.0)));
+    node.update_endpoints(4.05, UpdateKind::Full, &fleet(3));
+    assert!(attempted_server(&node.handle_event(4.2, Event::Timer(2))).is_some());
 }
 
 #[test]
@@ -254,22 +258,28 @@
         outcome: Outcome::Success,
         is_final: true,
     };
-    assert!(node.give(1.1, Event::AttemptEnded(ended)).is_empty());
     assert!(
-        node.end(1.2, id, 0, to, Outcome::Reset).is_empty(),
+        node.handle_event(1.1, Event::AttemptEnded(ended))
+            .is_empty()
+    );
+    assert!(
+        node.end_attempt(1.2, id, 0, to, Outcome::Reset).is_empty(),
         "a late outcome"
     );
     assert!(
-        node.give(1.3, Event::Established { id, server: to })
+        node.handle_event(1.3, Event::Established { id, server: to })
+            .is_empty()
+    );
+    assert!(
+        node.handle_event(1.3, Event::ClientDisconnected(id))
             .is_empty()
     );
-    assert!(node.give(1.3, Event::ClientDisconnected(id)).is_empty());
     assert!(
-        node.give(1.3, Event::LoadReport { id, load: 5.0 })
+        node.handle_event(1.3, Event::LoadReport { id, load: 5.0 })
             .is_empty()
     );
     assert!(
-        node.give(1.4, Event::Timer(77)).is_empty(),
+        node.handle_event(1.4, Event::Timer(77)).is_empty(),
         "a timer never set"
     );
 }
@@ -285,16 +295,17 @@
             10,
         );
         let (id, _) = request(&mut node, 1.0);
-        let actions = node.give(1.1, Event::ClientDisconnected(id));
+        let actions = node.handle_event(1.1, Event::ClientDisconnected(id));
         assert_eq!(
             actions == [Action::CancelAttempt { id, attempt: 0 }],
             can_cancel_attempts,
             "{actions:?}"
         );
         let (id, to) = request(&mut node, 1.0);
-        node.give(1.1, Event::Established { id, server: to });
+        node.handle_event(1.1, Event::Established { id, server: to });
         assert!(
-            node.give(1.2, Event::ClientDisconnected(id)).is_empty(),
+            node.handle_event(1.2, Event::ClientDisconnected(id))
+                .is_empty(),
             "an established connection is not cancelled"
         );
     }
@@ -305,7 +316,7 @@
     let mut node = started(config(), 3);
     let (id, to) = (node.next_id(), fleet(3)[1].id);
     assert!(
-        node.give(
+        node.handle_event(
             0.0,
             Event::AlreadyEstablished {
                 request: Request::new(id, 0, 2.0),
@@ -321,10 +332,13 @@
         outcome: Outcome::Reset,
         is_final: true,
     };
-    assert!(node.give(5.0, Event::AttemptEnded(ended)).is_empty());
+    assert!(
+        node.handle_event(5.0, Event::AttemptEnded(ended))
+            .is_empty()
+    );
     let (other, unlisted) = (node.next_id(), ServerId::of("nobody:1"));
     assert!(
-        node.give(
+        node.handle_event(
             6.0,
             Event::AlreadyEstablished {
                 request: Request::new(other, 0, 8.0),
@@ -341,7 +355,7 @@
     let mut node = started(config(), 4);
     list[0].state = EndpointState::Draining;
     list[1].state = EndpointState::Removed;
-    node.list(1.0, UpdateKind::Delta, &list[..2]);
+    node.update_endpoints(1.0, UpdateKind::Delta, &list[..2]);
     for i in 0..300 {
         let to = node
             .place(1.0, Key::of(&format!("key {i}")))
@@ -350,12 +364,12 @@
     }
     // Absent from a full or cached list means removed.
     for kind in [UpdateKind::Full, UpdateKind::Cached] {
-        node.list(2.0, kind, &list[2..3]);
+        node.update_endpoints(2.0, kind, &list[2..3]);
         assert_eq!(node.place(2.0, Key::of("any")), Some(list[2].id));
-        node.list(2.0, kind, &fleet(4));
+        node.update_endpoints(2.0, kind, &fleet(4));
     }
     // A failed poll leaves the list as it is.
-    node.give(3.0, Event::DiscoveryFailed);
+    node.handle_event(3.0, Event::DiscoveryFailed);
     assert!(node.place(3.0, Key::of("any")).is_some());
 }
 
@@ -367,7 +381,7 @@
         let key = Some(Key::of(&format!("key {i}")));
         let id = node.next_id();
         let home = node
-            .ask(
+            .start_request(
                 1.0,
                 Request {
                     key,
@@ -380,10 +394,10 @@
             ..*m
         });
         let one: Vec<Endpoint> = draining.filter(|m| m.id == home).collect();
-        node.list(1.0, UpdateKind::Delta, &one);
+        node.update_endpoints(1.0, UpdateKind::Delta, &one);
         let id = node.next_id();
         assert_eq!(
-            node.ask(
+            node.start_request(
                 1.0,
                 Request {
                     key,
@@ -395,7 +409,7 @@
         );
         let id = node.next_id();
         assert_ne!(
-            node.ask(
+            node.start_request(
                 1.0,
                 Request {
                     key,
@@ -404,7 +418,7 @@
             ),
             Some(home)
         );
-        node.list(1.0, UpdateKind::Full, &list);
+        node.update_endpoints(1.0, UpdateKind::Full, &list);
     }
 }
 
@@ -417,17 +431,18 @@
     };
     let mut backoffs = Vec::new();
     for seed in 0..20 {
-        let mut node = Node::seeded(polled.clone(), seed);
+        let mut node = Node::with_seed(polled.clone(), seed);
         assert_eq!(
-            node.list(0.0, UpdateKind::Cached, &fleet(3)),
+            node.update_endpoints(0.0, UpdateKind::Cached, &fleet(3)),
             [Action::PollDiscovery]
         );
         assert!(
-            node.list(0.1, UpdateKind::Full, &fleet(3)).is_empty(),
+            node.update_endpoints(0.1, UpdateKind::Full, &fleet(3))
+                .is_empty(),
             "polled only once"
         );
         for failures in 0..12 {
-            let actions = node.give(1.0, Event::DiscoveryFailed);
+            let actions = node.handle_event(1.0, Event::DiscoveryFailed);
             let [Action::SetTimer { after, token }] = actions[..] else {
                 panic!("{actions:?}")
             };
@@ -438,7 +453,7 @@
             );
             backoffs.push((failures, after));
             assert_eq!(
-                node.give(1.0 + after, Event::Timer(token)),
+                node.handle_event(1.0 + after, Event::Timer(token)),
                 [Action::PollDiscovery]
             );
         }
@@ -459,7 +474,7 @@
     );
     assert!(
         Node::new(config())
-            .list(0.0, UpdateKind::Cached, &fleet(3))
+            .update_endpoints(0.0, UpdateKind::Cached, &fleet(3))
             .is_empty(),
         "pushed lists need no poll"
     );
@@ -469,15 +484,15 @@
 fn requests_of_an_unknown_class_are_rejected_and_repeated_ids_are_ignored() {
     let mut node = started(config(), 3);
     let id = node.next_id();
-    let mut actions = node.give(1.0, Event::Request(Request::new(id, 9, 1.1)));
-    actions.extend(node.give(1.09, Event::Timer(2)));
+    let mut actions = node.handle_event(1.0, Event::Request(Request::new(id, 9, 1.1)));
+    actions.extend(node.handle_event(1.09, Event::Timer(2)));
     assert!(
         actions.iter().any(|a| matches!(a, Action::Reject { .. })),
         "{actions:?}"
     );
     let (id, _) = request(&mut node, 2.0);
     assert!(
-        node.give(2.0, Event::Request(Request::new(id, 0, 4.0)))
+        node.handle_event(2.0, Event::Request(Request::new(id, 0, 4.0)))
             .is_empty()
     );
 }
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -29,15 +29,17 @@
 fn memory_is_bounded_for_each_established_connection_and_freed_with_each_request() {
     let mut node = Node::new(config());
     let list: Vec<Endpoint> = (0..20).map(server).collect();
-    node.list(0.0, UpdateKind::Full, &list);
+    node.update_endpoints(0.0, UpdateKind::Full, &list);
     let before = LIVE.load(Ordering::Relaxed);
     let count = 10_000;
     let mut open = Vec::with_capacity(count);
     let own = LIVE.load(Ordering::Relaxed) - before;
     for _ in 0..count {
         let id = node.next_id();
-        let to = node.ask(1.0, Request::new(id, 0, 3.0)).expect("a server");
-        node.give(1.1, Event::Established { id, server: to });
+        let to = node
+            .start_request(1.0, Request::new(id, 0, 3.0))
+            .expect("a server");
+        node.handle_event(1.1, Event::Established { id, server: to });
         open.push((id, to));
     }
     let each = (LIVE.load(Ordering::Relaxed) - before - own) / count;
@@ -56,21 +58,21 @@
         } else {
             Event::ClientDisconnected(id)
         };
-        node.give(2.0, end);
+        node.handle_event(2.0, end);
     }
     drop(open);
     for i in 0..1000 {
         let now = 3.0 + f64::from(i) * 0.01;
         let id = node.next_id();
         let mut attempt = 0;
-        let mut to = node.ask(now, Request::new(id, 0, now + 2.0));
+        let mut to = node.start_request(now, Request::new(id, 0, now + 2.0));
         while let Some(server) = to {
-            to = sent(&node.end(now, id, attempt, server, Outcome::Rejected));
+            to = attempted_server(&node.end_attempt(now, id, attempt, server, Outcome::Rejected));
             attempt += 1;
         }
-        node.give(now, Event::ClientDisconnected(id));
+        node.handle_event(now, Event::ClientDisconnected(id));
     }
-    node.give(20.0, Event::Timer(2));
+    node.handle_event(20.0, Event::Timer(2));
     let left = LIVE.load(Ordering::Relaxed).saturating_sub(before);
     // The queue and the trees keep some spare capacity; nothing grows with the requests served.
     assert!(
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -61,7 +61,7 @@
         })
         .collect();
     let mut node = Node::new(config());
-    node.list(0.0, UpdateKind::Full, &list);
+    node.update_endpoints(0.0, UpdateKind::Full, &list);
     let keys = 20_000;
     let mut counts = [0usize; 4];
     for i in 0..keys {
@@ -92,8 +92,8 @@
         .collect();
     let plain: Vec<Endpoint> = (0..4).map(server).collect();
     let (mut a, mut b) = (Node::new(config()), Node::new(config()));
-    a.list(0.0, UpdateKind::Full, &list);
-    b.list(0.0, UpdateKind::Full, &plain);
+    a.update_endpoints(0.0, UpdateKind::Full, &list);
+    b.update_endpoints(0.0, UpdateKind::Full, &plain);
     for i in 0..500 {
         let key = Key::of(&format!("key {i}"));
         assert_eq!(a.place(0.0, key), b.place(0.0, key));
@@ -104,8 +104,8 @@
 fn adding_or_removing_a_server_moves_only_its_own_keys() {
     let list: Vec<Endpoint> = (0..10).map(server).collect();
     let (mut all, mut fewer) = (Node::new(config()), Node::new(config()));
-    all.list(0.0, UpdateKind::Full, &list);
-    fewer.list(0.0, UpdateKind::Full, &list[1..]);
+    all.update_endpoints(0.0, UpdateKind::Full, &list);
+    fewer.update_endpoints(0.0, UpdateKind::Full, &list[1..]);
     let mut moved = 0;
     for i in 0..2000 {
         let key = Key::of(&format!("key {i}"));
@@ -127,9 +127,9 @@
     let list: Vec<Endpoint> = (0..20).map(server).collect();
     let back: Vec<Endpoint> = list.iter().rev().copied().collect();
     let mut a = Node::new(config());
-    let mut b = Node::seeded(config(), 99);
-    a.list(0.0, UpdateKind::Full, &list);
-    b.list(0.0, UpdateKind::Cached, &back);
+    let mut b = Node::with_seed(config(), 99);
+    a.update_endpoints(0.0, UpdateKind::Full, &list);
+    b.update_endpoints(0.0, UpdateKind::Cached, &back);
     for i in 0..500 {
         let key = Key::of(&format!("key {i}"));
         assert_eq!(a.place(0.0, key), b.place(0.0, key));
@@ -148,7 +148,7 @@
         list.iter().max_by(high).map(|m| m.id)
     };
     let mut node = Node::new(config());
-    node.list(0.0, UpdateKind::Full, &list);
+    node.update_endpoints(0.0, UpdateKind::Full, &list);
     let (group, client) = (Some(Key::of("shop")), Some(Key::of("till")));
     for (group, client) in [(group, client), (None, client), (None, None)] {
         let id = node.next_id();
@@ -158,6 +158,6 @@
             ..Request::new(id, 0, 2.0)
         };
         let want = best(group.or(client).unwrap_or(Key(id.0)));
-        assert_eq!(node.ask(0.0, request), want);
+        assert_eq!(node.start_request(0.0, request), want);
     }
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -24,11 +24,11 @@
 
 /// A node with `each` connections established to each server.
 fn with_connections(config: BalancerConfig, seed: u64, servers: u64, each: u64) -> Node {
-    let mut node = Node::seeded(config, seed);
-    node.list(0.0, UpdateKind::Cached, &fleet(servers));
+    let mut node = Node::with_seed(config, seed);
+    node.update_endpoints(0.0, UpdateKind::Cached, &fleet(servers));
     for i in 0..servers * each {
         let id = RequestId(1_000_000 + i);
-        node.give(
+        node.handle_event(
             0.0,
             Event::AlreadyEstablished {
                 request: Request::new(id, 0, 2.0),
@@ -68,8 +68,8 @@
         // Ten connections of the mean load fill a unit of weight: 80 a server.
         let large = |m: Endpoint| Endpoint { weight: 8.0, ..m };
         let list: Vec<Endpoint> = fleet(10).into_iter().map(large).collect();
-        node.list(99.0, UpdateKind::Full, &list);
-        node.list(100.0, UpdateKind::Delta, &[large(cold)]);
+        node.update_endpoints(99.0, UpdateKind::Full, &list);
+        node.update_endpoints(100.0, UpdateKind::Delta, &[large(cold)]);
         let mut now = 100.0;
         while now < until {
             let key = (0..)
@@ -130,7 +130,7 @@
                 ..with_message_objective()
             };
             let mut fresh = with_connections(config, i, 10, 5);
-            fresh.list(
+            fresh.update_endpoints(
                 100.0,
                 UpdateKind::Delta,
                 &[Endpoint {
@@ -154,7 +154,7 @@
 #[test]
 fn a_server_that_restarts_under_the_same_id_warms_up_again() {
     let mut node = with_connections(with_message_objective(), 1, 2, 1);
-    node.list(
+    node.update_endpoints(
         50.0,
         UpdateKind::Delta,
         &[Endpoint {
@@ -168,7 +168,7 @@
         .count();
     assert!(first <= 1, "{first} at once");
     assert_eq!(node.place(65.0, key), Some(server(0).id), "warm");
-    node.list(
+    node.update_endpoints(
         70.0,
         UpdateKind::Delta,
         &[Endpoint {
@@ -191,20 +191,20 @@
         })
         .collect();
     let mut node = Node::new(with_message_objective());
-    node.list(10.0, UpdateKind::Full, &list);
+    node.update_endpoints(10.0, UpdateKind::Full, &list);
     let (mut placed, mut answered) = (0, 0);
     let mut end = BTreeMap::new();
     for step in 0..400 {
         let now = 10.0 + f64::from(step) * 0.05;
         let id = node.next_id();
         end.insert(id, now + 2.0);
-        let mut actions = node.give(now, Event::Request(Request::new(id, 0, now + 2.0)));
-        actions.extend(node.give(now, Event::Timer(2)));
+        let mut actions = node.handle_event(now, Event::Request(Request::new(id, 0, now + 2.0)));
+        actions.extend(node.handle_event(now, Event::Timer(2)));
         for action in actions {
             match action {
                 Action::StartAttempt { id, server, .. } => {
                     placed += 1;
-                    node.give(now, Event::Established { id, server });
+                    node.handle_event(now, Event::Established { id, server });
                     end.remove(&id);
                 }
                 Action::Reject { id, .. } => {
@@ -227,7 +227,7 @@
     let before: Vec<_> = (0..300)
         .map(|i| node.place(1.0, Key(mix(9, 0.0, i))))
         .collect();
-    node.give(
+    node.handle_event(
         2.0,
         Event::LatencyReport {
             server: server(0).id,
@@ -242,7 +242,7 @@
             assert_eq!(to, *was);
         }
     }
-    node.give(
+    node.handle_event(
         3.0,
         Event::LatencyReport {
             server: server(0).id,
@@ -258,7 +258,7 @@
 fn a_busy_report_expires() {
     let mut node = with_connections(with_message_objective(), 1, 2, 0);
     let key = key_of_first(2);
-    node.give(
+    node.handle_event(
         2.0,
         Event::LatencyReport {
             server: server(0).id,
@@ -273,7 +273,7 @@
 fn of_busy_servers_the_least_busy_is_used_and_of_overloaded_ones_none() {
     let mut node = with_connections(with_message_objective(), 1, 3, 2);
     for (i, delay) in [0.027, 0.022, 0.029].into_iter().enumerate() {
-        node.give(
+        node.handle_event(
             2.0,
             Event::LatencyReport {
                 server: server(i as u64).id,
@@ -285,7 +285,7 @@
         assert_eq!(node.place(2.1, Key(mix(5, 0.0, i))), Some(server(1).id));
     }
     (0..3).for_each(|i| {
-        drop(node.give(
+        drop(node.handle_event(
             3.0,
             Event::LatencyReport {
                 server: server(i).id,
@@ -310,7 +310,7 @@
     for _ in 0..4 {
         let id = node.next_id();
         assert_eq!(
-            node.ask(
+            node.start_request(
                 now,
                 Request {
                     key,
@@ -319,8 +319,8 @@
             ),
             Some(server(0).id)
         );
-        node.end(now, id, 0, server(0).id, Outcome::ConnectFailed);
-        node.give(now, Event::ClientDisconnected(id));
+        node.end_attempt(now, id, 0, server(0).id, Outcome::ConnectFailed);
+        node.handle_event(now, Event::ClientDisconnected(id));
         let from = now;
         while node.place(now, first_server_key) != Some(server(0).id) {
             now += 0.1;
@@ -331,14 +331,14 @@
     }
     assert!(ejections.windows(2).all(|w| w[1] > w[0]), "{ejections:?}");
     let id = node.next_id();
-    node.ask(
+    node.start_request(
         now,
         Request {
             key,
             ..Request::new(id, 0, now + 2.0)
         },
     );
-    node.give(
+    node.handle_event(
         now,
         Event::Established {
             id,
@@ -346,14 +346,14 @@
         },
     );
     let id = node.next_id();
-    node.ask(
+    node.start_request(
         now,
         Request {
             key,
             ..Request::new(id, 0, now + 2.0)
         },
     );
-    node.end(now, id, 0, server(0).id, Outcome::ConnectFailed);
+    node.end_attempt(now, id, 0, server(0).id, Outcome::ConnectFailed);
     assert_eq!(node.place(now + 0.1, first_server_key), Some(server(1).id));
     assert_eq!(node.place(now + 30.0, first_server_key), Some(server(0).id));
 }
@@ -361,7 +361,7 @@
 #[test]
 fn busy_servers_lose_the_heaviest_connections_gradually_and_saturated_ones_in_any_case() {
     let mut node = with_connections(with_message_objective(), 1, 5, 100);
-    node.give(
+    node.handle_event(
         1.0,
         Event::LoadReport {
             id: RequestId(1_000_000 + 35),
@@ -370,7 +370,7 @@
     );
     let slight: usize = (0..10)
         .map(|i| {
-            migrations(&node.give(
+            migrations(&node.handle_event(
                 2.0 + f64::from(i),
                 Event::LatencyReport {
                     server: server(1).id,
@@ -383,7 +383,7 @@
         slight <= 10,
         "{slight} migrations off a server that is just busy"
     );
-    let actions = node.give(
+    let actions = node.handle_event(
         20.0,
         Event::LatencyReport {
             server: server(0).id,
@@ -400,7 +400,7 @@
         "the heaviest goes first"
     );
     let mut node = with_connections(with_message_objective(), 1, 2, 100);
-    node.give(
+    node.handle_event(
         2.0,
         Event::LatencyReport {
             server: server(1).id,
@@ -408,7 +408,7 @@
         },
     );
     assert!(
-        migrations(&node.give(
+        migrations(&node.handle_event(
             2.0,
             Event::LatencyReport {
                 server: server(0).id,
@@ -418,7 +418,7 @@
         "migrate though no server has capacity"
     );
     let mut node = with_connections(with_message_objective(), 1, 2, 100);
-    node.give(
+    node.handle_event(
         2.0,
         Event::LatencyReport {
             server: server(1).id,
@@ -426,7 +426,7 @@
         },
     );
     assert_eq!(
-        migrations(&node.give(
+        migrations(&node.handle_event(
             2.0,
             Event::LatencyReport {
                 server: server(0).id,
@@ -445,14 +445,14 @@
     for i in 0..50 {
         node.place(f64::from(i) * 0.1, key);
     }
-    node.give(
+    node.handle_event(
         6.0,
         Event::LatencyReport {
             server: server(0).id,
             message_latency: 0.5,
         },
     );
-    node.give(
+    node.handle_event(
         7.0,
         Event::LatencyReport {
             server: server(0).id,
@@ -483,21 +483,21 @@
             each,
         );
         let key = Some(key_of_first(2));
-        node.give(
+        node.handle_event(
             6.0,
             Event::LatencyReport {
                 server: server(1).id,
                 message_latency: 0.5,
             },
         );
-        node.give(
+        node.handle_event(
             6.0,
             Event::LatencyReport {
                 server: server(0).id,
                 message_latency: 0.5,
             },
         );
-        node.give(
+        node.handle_event(
             7.0,
             Event::LatencyReport {
                 server: server(0).id,
@@ -512,8 +512,8 @@
                 is_reconnect: true,
                 ..Request::new(id, 0, now + 0.04)
             };
-            let to = node.ask(now, request);
-            node.give(now, Event::ClientDisconnected(id));
+            let to = node.start_request(now, request);
+            node.handle_event(now, Event::ClientDisconnected(id));
             to == Some(server(0).id)
         });
         sent.count()
@@ -532,24 +532,25 @@
     for i in 0..200 {
         let now = 1.0 + f64::from(i) * 0.01;
         let id = node.next_id();
-        let mut actions = node.give(now, Event::Request(Request::new(id, 0, now + 2.0)));
-        while let Some(Action::StartAttempt { id, server, .. }) =
-            actions.iter().find(|a| sent(&[(*a).clone()]).is_some())
+        let mut actions = node.handle_event(now, Event::Request(Request::new(id, 0, now + 2.0)));
+        while let Some(Action::StartAttempt { id, server, .. }) = actions
+            .iter()
+            .find(|a| attempted_server(&[(*a).clone()]).is_some())
         {
             sends += 1;
-            actions = node.end(now, *id, 0, *server, Outcome::Error);
+            actions = node.end_attempt(now, *id, 0, *server, Outcome::Error);
         }
     }
     assert!(sends < 40, "{sends} attempts in 2 s while all fail");
     let id = node.next_id();
     let to = node
-        .ask(30.0, Request::new(id, 0, 32.0))
+        .start_request(30.0, Request::new(id, 0, 32.0))
         .expect("an attempt after the gap");
-    (0..3).for_each(|_| drop(node.give(30.0, Event::Established { id, server: to })));
+    (0..3).for_each(|_| drop(node.handle_event(30.0, Event::Established { id, server: to })));
     for i in 0..4 {
         let id = node.next_id();
-        if let Some(to) = node.ask(40.0 + 5.0 * f64::from(i), Request::new(id, 0, 60.0)) {
-            node.give(
+        if let Some(to) = node.start_request(40.0 + 5.0 * f64::from(i), Request::new(id, 0, 60.0)) {
+            node.handle_event(
                 40.0 + 5.0 * f64::from(i),
                 Event::Established { id, server: to },
             );
@@ -564,7 +565,7 @@
 #[test]
 fn requests_without_hints_or_groups_are_placed_on_a_single_server() {
     let mut node = Node::new(config());
-    node.list(0.0, UpdateKind::Full, &fleet(1));
+    node.update_endpoints(0.0, UpdateKind::Full, &fleet(1));
     for i in 0..100 {
         assert_eq!(node.place(f64::from(i), Key(i as u64)), Some(server(0).id));
     }
@@ -595,16 +596,16 @@
                     outcome: Outcome::Reset,
                     is_final: true,
                 };
-                node.give(now, Event::AttemptEnded(ended));
+                node.handle_event(now, Event::AttemptEnded(ended));
             }
         }
         let id = node.next_id();
-        let mut actions = node.give(now, Event::Request(Request::new(id, 0, now + 2.0)));
-        actions.extend(node.give(now, Event::Timer(2)));
+        let mut actions = node.handle_event(now, Event::Request(Request::new(id, 0, now + 2.0)));
+        actions.extend(node.handle_event(now, Event::Timer(2)));
         for action in actions {
             if let Action::StartAttempt { id, server, .. } = action {
                 placed += usize::from((400..480).contains(&i));
-                node.give(now, Event::Established { id, server });
+                node.handle_event(now, Event::Established { id, server });
             }
         }
     }
@@ -625,7 +626,7 @@
     // One heavy connection and nine light ones: together more than the server's weight of 1 can do.
     let heavy = RequestId(1_000_000);
     for i in 1..50 {
-        node.give(
+        node.handle_event(
             1.0,
             Event::LoadReport {
                 id: RequestId(1_000_000 + i),
@@ -634,7 +635,7 @@
         );
     }
     assert_eq!(node.place(1.5, first_server_key), Some(server(0).id));
-    let actions = node.give(
+    let actions = node.handle_event(
         2.0,
         Event::LoadReport {
             id: heavy,
@@ -643,7 +644,7 @@
     );
     assert_eq!(migrations(&actions), 0, "{actions:?}");
     assert_ne!(node.place(3.0, first_server_key), Some(server(0).id));
-    node.give(
+    node.handle_event(
         14.0,
         Event::LoadReport {
             id: heavy,
@@ -668,8 +669,8 @@
             key: Some(first_server_key),
             ..Request::new(id, 0, at + 2.0)
         };
-        let to = node.ask(at, request).expect("a server");
-        node.give(at + took, Event::Established { id, server: to });
+        let to = node.start_request(at, request).expect("a server");
+        node.handle_event(at + took, Event::Established { id, server: to });
         to
     };
     // Set-up times vary, above all in a burst; an excess below the busy threshold says nothing.
@@ -691,7 +692,7 @@
             outcome: Outcome::Reset,
             is_final: true,
         };
-        node.give(1.0, Event::AttemptEnded(ended));
+        node.handle_event(1.0, Event::AttemptEnded(ended));
     }
     // The others take the reconnecting clients, and that server is used again soon.
     for i in 0..5 {
@@ -706,7 +707,7 @@
     let mut node = with_connections(with_message_objective(), 1, 2, 10);
     for second in 2..6 {
         for i in 0..20 {
-            node.give(
+            node.handle_event(
                 f64::from(second),
                 Event::LoadReport {
                     id: RequestId(1_000_000 + i),
@@ -729,9 +730,9 @@
             ..Request::new(id, 0, at + 2.0)
         };
         // One error may be the request's own fault.
-        assert_eq!(node.ask(at, request), Some(server(0).id));
-        node.end(at, id, 0, server(0).id, Outcome::Error);
-        node.give(at, Event::ClientDisconnected(id));
+        assert_eq!(node.start_request(at, request), Some(server(0).id));
+        node.end_attempt(at, id, 0, server(0).id, Outcome::Error);
+        node.handle_event(at, Event::ClientDisconnected(id));
     }
     let next = node
         .place(1.5, first_server_key)
@@ -754,10 +755,10 @@
             key: Some(first_server_key),
             ..Request::new(id, 0, at + 2.0)
         };
-        let to = node.ask(at, request).expect("a server");
+        let to = node.start_request(at, request).expect("a server");
         there += u32::from(to == server(0).id);
-        node.give(at, Event::Established { id, server: to });
-        node.give(at, Event::LoadReport { id, load: 50_000.0 });
+        node.handle_event(at, Event::Established { id, server: to });
+        node.handle_event(at, Event::LoadReport { id, load: 50_000.0 });
     }
     assert!((5..25).contains(&there), "{there} of 40 at one server");
 }
@@ -772,6 +773,6 @@
         outcome: Outcome::Reset,
         is_final: true,
     };
-    node.give(1.0, Event::AttemptEnded(ended));
+    node.handle_event(1.0, Event::AttemptEnded(ended));
     assert_eq!(node.place(1.01, key_of_first(5)), Some(server(0).id));
 }
--- a/tests/snapshot.rs
+++ b/tests/snapshot.rs
@@ -98,7 +98,7 @@
 impl World {
     fn new() -> Self {
         let mut world = Self {
-            node: Node::seeded(settings(), SEED),
+            node: Node::with_seed(settings(), SEED),
             random: Random(SEED),
             now: 100.0,
             asked: BTreeMap::new(),
@@ -113,7 +113,7 @@
     }
 
     fn give(&mut self, event: Event) {
-        for action in self.node.give(self.now, event) {
+        for action in self.node.handle_event(self.now, event) {
             let (kind, text) = line(&action);
             *self.counts.entry(kind).or_default() += 1;
             let _ = writeln!(self.lines, "{kind} {text}");
@@ -374,7 +374,7 @@
     );
     fixture::assert_bytes("balancer_snapshot.bin", &snapshot);
 
-    let kept = fixture::kept("balancer_snapshot.bin", &snapshot);
+    let kept = fixture::load_or_write("balancer_snapshot.bin", &snapshot);
     assert!(
         write(&read(&kept)) == kept,
         "read and written again it has other bytes"
