--- a/src/protocol/client/backend_line.rs
+++ b/src/protocol/client/backend_line.rs
@@ -1,12 +1,12 @@
-//! The lines of a stream server.
+//! Lines that a stream server sends.
 
 use crate::api::Outcome;
 
-/// Checks a stream server's first line: `Ok` if it takes the connection, otherwise how the attempt ended.
+/// Checks a stream server's first line: `Ok` if it accepts the connection.
 ///
 /// # Errors
-/// The outcome of the attempt; one that the protocol does not have is [`Outcome::Reset`], as the stream server is at
-/// fault and not the request.
+/// The outcome of the failed attempt. A line that the protocol does not define is [`Outcome::Reset`]: the stream server
+/// is at fault, not the request.
 pub fn check_first_answer(line: &str) -> Result<(), Outcome> {
     match line.split(' ').next().unwrap_or("") {
         "UP" => Ok(()),
@@ -17,21 +17,21 @@
     }
 }
 
-/// A line of a stream server on an established connection.
+/// A line that a stream server sends on an established connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BackendLine {
-    /// `LOAD`: the connection's load from now on, finite and not negative.
+    /// `LOAD`: the connection's new load, finite and not negative.
     Load(f64),
-    /// `BYE`: the connection is complete.
+    /// `BYE`: the connection has ended successfully.
     Bye,
     /// `MOVE`: the client should reconnect elsewhere.
     Move,
-    /// Anything else: the reply to a line of the client.
+    /// Anything else: the reply to a client's line.
     Reply,
 }
 
 impl BackendLine {
-    /// Reads a line, its end included.
+    /// Parses a line, including its line ending.
     pub fn parse(line: &[u8]) -> Self {
         match line.trim_ascii_end() {
             b"BYE" => Self::Bye,
@@ -42,7 +42,7 @@
 }
 
 fn parse_load(line: &[u8]) -> Option<f64> {
-    let figure = line.strip_prefix(b"LOAD ")?;
-    let load = str::from_utf8(figure).ok()?.parse::<f64>().ok()?;
+    let number = line.strip_prefix(b"LOAD ")?;
+    let load = str::from_utf8(number).ok()?.parse::<f64>().ok()?;
     Some(load).filter(|load| load.is_finite() && *load >= 0.0)
 }
--- a/src/protocol/client/line_reader.rs
+++ b/src/protocol/client/line_reader.rs
@@ -1,55 +1,55 @@
-//! Line framing on a stream.
+//! Splits a TCP stream into lines.
 
 use std::io;
 use thiserror::Error;
 use tokio::net::TcpStream;
 
-/// The longest line in bytes, its end included.
+/// The maximum length of a line in bytes, including its line ending.
 pub const MAX_LINE: usize = 4096;
 
 /// A line that cannot be read.
 #[derive(Debug, Error)]
 pub enum LineError {
-    /// The peer has sent [`MAX_LINE`] bytes without being read to the end of a line.
+    /// [`MAX_LINE`] bytes are buffered, so no more are read.
     #[error("the line is too long")]
     TooLong,
     /// The line is not UTF-8, has control characters, or ends in LF alone.
     #[error("the line is not plain text ending in CRLF")]
     NotPlainText,
-    /// The stream fails.
+    /// The stream failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// Reads lines from a stream and keeps what came after them. Its futures may be dropped at any await point without
-/// loss.
+/// Reads lines from a stream and buffers the bytes that follow them. Its methods are cancel safe: no bytes are lost when
+/// a future is dropped at an await point.
 #[derive(Default)]
 pub struct LineReader {
     buffer: Vec<u8>,
 }
 
 impl From<Vec<u8>> for LineReader {
-    /// A reader that goes on after bytes that were read elsewhere.
+    /// A reader whose buffer begins with bytes that were read from the stream before.
     fn from(buffer: Vec<u8>) -> Self {
         Self { buffer }
     }
 }
 
 impl LineReader {
-    /// Reads more bytes into the buffer; `Ok(false)` is the end of the stream.
+    /// Reads more bytes into the buffer; `Ok(false)` at the end of the stream.
     ///
     /// # Errors
-    /// If the buffer is full or the stream fails.
+    /// If the buffer is full or the stream failed.
     pub async fn read_more(&mut self, stream: &TcpStream) -> Result<bool, LineError> {
         loop {
-            // A peer that keeps sending before its turn loses its connection; it does not get more memory.
+            // Bounds the memory per connection: a peer that sends more before its turn is disconnected.
             if self.buffer.len() >= MAX_LINE {
                 return Err(LineError::TooLong);
             }
             stream.readable().await?;
             let mut chunk = [0; MAX_LINE];
-            let free = MAX_LINE - self.buffer.len();
-            match stream.try_read(&mut chunk[..free]) {
+            let capacity = MAX_LINE - self.buffer.len();
+            match stream.try_read(&mut chunk[..capacity]) {
                 Ok(count) => {
                     self.buffer.extend_from_slice(&chunk[..count]);
                     return Ok(count > 0);
@@ -60,10 +60,10 @@
         }
     }
 
-    /// The next line without its end; `None` at the end of the stream.
+    /// The next line without its line ending; `None` at the end of the stream.
     ///
     /// # Errors
-    /// If the line is too long or not plain text, or the stream fails.
+    /// If the line is too long or not plain text, or the stream failed.
     pub async fn next_line(&mut self, stream: &TcpStream) -> Result<Option<String>, LineError> {
         loop {
             if let Some(line) = self.take_line()? {
@@ -75,17 +75,17 @@
         }
     }
 
-    /// A copy of the bytes that were read and not taken as a line.
+    /// A copy of the bytes that follow the lines returned so far.
     pub fn buffered(&self) -> Vec<u8> {
         self.buffer.clone()
     }
 
-    /// No bytes came after the lines taken.
+    /// Whether no bytes follow the lines returned so far.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// The bytes that came after the lines taken.
+    /// The bytes that follow the lines returned so far.
     pub fn into_buffered(self) -> Vec<u8> {
         self.buffer
     }
--- a/src/protocol/client/mod.rs
+++ b/src/protocol/client/mod.rs
@@ -1,7 +1,7 @@
-//! The client protocol, which clients and stream servers speak alike: lines of plain text that end in CRLF.
+//! The client protocol, which clients and stream servers share: lines of plain text that end in CRLF.
 //!
-//! A client opens a connection with an [`OpenRequest`], the stream server's first line is the outcome of the attempt
-//! ([`check_first_answer`]), and later lines of the stream server are [`BackendLine`]s.
+//! A client opens a connection with an [`OpenRequest`]. The stream server's first line accepts the connection or tells
+//! why not ([`check_first_answer`]); its later lines are [`BackendLine`]s.
 
 mod backend_line;
 mod line_reader;
--- a/src/protocol/client/open_request.rs
+++ b/src/protocol/client/open_request.rs
@@ -5,15 +5,16 @@
 use std::ops::Range;
 use thiserror::Error;
 
-/// The longest wait of a client, in milliseconds. It also bounds what a client can do to the clock's arithmetic.
+/// The maximum wait of a client, in milliseconds; a longer one is capped. The cap also bounds what client input can do
+/// to calculations with times.
 const MAX_WAIT_MS: u64 = 600_000;
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
 
-/// A first line that cannot be read.
+/// A first line that cannot be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("{}", self.as_str())]
 pub enum OpenRequestError {
-    /// Another word than `OPEN`, or another number of words.
+    /// The first word is not `OPEN`, or the number of words is wrong.
     NotOpen,
     /// The id is not 16 lower-case hexadecimal digits.
     InvalidId,
@@ -21,30 +22,30 @@
     InvalidKey,
     /// A field has no `=`.
     FieldWithoutValue,
-    /// A field has nothing after its `=`.
+    /// A field has no value after its `=`.
     EmptyField,
-    /// A field that may stand once stands twice.
+    /// A field that may occur once occurs twice.
     DuplicateField,
-    /// The class is not among those configured.
+    /// The class is not configured.
     UnknownClass,
-    /// The wait is not a whole number.
+    /// The wait is not a whole number of milliseconds.
     InvalidWait,
-    /// There is no class.
+    /// The class is absent.
     MissingClass,
-    /// There is no wait.
+    /// The wait is absent.
     MissingWait,
 }
 
 impl OpenRequestError {
-    /// The error's text.
+    /// The text of the error.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::NotOpen => "not OPEN with an id, a key and fields",
+            Self::NotOpen => "expected 'OPEN ID KEY FIELDS'",
             Self::InvalidId => "the id is not 16 hex digits",
             Self::InvalidKey => "the key is missing, or the line is not ASCII",
             Self::FieldWithoutValue => "a field has no '='",
-            Self::EmptyField => "a field is empty",
-            Self::DuplicateField => "a field is there twice",
+            Self::EmptyField => "a field has no value",
+            Self::DuplicateField => "a field occurs twice",
             Self::UnknownClass => "the class is unknown",
             Self::InvalidWait => "'d' is not a whole number",
             Self::MissingClass => "the class is missing",
@@ -56,22 +57,24 @@
 /// The first line of a client that opens a connection.
 #[derive(Debug)]
 pub struct OpenRequest {
-    /// The request; its `deadline` is left to the caller, who has the clock.
+    /// The request; the caller, which has the clock, sets its `deadline`.
     pub request: Request,
-    /// How long the client waits for its answer, in seconds.
+    /// How long the client waits for a response, in seconds.
     pub wait: Time,
-    /// The server at which the connection is established already.
+    /// The server to which the connection is already established.
     pub established_server: Option<ServerId>,
-    /// The line up to the digits of the wait, and after them.
+    /// The line before the digits of the wait.
     before_wait: String,
+    /// The line after the digits of the wait.
     after_wait: String,
 }
 
 impl OpenRequest {
-    /// Parses a line without its end. `groups_enabled` is whether connections belong to groups here.
+    /// Parses a line without its line ending. `groups_enabled` tells whether connections belong to groups; if not, the
+    /// group of the line is ignored.
     ///
     /// # Errors
-    /// The first fault of the line.
+    /// The first error in the line.
     pub fn parse(
         line: &str,
         class_names: &[String],
@@ -104,19 +107,19 @@
         })
     }
 
-    /// The line for a stream server: unchanged, but for how long this balancer will wait.
+    /// The line for a stream server: the client's line with the wait replaced by `wait_ms`, the wait of this balancer.
     pub fn line_for_backend(&self, wait_ms: u64) -> String {
         format!("{}{wait_ms}{}\r\n", self.before_wait, self.after_wait)
     }
 }
 
-/// The wait of a client, and where its digits stand in the line.
+/// The wait of a client, and the byte range of its digits in the line.
 struct WaitField {
     milliseconds: u64,
     digits: Range<usize>,
 }
 
-/// What the fields of a line have said so far.
+/// Collects the fields of a line.
 struct FieldParser<'a> {
     class_names: &'a [String],
     groups_enabled: bool,
@@ -138,8 +141,7 @@
         }
     }
 
-    /// Takes the field that begins at byte `offset` of the line. Fields that are not known pass unread to the stream
-    /// server.
+    /// Parses the field that begins at byte `offset` of the line. Unknown fields are for the stream server.
     fn parse_field(&mut self, field: &str, offset: usize) -> Result<(), OpenRequestError> {
         let (name, value) = field
             .split_once('=')
@@ -187,9 +189,9 @@
 
 /// Parses the wait whose digits begin at byte `start` of the line.
 fn parse_wait(value: &str, start: usize) -> Result<WaitField, OpenRequestError> {
-    // `u64::from_str` alone would take a sign too.
-    let is_number = value.bytes().all(|byte| byte.is_ascii_digit());
-    let milliseconds = value.parse::<u64>().ok().filter(|_| is_number);
+    // `u64::from_str` alone would accept a leading `+`.
+    let only_digits = value.bytes().all(|byte| byte.is_ascii_digit());
+    let milliseconds = value.parse::<u64>().ok().filter(|_| only_digits);
     Ok(WaitField {
         milliseconds: milliseconds
             .ok_or(OpenRequestError::InvalidWait)?
@@ -198,7 +200,7 @@
     })
 }
 
-/// A hint that is no load is ignored: it is the client's own guess.
+/// Parses a load hint. An invalid one is ignored: the hint is only the client's estimate.
 fn parse_load_hint(value: &str) -> Option<f64> {
     let hint = value.parse::<f64>().ok();
     hint.filter(|hint| hint.is_finite() && *hint >= 0.0)
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,4 +1,5 @@
-//! The protocols at the edge. Each maps its own names to the terms of [`crate::api`] once; neither decides anything.
+//! The protocols of clients and stream servers, and of the simulator. They translate between the wire and the types of
+//! [`crate::api`] and make no balancing decisions.
 
 pub mod client;
 mod request_id;
--- a/tests/client_protocol.rs
+++ b/tests/client_protocol.rs
@@ -1,30 +1,30 @@
-//! What the first line of a client is refused for, to the letter: the texts go into the log and its counters.
+//! The lines of the client protocol: parsing, forwarding, and the exact error texts, which are logged.
 
 use spanspur::api::Outcome;
 use spanspur::protocol::client::{BackendLine, OpenRequest, check_first_answer};
 
-const GOOD: &str = "OPEN 00000000000000a1 7f3a c=live,d=2000,g=5c0f,x=1";
+const VALID_LINE: &str = "OPEN 00000000000000a1 7f3a c=live,d=2000,g=5c0f,x=1";
 
-fn refused(line: &str, groups: bool) -> Option<String> {
+fn parse_error(line: &str, groups_enabled: bool) -> Option<String> {
     let classes = ["live".to_owned(), "other".to_owned()];
-    OpenRequest::parse(line, &classes, groups)
+    OpenRequest::parse(line, &classes, groups_enabled)
         .err()
         .map(|error| error.to_string())
 }
 
 #[test]
-fn a_first_line_is_refused_in_these_words() {
-    assert_eq!(refused(GOOD, true), None);
-    let table = [
-        ("", "not OPEN with an id, a key and fields"),
-        ("GET / HTTP/1.1 x", "not OPEN with an id, a key and fields"),
+fn an_invalid_first_line_is_rejected_with_the_exact_error_text() {
+    assert_eq!(parse_error(VALID_LINE, true), None);
+    let invalid_lines = [
+        ("", "expected 'OPEN ID KEY FIELDS'"),
+        ("GET / HTTP/1.1 x", "expected 'OPEN ID KEY FIELDS'"),
         (
             "OPEN 00000000000000a1 7f3a",
-            "not OPEN with an id, a key and fields",
+            "expected 'OPEN ID KEY FIELDS'",
         ),
         (
             "OPEN 00000000000000a1 7f3a c=live,d=1 more",
-            "not OPEN with an id, a key and fields",
+            "expected 'OPEN ID KEY FIELDS'",
         ),
         ("OPEN a1 7f3a c=live,d=1", "the id is not 16 hex digits"),
         (
@@ -40,7 +40,7 @@
             "the key is missing, or the line is not ASCII",
         ),
         ("OPEN 00000000000000a1 7f3a c", "a field has no '='"),
-        ("OPEN 00000000000000a1 7f3a c=,d=1", "a field is empty"),
+        ("OPEN 00000000000000a1 7f3a c=,d=1", "a field has no value"),
         (
             "OPEN 00000000000000a1 7f3a c=dead,d=1",
             "the class is unknown",
@@ -55,33 +55,38 @@
         ),
         (
             "OPEN 00000000000000a1 7f3a c=live,d=1,d=2",
-            "a field is there twice",
+            "a field occurs twice",
         ),
         (
             "OPEN 00000000000000a1 7f3a c=live,c=other,d=1",
-            "a field is there twice",
+            "a field occurs twice",
         ),
         (
             "OPEN 00000000000000a1 7f3a c=live,d=1,g=1,g=1",
-            "a field is there twice",
+            "a field occurs twice",
         ),
         (
             "OPEN 00000000000000a1 7f3a c=live,d=1,at=s-1,at=s-1",
-            "a field is there twice",
+            "a field occurs twice",
         ),
         ("OPEN 00000000000000a1 7f3a d=1", "the class is missing"),
         ("OPEN 00000000000000a1 7f3a c=live", "'d' is missing"),
     ];
-    for (line, what) in table {
-        assert_eq!(refused(line, true).as_deref(), Some(what), "{line}");
+    for (line, expected) in invalid_lines {
+        assert_eq!(parse_error(line, true).as_deref(), Some(expected), "{line}");
     }
-    let twice = "OPEN 00000000000000a1 7f3a c=live,d=1,g=1,g=1";
-    assert_eq!(refused(twice, false), None, "there are no groups");
+    let duplicate_group = "OPEN 00000000000000a1 7f3a c=live,d=1,g=1,g=1";
+    assert_eq!(
+        parse_error(duplicate_group, false),
+        None,
+        "without groups, the field is ignored"
+    );
 }
 
 #[test]
-fn the_line_for_a_backend_differs_in_its_wait_alone() {
-    let open_request = OpenRequest::parse(GOOD, &["live".to_owned()], true).expect("a good line");
+fn the_line_for_a_backend_differs_only_in_its_wait() {
+    let open_request =
+        OpenRequest::parse(VALID_LINE, &["live".to_owned()], true).expect("a valid line");
     let line = open_request.line_for_backend(17);
     assert_eq!(
         line,
@@ -90,8 +95,8 @@
 }
 
 #[test]
-fn a_first_answer_of_a_backend_has_these_words() {
-    for (line, meaning) in [
+fn lines_of_a_backend_are_parsed() {
+    for (line, expected) in [
         ("UP r7", Ok(())),
         ("BUSY 200", Err(Outcome::Rejected)),
         ("MOVE", Err(Outcome::Cancelled)),
@@ -99,9 +104,9 @@
         ("up", Err(Outcome::Reset)),
         ("", Err(Outcome::Reset)),
     ] {
-        assert_eq!(check_first_answer(line), meaning, "{line}");
+        assert_eq!(check_first_answer(line), expected, "{line}");
     }
-    for (line, said) in [
+    for (line, expected) in [
         ("BYE\r\n", BackendLine::Bye),
         ("MOVE\r\n", BackendLine::Move),
         ("LOAD 12.5\r\n", BackendLine::Load(12.5)),
@@ -109,6 +114,6 @@
         ("LOAD\r\n", BackendLine::Reply),
         ("bye\r\n", BackendLine::Reply),
     ] {
-        assert_eq!(BackendLine::parse(line.as_bytes()), said, "{line}");
+        assert_eq!(BackendLine::parse(line.as_bytes()), expected, "{line}");
     }
 }
