--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,11 +1,11 @@
-//! A node in virtual time around one balancer.
+//! A test harness: one balancer in virtual time, driven by events.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 use spanspur::Balancer;
 use spanspur::api::*;
 
-pub struct Node {
-    pub balancer: Balancer,
+pub struct TestBalancer {
+    pub inner: Balancer,
     pub actions: Vec<Action>,
     ids: u64,
 }
@@ -35,7 +35,7 @@
     }
 }
 
-pub fn server(number: u64) -> Endpoint {
+pub fn endpoint(number: u64) -> Endpoint {
     Endpoint {
         id: ServerId::of(&format!("10.0.0.{number}:80")),
         zone: 0,
@@ -46,22 +46,22 @@
     }
 }
 
-impl Node {
+impl TestBalancer {
     pub fn new(config: BalancerConfig) -> Self {
         Self::with_seed(config, 7)
     }
 
     pub fn with_seed(config: BalancerConfig, seed: u64) -> Self {
         Self {
-            balancer: Balancer::new(config, seed),
+            inner: Balancer::new(config, seed),
             actions: Vec::new(),
             ids: 0,
         }
     }
 
     /// Handles an event and returns the actions.
-    pub fn handle_event(&mut self, now: Time, event: Event) -> Vec<Action> {
-        self.balancer.handle(now, &event, &mut self.actions);
+    pub fn handle(&mut self, now: Time, event: Event) -> Vec<Action> {
+        self.inner.handle(now, &event, &mut self.actions);
         std::mem::take(&mut self.actions)
     }
 
@@ -71,7 +71,7 @@
         kind: UpdateKind,
         entries: &[Endpoint],
     ) -> Vec<Action> {
-        self.handle_event(
+        self.handle(
             now,
             Event::EndpointsUpdated {
                 kind,
@@ -86,21 +86,21 @@
     }
 
     /// Makes this request and returns the server of its attempt.
-    pub fn start_request(&mut self, now: Time, request: Request) -> Option<ServerId> {
-        attempted_server(&self.handle_event(now, Event::Request(request)))
+    pub fn request(&mut self, now: Time, request: Request) -> Option<ServerId> {
+        attempted_server(&self.handle(now, Event::Request(request)))
     }
 
     /// Makes a request with a key, returns the server of its attempt and disconnects the client.
     pub fn place(&mut self, now: Time, key: Key) -> Option<ServerId> {
         let id = self.next_id();
-        let to = self.start_request(
+        let to = self.request(
             now,
             Request {
                 key: Some(key),
                 ..Request::new(id, 0, now + 2.0)
             },
         );
-        self.handle_event(now, Event::ClientDisconnected(id));
+        self.handle(now, Event::ClientDisconnected(id));
         to
     }
 
@@ -113,7 +113,7 @@
         server: ServerId,
         outcome: Outcome,
     ) -> Vec<Action> {
-        self.handle_event(
+        self.handle(
             now,
             Event::AttemptEnded(AttemptEnded {
                 id,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -14,13 +14,13 @@
 fn weighted(number: u64) -> Endpoint {
     Endpoint {
         weight: WEIGHT,
-        ..server(number)
+        ..endpoint(number)
     }
 }
 
 /// A fleet of nodes, each with connections to each of the old servers in turn.
 struct Fleet {
-    nodes: Vec<Node>,
+    nodes: Vec<TestBalancer>,
     random: Random,
 }
 
@@ -50,19 +50,19 @@
                 balancer_index,
                 ..config.clone()
             };
-            let mut node = Node::with_seed(config, seed + 1);
+            let mut node = TestBalancer::with_seed(config, seed + 1);
             node.update_endpoints(0.0, UpdateKind::Cached, &old);
             for i in 0..established {
                 let id = RequestId(1_000_000 + i);
                 let to = old[((seed + i) % servers) as usize].id;
-                node.handle_event(
+                node.handle(
                     0.0,
                     Event::AlreadyEstablished {
                         request: Request::new(id, 0, 2.0),
                         server: to,
                     },
                 );
-                node.handle_event(0.1, Event::LoadReport { id, load: LOAD });
+                node.handle(0.1, Event::LoadReport { id, load: LOAD });
             }
             node
         };
@@ -79,9 +79,9 @@
             group: Some(Key::of(&group.to_string())),
             ..Request::new(id, 0, now + 2.0)
         };
-        let to = self.nodes[node].start_request(now, request)?;
-        self.nodes[node].handle_event(now, Event::Established { id, server: to });
-        self.nodes[node].handle_event(now, Event::LoadReport { id, load: LOAD });
+        let to = self.nodes[node].request(now, request)?;
+        self.nodes[node].handle(now, Event::Established { id, server: to });
+        self.nodes[node].handle(now, Event::LoadReport { id, load: LOAD });
         Some(to)
     }
 
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -27,8 +27,8 @@
 
 #[test]
 fn memory_is_bounded_for_each_established_connection_and_freed_with_each_request() {
-    let mut node = Node::new(config());
-    let list: Vec<Endpoint> = (0..20).map(server).collect();
+    let mut node = TestBalancer::new(config());
+    let list: Vec<Endpoint> = (0..20).map(endpoint).collect();
     node.update_endpoints(0.0, UpdateKind::Full, &list);
     let before = LIVE.load(Ordering::Relaxed);
     let count = 10_000;
@@ -37,9 +37,9 @@
     for _ in 0..count {
         let id = node.next_id();
         let to = node
-            .start_request(1.0, Request::new(id, 0, 3.0))
+            .request(1.0, Request::new(id, 0, 3.0))
             .expect("a server");
-        node.handle_event(1.1, Event::Established { id, server: to });
+        node.handle(1.1, Event::Established { id, server: to });
         open.push((id, to));
     }
     let each = (LIVE.load(Ordering::Relaxed) - before - own) / count;
@@ -58,21 +58,21 @@
         } else {
             Event::ClientDisconnected(id)
         };
-        node.handle_event(2.0, end);
+        node.handle(2.0, end);
     }
     drop(open);
     for i in 0..1000 {
         let now = 3.0 + f64::from(i) * 0.01;
         let id = node.next_id();
         let mut attempt = 0;
-        let mut to = node.start_request(now, Request::new(id, 0, now + 2.0));
+        let mut to = node.request(now, Request::new(id, 0, now + 2.0));
         while let Some(server) = to {
             to = attempted_server(&node.end_attempt(now, id, attempt, server, Outcome::Rejected));
             attempt += 1;
         }
-        node.handle_event(now, Event::ClientDisconnected(id));
+        node.handle(now, Event::ClientDisconnected(id));
     }
-    node.handle_event(20.0, Event::Timer(2));
+    node.handle(20.0, Event::Timer(2));
     let left = LIVE.load(Ordering::Relaxed).saturating_sub(before);
     // The queue and the trees keep some spare capacity; nothing grows with the requests served.
     assert!(
