--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -48,10 +48,10 @@
 
 impl TestBalancer {
     pub fn new(config: BalancerConfig) -> Self {
-        Self::seeded(config, 7)
+        Self::with_seed(config, 7)
     }
 
-    pub fn seeded(config: BalancerConfig, seed: u64) -> Self {
+    pub fn with_seed(config: BalancerConfig, seed: u64) -> Self {
         Self {
             inner: Balancer::new(config, seed),
             actions: Vec::new(),
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -50,7 +50,7 @@
                 balancer_index,
                 ..config.clone()
             };
-            let mut node = TestBalancer::seeded(config, seed + 1);
+            let mut node = TestBalancer::with_seed(config, seed + 1);
             node.update_endpoints(0.0, UpdateKind::Cached, &old);
             for i in 0..established {
                 let id = RequestId(1_000_000 + i);
--- a/tests/hostile.rs
+++ b/tests/hostile.rs
@@ -61,7 +61,7 @@
 impl World {
     fn new(seed: u64) -> Self {
         let mut world = World {
-            node: TestBalancer::seeded(settings(), seed),
+            node: TestBalancer::with_seed(settings(), seed),
             random: Random(seed),
             now: 100.0,
             seen: BTreeMap::new(),
@@ -406,7 +406,7 @@
                 };
                 self.listed = listed;
                 let entries: Vec<Endpoint> = self.listed.values().copied().collect();
-                self.node = TestBalancer::seeded(settings(), ids);
+                self.node = TestBalancer::with_seed(settings(), ids);
                 self.give(Event::EndpointsUpdated {
                     kind: UpdateKind::Cached,
                     endpoints: entries.into(),
--- a/tests/life.rs
+++ b/tests/life.rs
@@ -421,7 +421,7 @@
     };
     let mut backoffs = Vec::new();
     for seed in 0..20 {
-        let mut node = TestBalancer::seeded(polled.clone(), seed);
+        let mut node = TestBalancer::with_seed(polled.clone(), seed);
         assert_eq!(
             node.update_endpoints(0.0, UpdateKind::Cached, &fleet(3)),
             [Action::PollDiscovery]
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -127,7 +127,7 @@
     let list: Vec<Endpoint> = (0..20).map(endpoint).collect();
     let back: Vec<Endpoint> = list.iter().rev().copied().collect();
     let mut a = TestBalancer::new(config());
-    let mut b = TestBalancer::seeded(config(), 99);
+    let mut b = TestBalancer::with_seed(config(), 99);
     a.update_endpoints(0.0, UpdateKind::Full, &list);
     b.update_endpoints(0.0, UpdateKind::Cached, &back);
     for i in 0..500 {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -24,7 +24,7 @@
 
 /// A node with `each` connections established to each server.
 fn with_connections(config: BalancerConfig, seed: u64, servers: u64, each: u64) -> TestBalancer {
-    let mut node = TestBalancer::seeded(config, seed);
+    let mut node = TestBalancer::with_seed(config, seed);
     node.update_endpoints(0.0, UpdateKind::Cached, &fleet(servers));
     for i in 0..servers * each {
         let id = RequestId(1_000_000 + i);
