--- a/crates/membership/src/authentication.rs
+++ b/crates/membership/src/authentication.rs
@@ -1,49 +1,50 @@
-//! Sealed datagrams: authenticated, not encrypted. Each carries a version, its sender and the sender's incarnation, the
-//! receiver's incarnation that it is meant for, a number, and a message authentication code (16 bytes of keyed
-//! BLAKE3) under a key of the cluster.
+//! Sealed datagrams: authenticated, not encrypted. The message authentication code is the first 16 bytes of a keyed
+//! BLAKE3 hash under one of the cluster's keys.
 //!
 //! | bytes | holds |
 //! | --- | --- |
 //! | 0 | the version, 1 |
-//! | 1 | the kind: 0 a greeting, 1 an answer to one, 2 data |
-//! | 2..10 | the sender: the hash of its name |
+//! | 1 | the kind: 0 for a greeting, 1 for an answer, 2 for data |
+//! | 2..10 | the sender's id: the hash of its name |
 //! | 10..18 | the sender's incarnation |
-//! | 18..26 | the receiver's incarnation that it is meant for; 0 in a greeting |
-//! | 26..34 | its number, counted up by the sender for each receiver |
+//! | 18..26 | the incarnation of the receiver to which the datagram is addressed; 0 in a greeting |
+//! | 26..34 | the sequence number, which the sender increments for each receiver; 0 in greetings and answers |
 //! | .. | the body |
-//! | last 16 | the authentication code over all before it |
+//! | last 16 | the authentication code over all preceding bytes |
 //!
-//! Numbers are little-endian. A replayed datagram is detected by its number, if the receiver still runs, and by the
-//! receiver's incarnation otherwise. Only greetings are bound to no incarnation; all that they cause is an answer,
-//! with no more bytes than they have.
+//! Integers are little-endian. While the receiver runs, its replay window detects a replayed datagram by the sequence
+//! number. After a restart of the receiver, the receiver's incarnation no longer matches. Only greetings are not bound
+//! to an incarnation. All that a greeting causes is an answer, which has the format of a greeting: a replayed greeting
+//! changes no state and is not answered with more bytes than its own.
 
 use crate::replay::Peer;
 use std::collections::BTreeMap;
 
-/// The version of the format.
+/// The version of the datagram format.
 pub const VERSION: u8 = 1;
-/// Bytes of a datagram at most.
+/// Maximum size of a datagram, in bytes.
 pub const MAX_DATAGRAM: usize = 1400;
-/// Bytes that sealing adds to a body.
+/// Number of bytes that sealing adds to a body.
 pub const OVERHEAD: usize = HEADER_BYTES + TAG_BYTES;
 const HEADER_BYTES: usize = 34;
 const TAG_BYTES: usize = 16;
-/// Senders that are remembered. A control instance has to know 2,100 balancers when all the others are gone, each of
-/// them perhaps under the name of the one that it replaced too; a power of two with room for that.
+/// Maximum number of remembered senders. When all other control instances are down, one control instance has to
+/// remember 2,100 balancers, and possibly each of them a second time under the name of the balancer that it replaced.
+/// The limit is a power of two with room for that.
 pub const MAX_SENDERS: usize = 4096;
-/// Bytes of a secret at least.
+/// Minimum length of a secret, in bytes.
 pub const MIN_SECRET: usize = 16;
-/// The domain of key derivation. Part of the format: it never changes.
+/// The context string of key derivation. It is part of the format and must not change.
 const KEY_CONTEXT: &str = "spanspur cluster datagrams v1";
 
-/// What a datagram is. The value is its byte.
+/// The kind of a datagram. The discriminant is the byte in the header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DatagramKind {
-    /// Says who the sender is; bound to no incarnation of the receiver.
+    /// Announces the sender's identity. Not bound to an incarnation of the receiver.
     Greeting = 0,
-    /// Answers a greeting; bound to the incarnation that greeted.
+    /// Answers a greeting. Bound to the incarnation that sent the greeting.
     Answer = 1,
-    /// All else.
+    /// Any other message. Bound to the receiver's incarnation.
     Data = 2,
 }
 
@@ -58,7 +59,7 @@
     }
 }
 
-/// A key of the cluster.
+/// One of the cluster's keys.
 #[derive(Clone)]
 pub struct Key([u8; 32]);
 
@@ -69,7 +70,7 @@
 }
 
 impl Key {
-    /// Derives the key from a secret that all instances share.
+    /// Derives a key from a secret that all instances share.
     pub fn new(secret: &[u8]) -> Self {
         Self(blake3::derive_key(KEY_CONTEXT, secret))
     }
@@ -78,7 +79,7 @@
         blake3::keyed_hash(&self.0, bytes)
     }
 
-    /// Compares in constant time, so that a forger learns nothing from the duration.
+    /// Checks a tag in constant time, so that the duration reveals nothing to a forger.
     fn verify_mac(&self, bytes: &[u8], tag: &[u8]) -> bool {
         let expected = self.compute_mac(bytes);
         let pairs = expected.as_bytes()[..TAG_BYTES].iter().zip(tag);
@@ -86,35 +87,36 @@
     }
 }
 
-/// The keys in use: the first seals, all open. Two of them allow to replace a key without an interruption.
+/// The keys in use. The first key seals datagrams, and every key opens them, so that a key can be replaced without an
+/// interruption while both the old and the new key are configured.
 #[derive(Clone, Debug)]
 pub struct Keys(pub Vec<Key>);
 
 /// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, thiserror::Error)]
 pub enum DatagramError {
-    /// Longer than [`MAX_DATAGRAM`], or shorter than [`OVERHEAD`].
+    /// The datagram is longer than [`MAX_DATAGRAM`] or shorter than [`OVERHEAD`].
     #[error("the datagram's size is out of bounds")]
     InvalidSize,
-    /// Another version of the format, or an unknown kind.
+    /// The datagram has another version of the format, or an unknown kind.
     #[error("the datagram's version or kind is not supported")]
     UnsupportedVersion,
-    /// No key of ours has sealed it: forged, cut off or damaged.
-    #[error("the authentication code does not match")]
+    /// The authentication code matches no configured key: the datagram is forged, truncated or corrupted.
+    #[error("the authentication code does not match any key")]
     InvalidTag,
-    /// It has come before, or is too old to tell.
-    #[error("the datagram has come before or is too old to tell")]
+    /// The datagram was received before, or it is too old for the replay window.
+    #[error("the datagram was received before or is too old for the replay window")]
     Replayed,
-    /// It is meant for another incarnation of this instance.
-    #[error("the datagram is meant for another incarnation")]
+    /// The datagram is addressed to another incarnation of this instance.
+    #[error("the datagram is addressed to another incarnation of this instance")]
     OtherIncarnation,
-    /// [`MAX_SENDERS`] senders are known already.
-    #[error("no more senders can be remembered")]
+    /// The sender is unknown and [`MAX_SENDERS`] senders are remembered already.
+    #[error("the limit of remembered senders is reached")]
     TooManySenders,
 }
 
 impl DatagramError {
-    /// The name of its counter.
+    /// The name of the counter for this error.
     pub fn counter_name(self) -> &'static str {
         match self {
             Self::InvalidSize => "size",
@@ -127,28 +129,28 @@
     }
 }
 
-/// An authentic datagram.
+/// An authenticated datagram.
 #[derive(Debug, PartialEq, Eq)]
 pub struct OpenedDatagram<'a> {
-    /// What it is.
+    /// The kind.
     pub kind: DatagramKind,
     /// The sender's id.
     pub sender: u64,
     /// The sender's incarnation.
     pub incarnation: u64,
-    /// Whether this incarnation of the sender is new here.
+    /// Whether this is the first recorded datagram of the sender's incarnation. Always false for a greeting.
     pub is_new_incarnation: bool,
-    /// What it carries.
+    /// The payload.
     pub body: &'a [u8],
 }
 
-/// The addressing part of a header.
+/// The header without the version and the kind.
 #[derive(Clone, Copy)]
 struct Header {
     sender: u64,
     sender_incarnation: u64,
     receiver_incarnation: u64,
-    number: u64,
+    sequence_number: u64,
 }
 
 impl Header {
@@ -157,53 +159,58 @@
             self.sender,
             self.sender_incarnation,
             self.receiver_incarnation,
-            self.number,
+            self.sequence_number,
         ]
     }
 
-    /// Reads the header of a datagram whose size was checked.
-    fn read(bytes: &[u8]) -> Self {
-        let number_at = |at: usize| {
-            let part: [u8; 8] = bytes[at..at + 8].try_into().unwrap_or_default();
-            u64::from_le_bytes(part)
+    /// Decodes the header of a datagram whose size was checked.
+    fn decode(bytes: &[u8]) -> Self {
+        let field_at = |offset: usize| {
+            let field: [u8; 8] = bytes[offset..offset + 8].try_into().unwrap_or_default();
+            u64::from_le_bytes(field)
         };
         Self {
-            sender: number_at(2),
-            sender_incarnation: number_at(10),
-            receiver_incarnation: number_at(18),
-            number: number_at(26),
+            sender: field_at(2),
+            sender_incarnation: field_at(10),
+            receiver_incarnation: field_at(18),
+            sequence_number: field_at(26),
         }
     }
 }
 
-/// The incarnations and datagram numbers of all other instances.
+/// The incarnations and sequence numbers of all other instances.
 #[derive(Debug)]
 pub struct Sessions {
     own_id: u64,
     own_incarnation: u64,
     keys: Keys,
     peers: BTreeMap<u64, Peer>,
-    /// Numbers for a peer that was forgotten go on above all that were used then.
-    first_number: u64,
+    /// Sequence numbers for a peer's new incarnation start above this value. It is at least as high as the last number
+    /// used for any forgotten peer: if that peer comes back with the same incarnation, its replay window accepts the
+    /// numbers that follow.
+    first_sequence_number: u64,
 }
 
 impl Sessions {
-    /// The sessions of an instance in this incarnation, which is not 0.
+    /// Creates the sessions of an instance. `own_incarnation` must not be 0, which stands for no incarnation in the
+    /// header of a greeting.
     pub fn new(own_id: u64, own_incarnation: u64, keys: Keys) -> Self {
         Self {
             own_id,
             own_incarnation,
             keys,
             peers: BTreeMap::new(),
-            first_number: 0,
+            first_sequence_number: 0,
         }
     }
 
-    /// Forgets a peer, so that its place is free. What it sent to this incarnation before would open once more if it
-    /// was recorded, and show as a new incarnation: only for users to whom a repeated old message does no harm.
+    /// Forgets a peer, so that another sender can be remembered.
+    ///
+    /// A recorded datagram that the peer sent to this incarnation before then opens once more, and is reported as a
+    /// new incarnation of the peer. Use this only where a replayed old message does no harm.
     pub fn forget(&mut self, peer: u64) {
         if let Some(peer) = self.peers.remove(&peer) {
-            self.first_number = self.first_number.max(peer.last_number);
+            self.first_sequence_number = self.first_sequence_number.max(peer.last_sequence_number);
         }
     }
 
@@ -212,26 +219,29 @@
         self.keys = keys;
     }
 
-    /// The incarnation of a peer that has proved its presence.
+    /// The current incarnation of a peer; `None` until a datagram bound to this instance's incarnation has arrived
+    /// from the peer.
     pub fn incarnation_of(&self, peer: u64) -> Option<u64> {
         self.peers.get(&peer)?.current_incarnation
     }
 
-    /// Seals a datagram for a peer; `None` while its incarnation is not known, or if the body is too large.
+    /// Seals a datagram for a peer. Returns `None` while the peer's incarnation is unknown, or if the body is too
+    /// large.
     pub fn seal(&mut self, to: u64, kind: DatagramKind, body: &[u8]) -> Option<Vec<u8>> {
         let peer = self.peers.get_mut(&to)?;
         let incarnation = peer.current_incarnation?;
-        peer.last_number += 1;
-        let number = peer.last_number;
-        self.encode_datagram(kind, incarnation, number, body)
+        peer.last_sequence_number += 1;
+        let sequence_number = peer.last_sequence_number;
+        self.encode_datagram(kind, incarnation, sequence_number, body)
     }
 
-    /// Seals an answer for the incarnation that greeted, which nothing has proved yet; `None` if the body is too large.
+    /// Seals an answer to a greeting sent by `incarnation`. That incarnation is not recorded, since the greeting may be
+    /// a replay. Returns `None` if the body is too large.
     pub fn seal_answer(&self, incarnation: u64, body: &[u8]) -> Option<Vec<u8>> {
         self.encode_datagram(DatagramKind::Answer, incarnation, 0, body)
     }
 
-    /// Seals a greeting; `None` if the body is too large.
+    /// Seals a greeting. Returns `None` if the body is too large.
     pub fn seal_greeting(&self, body: &[u8]) -> Option<Vec<u8>> {
         self.encode_datagram(DatagramKind::Greeting, 0, 0, body)
     }
@@ -240,7 +250,7 @@
         &self,
         kind: DatagramKind,
         receiver_incarnation: u64,
-        number: u64,
+        sequence_number: u64,
         body: &[u8],
     ) -> Option<Vec<u8>> {
         if body.len() + OVERHEAD > MAX_DATAGRAM {
@@ -250,7 +260,7 @@
             sender: self.own_id,
             sender_incarnation: self.own_incarnation,
             receiver_incarnation,
-            number,
+            sequence_number,
         };
         let mut bytes = Vec::with_capacity(body.len() + OVERHEAD);
         bytes.extend([VERSION, kind as u8]);
@@ -263,15 +273,16 @@
         Some(bytes)
     }
 
-    /// Opens a datagram.
+    /// Authenticates a datagram and checks it for replay.
     ///
     /// # Errors
     ///
-    /// If it is not authentic, was replayed, is meant for another incarnation, or comes from one sender too many.
+    /// If the datagram has an invalid size, version or kind, is not authentic, was replayed or is addressed to another
+    /// incarnation, or if the limit of remembered senders is reached.
     pub fn open<'a>(&mut self, bytes: &'a [u8]) -> Result<OpenedDatagram<'a>, DatagramError> {
-        let signed = self.authenticate(bytes)?;
+        let authenticated = self.authenticate(bytes)?;
         let kind = DatagramKind::from_byte(bytes[1]).ok_or(DatagramError::UnsupportedVersion)?;
-        let header = Header::read(bytes);
+        let header = Header::decode(bytes);
         let is_new_incarnation = match kind {
             DatagramKind::Greeting => false,
             _ => self.record_datagram(kind, header)?,
@@ -281,11 +292,11 @@
             sender: header.sender,
             incarnation: header.sender_incarnation,
             is_new_incarnation,
-            body: &signed[HEADER_BYTES..],
+            body: &authenticated[HEADER_BYTES..],
         })
     }
 
-    /// Returns the authenticated part of a datagram.
+    /// Checks the authentication code and returns the bytes that it covers.
     fn authenticate<'a>(&self, bytes: &'a [u8]) -> Result<&'a [u8], DatagramError> {
         if bytes.len() < OVERHEAD || bytes.len() > MAX_DATAGRAM {
             return Err(DatagramError::InvalidSize);
@@ -293,15 +304,15 @@
         if bytes[0] != VERSION {
             return Err(DatagramError::UnsupportedVersion);
         }
-        let (signed, tag) = bytes.split_at(bytes.len() - TAG_BYTES);
+        let (authenticated, tag) = bytes.split_at(bytes.len() - TAG_BYTES);
         let mut keys = self.keys.0.iter();
-        match keys.any(|key| key.verify_mac(signed, tag)) {
-            true => Ok(signed),
+        match keys.any(|key| key.verify_mac(authenticated, tag)) {
+            true => Ok(authenticated),
             false => Err(DatagramError::InvalidTag),
         }
     }
 
-    /// Records a datagram that is bound to an incarnation; returns whether the sender's incarnation is new.
+    /// Records a datagram that is bound to an incarnation, and returns whether the sender's incarnation is new.
     fn record_datagram(
         &mut self,
         kind: DatagramKind,
@@ -314,13 +325,14 @@
         if self.peers.len() >= MAX_SENDERS && !is_known {
             return Err(DatagramError::TooManySenders);
         }
-        // Bound to our incarnation: whoever made it has heard from us in it.
+        // The datagram names this instance's incarnation, so its sender has received a message of this incarnation. The
+        // datagram therefore proves the sender's incarnation, and is no recording from before this process started.
         let peer = self.peers.entry(header.sender).or_default();
         peer.record_datagram(
             kind,
             header.sender_incarnation,
-            header.number,
-            self.first_number,
+            header.sequence_number,
+            self.first_sequence_number,
         )
     }
 }
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -1,4 +1,5 @@
-//! SWIM membership by the foca library, with its timers in one place and its messages as bytes.
+//! SWIM membership on top of the foca library. This module keeps the library's timers in one queue and passes its
+//! messages on as bytes.
 
 use crate::Identity;
 use foca::{
@@ -11,67 +12,68 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// Timers that are kept at most; far more than a cluster of 1,000 needs.
+/// Maximum number of pending timers; far more than a cluster of 1,000 instances needs.
 const MAX_TIMERS: usize = 16_384;
-/// Bytes of one gossip message at most, so that it fits into a sealed datagram.
+/// Maximum size of a gossip message, in bytes, so that it fits into a sealed datagram.
 const MAX_MESSAGE_BYTES: usize = 1200;
-/// How long a member that went down is remembered.
+/// How long a member that is down is remembered.
 const DOWN_MEMBER_RETENTION: Duration = Duration::from_secs(60);
 
 /// The timing of failure detection.
 #[derive(Clone, Copy, Debug)]
 pub struct ProbeTiming {
-    /// Each instance probes another one once in this time.
+    /// Each instance probes one other instance per interval.
     pub probe_interval: Duration,
-    /// A probe is answered within this time, or other instances probe too.
+    /// If a probe is not acknowledged within this time, other instances are asked to probe the same member.
     pub ack_timeout: Duration,
-    /// A suspected instance that does not refute counts as down after this time.
+    /// A suspected instance that does not refute the suspicion within this time counts as down.
     pub suspicion_timeout: Duration,
 }
 
 impl ProbeTiming {
-    /// How long it usually takes until all know that an instance has died.
+    /// How long it usually takes until all members know that an instance has failed.
     pub fn detection_time(&self) -> Duration {
         self.probe_interval * 3 + self.suspicion_timeout
     }
 }
 
-/// A change of the membership.
+/// A change of the membership, as seen by one instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
-    /// A member is alive.
+    /// A member is alive, or has a new identity.
     Up(Identity),
-    /// A member is down: it died, was cut off, or has left.
+    /// A member is down: it failed, was partitioned off or left the cluster.
     Down(Identity),
-    /// This instance was declared down and has refuted it; this is its new identity.
+    /// This instance was declared down and refuted that; holds the new identity.
     Refuted(Identity),
 }
 
-/// When a timer expires, in milliseconds; those of one moment keep the order in which they were scheduled.
+/// Orders timers by their time, in milliseconds; timers of the same millisecond keep the order in which they were
+/// scheduled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct TimerKey {
     at: u64,
     sequence: u64,
 }
 
-/// The membership as one instance sees it. All times are milliseconds on the instance's monotonic clock.
+/// The cluster's membership as one instance sees it. All times are milliseconds on the instance's monotonic clock.
 pub struct Membership {
     foca: Foca<Identity, PostcardCodec, ChaCha8Rng, NoCustomBroadcast>,
     runtime: AccumulatingRuntime<Identity>,
     timers: BTreeMap<TimerKey, Timer<Identity>>,
-    scheduled_timers: u64,
+    timer_sequence: u64,
     alive: BTreeMap<String, Identity>,
     changes: Vec<MembershipChange>,
     outbox: Vec<(Identity, Vec<u8>)>,
-    /// Messages that the library rejected, and timers over the limit.
+    /// Number of calls that the library rejected, and of timers dropped because too many were pending.
     pub rejected: u64,
 }
 
 impl Membership {
-    /// An instance that knows no other member. The seed determines whom it probes.
+    /// Creates the membership of an instance that knows no other member. The seed determines the order of probes.
     pub fn new(own_identity: Identity, timing: ProbeTiming, seed: u64) -> Self {
         let non_zero = |n| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
-        let every = |frequency, num_members| {
+        let periodic = |frequency, num_members| {
             Some(PeriodicParams {
                 frequency,
                 num_members: non_zero(num_members),
@@ -86,16 +88,16 @@
             remove_down_after: Some(DOWN_MEMBER_RETENTION),
             max_packet_size: non_zero(MAX_MESSAGE_BYTES),
             notify_down_members: true,
-            periodic_announce: every(timing.probe_interval * 20, 1),
-            periodic_announce_to_down_members: every(timing.probe_interval * 4, 2),
-            periodic_gossip: every(timing.probe_interval / 3, 3),
+            periodic_announce: periodic(timing.probe_interval * 20, 1),
+            periodic_announce_to_down_members: periodic(timing.probe_interval * 4, 2),
+            periodic_gossip: periodic(timing.probe_interval / 3, 3),
         };
         let rng = ChaCha8Rng::seed_from_u64(seed);
         Self {
             foca: Foca::new(own_identity, config, rng, PostcardCodec),
             runtime: AccumulatingRuntime::new(),
             timers: BTreeMap::new(),
-            scheduled_timers: 0,
+            timer_sequence: 0,
             alive: BTreeMap::new(),
             changes: Vec::new(),
             outbox: Vec::new(),
@@ -103,12 +105,12 @@
         }
     }
 
-    /// This instance.
+    /// The identity of this instance.
     pub fn own_identity(&self) -> &Identity {
         self.foca.identity()
     }
 
-    /// All other members that are alive, by name.
+    /// The other members that are alive, by name.
     pub fn alive(&self) -> &BTreeMap<String, Identity> {
         &self.alive
     }
@@ -119,19 +121,19 @@
         self.process_result(now, result);
     }
 
-    /// Handles a message.
+    /// Handles a gossip message from another member.
     pub fn receive(&mut self, now: u64, bytes: &[u8]) {
         let result = self.foca.handle_data(bytes, &mut self.runtime);
         self.process_result(now, result);
     }
 
-    /// Leaves the cluster, so that the others need not detect it.
+    /// Leaves the cluster and tells the other members, so that they need not detect a failure.
     pub fn leave(&mut self, now: u64) {
         let result = self.foca.leave_cluster(&mut self.runtime);
         self.process_result(now, result);
     }
 
-    /// When [`Membership::wake`] is due.
+    /// The time at which [`Membership::wake`] is due; `None` without a pending timer.
     pub fn next_wake(&self) -> Option<u64> {
         self.timers.first_key_value().map(|(key, _)| key.at)
     }
@@ -147,17 +149,17 @@
         }
     }
 
-    /// Takes the messages to be sent.
+    /// Takes the messages to be sent, each with its recipient.
     pub fn take_messages(&mut self) -> Vec<(Identity, Vec<u8>)> {
         std::mem::take(&mut self.outbox)
     }
 
-    /// Takes the changes since the last call.
+    /// Takes the membership changes since the last call.
     pub fn take_changes(&mut self) -> Vec<MembershipChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Collects what a call of the library has led to.
+    /// Collects the messages, timers and notifications that a call of the library has produced.
     fn process_result(&mut self, now: u64, result: Result<(), foca::Error>) {
         if result.is_err() {
             self.rejected += 1;
@@ -178,8 +180,8 @@
             self.rejected += 1;
             return;
         }
-        self.scheduled_timers += 1;
-        let sequence = self.scheduled_timers;
+        self.timer_sequence += 1;
+        let sequence = self.timer_sequence;
         self.timers.insert(TimerKey { at, sequence }, timer);
     }
 
@@ -204,7 +206,8 @@
         }
     }
 
-    /// An earlier incarnation of a member that has come back already is ignored.
+    /// Records that a member is down. A late report about an earlier identity is ignored if the member is alive under a
+    /// newer one.
     fn record_down(&mut self, member: Identity) {
         if self.alive.get(&member.name) == Some(&member) {
             self.alive.remove(&member.name);
@@ -212,7 +215,7 @@
         }
     }
 
-    /// The names of all members that are alive, this instance included.
+    /// The names of all members that are alive, including this instance.
     pub fn names(&self) -> BTreeSet<&str> {
         let others = self.alive.keys().map(String::as_str);
         others.chain([self.own_identity().name.as_str()]).collect()
--- a/crates/membership/src/handshake.rs
+++ b/crates/membership/src/handshake.rs
@@ -1,6 +1,8 @@
-//! The handshake by which two instances learn each other's incarnations before anything else passes between them: a
-//! greeting, and an answer bound to the incarnation that greeted. Here are the rate limits and the check of who
-//! greets; what follows from a handshake is its user's.
+//! The handshake by which two instances learn each other's incarnations before they exchange data: a greeting, and an
+//! answer bound to the incarnation that sent the greeting.
+//!
+//! This module builds both datagrams within rate limits and verifies the sender's identity. The caller decides how to
+//! act on a completed handshake.
 
 use crate::Identity;
 use crate::authentication::{OpenedDatagram, Sessions};
@@ -8,45 +10,46 @@
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Milliseconds on the monotonic clock of this process.
+/// A time on this process's monotonic clock, or a duration, in milliseconds.
 type Millis = u64;
 
-/// An address is greeted at most once in this time, in milliseconds.
+/// Minimum time between two greetings to one address, in milliseconds.
 pub const GREETING_INTERVAL_MS: Millis = 100;
-/// Addresses greeted within [`GREETING_INTERVAL_MS`] at most; further ones wait for their next turn.
+/// Maximum number of addresses greeted within [`GREETING_INTERVAL_MS`]. Further addresses have to wait for a later
+/// attempt of the caller.
 pub const MAX_GREETED_ADDRESSES: usize = 1024;
-/// The window over which answers are counted, in milliseconds.
+/// Length of the window over which answers are counted, in milliseconds.
 const ANSWER_WINDOW_MS: Millis = 1000;
 
-/// Why a greeting or an answer is not accepted.
+/// Why a greeting or an answer is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HandshakeError {
-    /// It does not decode, or names another sender than the one that sealed it.
-    #[error("the identity does not decode or is not the sender's")]
-    Garbled,
-    /// The sender has this instance's name.
-    #[error("the sender has this instance's name")]
+    /// The identity cannot be decoded, or it belongs to another instance or incarnation than the sender's.
+    #[error("the identity cannot be decoded or does not match the datagram's sender")]
+    InvalidIdentity,
+    /// The sender uses this instance's name.
+    #[error("the sender uses this instance's own name")]
     OwnName,
 }
 
 impl HandshakeError {
-    /// The name of its counter.
+    /// The name of the counter for this error.
     pub fn counter_name(self) -> &'static str {
         match self {
-            Self::Garbled => "garbled",
+            Self::InvalidIdentity => "garbled",
             Self::OwnName => "own-name",
         }
     }
 }
 
-/// The answers given in the current window.
+/// Counts the answers of the current window.
 #[derive(Clone, Copy, Debug, Default)]
 struct AnswerWindow {
     started_at: Millis,
     answers: u32,
 }
 
-/// The rate limits of greetings and answers.
+/// Builds greetings and answers within their rate limits.
 #[derive(Clone, Debug)]
 pub struct Handshakes {
     max_answers: u32,
@@ -55,7 +58,7 @@
 }
 
 impl Handshakes {
-    /// Limits that allow `max_answers` answers a second, which bounds the cost of a flood of greetings.
+    /// Allows `max_answers` answers per second, which bounds the cost of a flood of greetings.
     pub fn new(max_answers: u32) -> Self {
         Self {
             max_answers,
@@ -64,7 +67,8 @@
         }
     }
 
-    /// A greeting for an address; `None` if it was greeted a moment ago or too many others were.
+    /// Builds a greeting for an address. Returns `None` if the address was greeted within [`GREETING_INTERVAL_MS`], if
+    /// [`MAX_GREETED_ADDRESSES`] other addresses were, or if the identity is too large for a datagram.
     pub fn build_greeting(
         &mut self,
         now: Millis,
@@ -72,8 +76,8 @@
         own_identity: &Identity,
         to: SocketAddr,
     ) -> Option<Vec<u8>> {
-        let last = self.greeted_at.get(&to).copied();
-        if last.is_some_and(|last| now < last + GREETING_INTERVAL_MS) {
+        let last_greeted_at = self.greeted_at.get(&to).copied();
+        if last_greeted_at.is_some_and(|at| now < at + GREETING_INTERVAL_MS) {
             return None;
         }
         self.greeted_at
@@ -85,7 +89,8 @@
         sessions.seal_greeting(&postcard::to_stdvec(own_identity).ok()?)
     }
 
-    /// An answer to a greeting of this incarnation; `None` if there were too many within the window.
+    /// Builds an answer to a greeting sent by `incarnation`. Returns `None` if the limit for the current window is
+    /// reached, or if the identity is too large for a datagram.
     pub fn build_answer(
         &mut self,
         now: Millis,
@@ -107,25 +112,25 @@
     }
 }
 
-/// The id of the instance with this name, under which its datagrams are sealed.
+/// The id of the instance with this name. Datagrams carry the id as their sender.
 pub fn id_of(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
-/// The sender of a greeting or an answer.
+/// Decodes the identity in a greeting or an answer and checks that it belongs to the datagram's sender.
 ///
 /// # Errors
 ///
-/// If the identity does not decode, is not that of the sender, or has this instance's own name.
+/// If the identity cannot be decoded, does not match the sender's id and incarnation, or has this instance's own name.
 pub fn verify_identity(
     datagram: &OpenedDatagram<'_>,
     own_name: &str,
 ) -> Result<Identity, HandshakeError> {
     let identity: Identity =
-        postcard::from_bytes(datagram.body).map_err(|_| HandshakeError::Garbled)?;
+        postcard::from_bytes(datagram.body).map_err(|_| HandshakeError::InvalidIdentity)?;
     let is_sender = id_of(&identity.name) == datagram.sender;
     if !is_sender || identity.incarnation != datagram.incarnation {
-        return Err(HandshakeError::Garbled);
+        return Err(HandshakeError::InvalidIdentity);
     }
     match identity.name == own_name {
         true => Err(HandshakeError::OwnName),
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,11 +1,13 @@
-//! Cluster membership by SWIM gossip, and the authenticated datagrams in which all traffic of a cluster travels. No
-//! sockets, clocks or random sources of its own: bytes, time and a seed come in, datagrams and changes come out.
+//! Cluster membership by SWIM gossip, and the authenticated datagrams that carry all traffic between instances.
+//!
+//! The crate has no sockets, clocks or sources of randomness. The caller passes in bytes, timestamps and a seed, and
+//! takes out datagrams and membership changes.
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | [`gossip`] | SWIM (Das, Gupta, Motivala, 2002) by the foca library: join, suspicion, refutation, leaving |
-//! | [`handshake`] | greetings by which instances learn each other's incarnations, and their rate limits |
-//! | [`authentication`] | datagrams with a message authentication code (MAC), bound to an incarnation |
+//! | [`gossip`] | SWIM (Das, Gupta, Motivala, 2002) on top of the foca library: join, suspicion, refutation, leave |
+//! | [`handshake`] | the exchange by which two instances learn each other's incarnations, and its rate limits |
+//! | [`authentication`] | datagrams with a message authentication code (MAC), bound to a receiver's incarnation |
 //! | `replay` | the sliding window that detects replayed datagrams |
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -22,16 +24,17 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// An instance as the others know it. It travels as postcard: fields keep their order.
+/// Identifies an instance in messages. It is encoded with postcard, so the order of its fields is part of the format.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Identity {
-    /// Its name, the same after a restart.
+    /// The name, which stays the same across restarts.
     pub name: String,
-    /// Where it receives datagrams.
+    /// The address at which the instance receives datagrams.
     pub address: SocketAddr,
-    /// The run of its process: Unix milliseconds at its start. A later one supersedes an earlier one.
+    /// Identifies one run of the process: the Unix time of its start, in milliseconds. A later incarnation supersedes
+    /// an earlier one.
     pub incarnation: u64,
-    /// How often it has refuted that it was down.
+    /// How often this incarnation has refuted a report that it was down.
     pub refutations: u32,
 }
 
