--- a/crates/membership/tests/authentication.rs
+++ b/crates/membership/tests/authentication.rs
@@ -1,4 +1,5 @@
-//! Datagrams are dropped that are forged, cut off, damaged, replayed, meant for another incarnation, or too large.
+//! Forged, truncated, corrupted, replayed and oversized datagrams are rejected, and so are datagrams that are addressed
+//! to another incarnation.
 
 use proptest::prelude::*;
 use spanspur_membership::authentication::{
@@ -17,9 +18,9 @@
     let mut a = Sessions::new(1, 100, keys(&[SECRET]));
     let mut b = Sessions::new(2, 200, keys(&[SECRET]));
     let to_b = a.seal_answer(200, b"a").expect("fits");
-    assert!(b.open(&to_b).expect("holds").is_new_incarnation);
+    assert!(b.open(&to_b).expect("opens").is_new_incarnation);
     let to_a = b.seal_answer(100, b"b").expect("fits");
-    assert!(a.open(&to_a).expect("holds").is_new_incarnation);
+    assert!(a.open(&to_a).expect("opens").is_new_incarnation);
     (a, b)
 }
 
@@ -28,7 +29,7 @@
     let (mut a, mut b) = pair();
     let one = a.seal(2, DatagramKind::Data, b"one").expect("known");
     let two = a.seal(2, DatagramKind::Data, b"two").expect("known");
-    let opened = b.open(&two).expect("holds");
+    let opened = b.open(&two).expect("opens");
     assert_eq!(
         (opened.sender, opened.incarnation, opened.body),
         (1, 100, &b"two"[..])
@@ -43,19 +44,22 @@
 fn a_recorded_datagram_is_rejected_after_a_restart_of_either_side() {
     let (mut a, mut b) = pair();
     let recorded = a.seal(2, DatagramKind::Data, b"old").expect("known");
-    b.open(&recorded).expect("holds");
-    // The receiver has restarted: its window is empty, but its incarnation is another.
-    let mut reborn = Sessions::new(2, 201, keys(&[SECRET]));
+    b.open(&recorded).expect("opens");
+    // The receiver restarts: its replay window is empty, but its incarnation is another one.
+    let mut restarted_receiver = Sessions::new(2, 201, keys(&[SECRET]));
     assert_eq!(
-        reborn.open(&recorded).map(|_| ()),
+        restarted_receiver.open(&recorded).map(|_| ()),
         Err(DatagramError::OtherIncarnation)
     );
-    // The sender has restarted, and is heard; what its earlier incarnation sent is still detected.
-    let mut again = Sessions::new(1, 101, keys(&[SECRET]));
-    let back = b.seal_answer(101, b"b").expect("fits");
-    again.open(&back).expect("holds");
-    let new = again.seal(2, DatagramKind::Data, b"new").expect("known");
-    assert!(b.open(&new).expect("holds").is_new_incarnation);
+    // The sender restarts: its new incarnation is accepted, and a datagram of its earlier incarnation is still
+    // rejected.
+    let mut restarted_sender = Sessions::new(1, 101, keys(&[SECRET]));
+    let answer = b.seal_answer(101, b"b").expect("fits");
+    restarted_sender.open(&answer).expect("opens");
+    let new = restarted_sender
+        .seal(2, DatagramKind::Data, b"new")
+        .expect("known");
+    assert!(b.open(&new).expect("opens").is_new_incarnation);
     assert_eq!(b.open(&recorded).map(|_| ()), Err(DatagramError::Replayed));
     assert_eq!(b.incarnation_of(1), Some(101));
 }
@@ -80,53 +84,61 @@
 #[test]
 fn invalid_sizes_and_versions_are_rejected() {
     let (mut a, mut b) = pair();
-    let most = vec![7; MAX_DATAGRAM - OVERHEAD];
-    let bytes = a.seal(2, DatagramKind::Data, &most).expect("fits");
+    let largest_body = vec![7; MAX_DATAGRAM - OVERHEAD];
+    let bytes = a.seal(2, DatagramKind::Data, &largest_body).expect("fits");
     assert_eq!(bytes.len(), MAX_DATAGRAM);
-    assert_eq!(b.open(&bytes).expect("holds").body, most);
+    assert_eq!(b.open(&bytes).expect("opens").body, largest_body);
     assert_eq!(a.seal(2, DatagramKind::Data, &[0; MAX_DATAGRAM]), None);
-    let long = vec![VERSION; MAX_DATAGRAM + 1];
-    assert_eq!(b.open(&long).map(|_| ()), Err(DatagramError::InvalidSize));
+    let oversized = vec![VERSION; MAX_DATAGRAM + 1];
+    assert_eq!(
+        b.open(&oversized).map(|_| ()),
+        Err(DatagramError::InvalidSize)
+    );
     assert_eq!(b.open(&[]).map(|_| ()), Err(DatagramError::InvalidSize));
-    let mut other = bytes.clone();
-    other[0] = VERSION + 1;
+    let mut other_version = bytes.clone();
+    other_version[0] = VERSION + 1;
     assert_eq!(
-        b.open(&other).map(|_| ()),
+        b.open(&other_version).map(|_| ()),
         Err(DatagramError::UnsupportedVersion)
     );
 }
 
-/// As many senders as are named, and no more; one that is forgotten makes room, and understands us when it is back.
+/// At most [`MAX_SENDERS`] senders are remembered. Forgetting one makes room for another, and a forgotten sender that
+/// comes back accepts the datagrams sent to it.
 #[test]
-fn senders_are_bounded_and_a_forgotten_one_comes_back() {
+fn remembered_senders_are_limited_and_a_forgotten_one_can_come_back() {
     // 2,100 balancers, and about as many again that they replaced.
     const { assert!(MAX_SENDERS >= 4096) };
-    let mut all = Sessions::new(1, 100, keys(&[SECRET]));
-    let hello = |id: u64| {
+    let mut sessions = Sessions::new(1, 100, keys(&[SECRET]));
+    let answer_from = |id: u64| {
         let sender = Sessions::new(id, 7, keys(&[SECRET]));
         sender.seal_answer(100, b"hello").expect("fits")
     };
     let mut first = Sessions::new(2, 7, keys(&[SECRET]));
-    let ours = all.seal_answer(7, b"us").expect("fits");
-    assert!(first.open(&ours).expect("holds").is_new_incarnation);
+    let answer = sessions.seal_answer(7, b"us").expect("fits");
+    assert!(first.open(&answer).expect("opens").is_new_incarnation);
     for id in 2..MAX_SENDERS as u64 + 2 {
-        assert!(all.open(&hello(id)).is_ok());
+        assert!(sessions.open(&answer_from(id)).is_ok());
     }
     assert_eq!(
-        all.open(&hello(1_000_000)).map(|_| ()),
+        sessions.open(&answer_from(1_000_000)).map(|_| ()),
         Err(DatagramError::TooManySenders)
     );
     for _ in 0..50 {
-        let bytes = all.seal(2, DatagramKind::Data, b"news").expect("known");
+        let bytes = sessions
+            .seal(2, DatagramKind::Data, b"news")
+            .expect("known");
         assert!(first.open(&bytes).is_ok());
     }
-    all.forget(2);
-    assert!(all.open(&hello(1_000_000)).is_ok());
-    all.forget(1_000_000);
+    sessions.forget(2);
+    assert!(sessions.open(&answer_from(1_000_000)).is_ok());
+    sessions.forget(1_000_000);
     let back = first.seal(1, DatagramKind::Data, b"here").expect("known");
-    assert!(all.open(&back).expect("holds").is_new_incarnation);
-    // Numbers go on above those used before, so the other end does not hold them for a replay.
-    let bytes = all.seal(2, DatagramKind::Data, b"news").expect("known");
+    assert!(sessions.open(&back).expect("opens").is_new_incarnation);
+    // The sequence numbers continue above those used before, so the peer does not take the datagram for a replay.
+    let bytes = sessions
+        .seal(2, DatagramKind::Data, b"news")
+        .expect("known");
     assert_eq!(
         first.open(&bytes).map(|opened| opened.is_new_incarnation),
         Ok(false)
@@ -135,14 +147,14 @@
 
 proptest! {
     #[test]
-    fn a_flipped_bit_or_a_truncation_is_rejected(body in prop::collection::vec(any::<u8>(), 0..200), at: prop::sample::Index, bit in 0..8_u8, cut: prop::sample::Index) {
+    fn a_flipped_bit_or_a_truncation_is_rejected(body in prop::collection::vec(any::<u8>(), 0..200), position: prop::sample::Index, bit in 0..8_u8, length: prop::sample::Index) {
         let (mut a, mut b) = pair();
         let whole = a.seal(2, DatagramKind::Data, &body).expect("known");
         let mut bytes = whole.clone();
-        bytes[at.index(whole.len())] ^= 1_u8 << bit;
+        bytes[position.index(whole.len())] ^= 1_u8 << bit;
         prop_assert!(b.open(&bytes).is_err());
-        prop_assert!(b.open(&whole[..cut.index(whole.len())]).is_err());
-        prop_assert_eq!(b.open(&whole).expect("holds").body, body);
+        prop_assert!(b.open(&whole[..length.index(whole.len())]).is_err());
+        prop_assert_eq!(b.open(&whole).expect("opens").body, body);
     }
 
     #[test]
@@ -151,14 +163,15 @@
         prop_assert!(b.open(&bytes).is_err());
     }
 
-    /// In any order and with any repetition, each number opens at most once, and always if it is not too old.
+    /// In any order and with any repetition, a datagram opens the first time and never again. All numbers fit into the
+    /// replay window.
     #[test]
-    fn each_number_opens_once(order in prop::collection::vec(0_usize..300, 1..600)) {
+    fn each_sequence_number_opens_exactly_once(order in prop::collection::vec(0_usize..300, 1..600)) {
         let (mut a, mut b) = pair();
         let sealed: Vec<_> = (0..300).map(|_| a.seal(2, DatagramKind::Data, b"n").expect("known")).collect();
         let mut seen = std::collections::BTreeSet::new();
-        for n in order {
-            prop_assert_eq!(b.open(&sealed[n]).is_ok(), seen.insert(n));
+        for index in order {
+            prop_assert_eq!(b.open(&sealed[index]).is_ok(), seen.insert(index));
         }
     }
 }
--- a/crates/membership/tests/wire_fixtures.rs
+++ b/crates/membership/tests/wire_fixtures.rs
@@ -1,5 +1,5 @@
-//! Sealed datagrams, greetings and gossip in their bytes, compared with fixture files. Written by the tree at 71566bd;
-//! rewriting them (`WRITE_FIXTURES=1`) hides a change of the bytes between versions.
+//! Compares the encoded bytes of sealed datagrams, greetings and gossip with fixture files. Commit 71566bd wrote the
+//! files; writing them again (`WRITE_FIXTURES=1`) would hide a change of the bytes between versions.
 
 #[path = "../../../tests/common/wire_fixtures.rs"]
 mod wire_fixtures;
@@ -32,8 +32,8 @@
     postcard::to_stdvec(value).expect("encodes")
 }
 
-fn address(at: usize) -> SocketAddr {
-    SocketAddr::from(([127, 0, 0, at as u8 + 1], 7000 + at as u16))
+fn address(index: usize) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, index as u8 + 1], 7000 + index as u16))
 }
 
 fn identity(name: &str, address: &str, incarnation: u64, refutations: u32) -> Identity {
@@ -58,17 +58,17 @@
 fn identities_keep_their_bytes_and_names_their_hashes() {
     let identities = identities();
     let mut records = Vec::new();
-    for (at, who) in identities.iter().enumerate() {
-        records.push(Record::new(format!("identity-{at}"), encode(who)));
+    for (index, identity) in identities.iter().enumerate() {
+        records.push(Record::new(format!("identity-{index}"), encode(identity)));
     }
-    for (at, who) in identities.iter().enumerate() {
-        let hash = handshake::id_of(&who.name).to_le_bytes();
-        records.push(Record::new(format!("hash-{at}"), hash.into()));
+    for (index, identity) in identities.iter().enumerate() {
+        let hash = handshake::id_of(&identity.name).to_le_bytes();
+        records.push(Record::new(format!("hash-{index}"), hash.into()));
     }
     let golden = check("identities.txt", records);
-    for (who, golden) in identities.iter().zip(&golden) {
+    for (identity, golden) in identities.iter().zip(&golden) {
         let decoded: Identity = postcard::from_bytes(&golden.bytes).expect("decodes");
-        assert_eq!(&decoded, who);
+        assert_eq!(&decoded, identity);
         assert_eq!(encode(&decoded), golden.bytes);
     }
 }
@@ -86,18 +86,20 @@
     Sessions::new(RECEIVER, RECEIVER_INCARNATION, keys())
 }
 
-/// Two ends that have proved their incarnations to each other.
+/// A sender and a receiver that know each other's incarnations.
 fn pair() -> (Sessions, Sessions) {
     let (mut sender, mut receiver) = (sender(), receiver());
-    let there = sender.seal_answer(RECEIVER_INCARNATION, b"").expect("fits");
-    receiver.open(&there).expect("holds");
-    let back = receiver.seal_answer(SENDER_INCARNATION, b"").expect("fits");
-    sender.open(&back).expect("holds");
+    let to_receiver = sender.seal_answer(RECEIVER_INCARNATION, b"").expect("fits");
+    receiver.open(&to_receiver).expect("opens");
+    let to_sender = receiver.seal_answer(SENDER_INCARNATION, b"").expect("fits");
+    sender.open(&to_sender).expect("opens");
     (sender, receiver)
 }
 
 fn bodies() -> Vec<Vec<u8>> {
-    let long = (0..MAX_DATAGRAM - OVERHEAD).map(|at| at as u8).collect();
+    let long = (0..MAX_DATAGRAM - OVERHEAD)
+        .map(|index| index as u8)
+        .collect();
     vec![Vec::new(), b"body".to_vec(), long]
 }
 
@@ -105,29 +107,29 @@
 fn each_kind_of_sealed_datagram_keeps_its_bytes() {
     let (mut sealing, _) = pair();
     let mut records = Vec::new();
-    for (at, body) in bodies().iter().enumerate() {
+    for (index, body) in bodies().iter().enumerate() {
         let greeting = sealing.seal_greeting(body).expect("fits");
-        records.push(Record::new(format!("greeting-{at}"), greeting));
+        records.push(Record::new(format!("greeting-{index}"), greeting));
         let answer = sealing
             .seal_answer(RECEIVER_INCARNATION, body)
             .expect("fits");
-        records.push(Record::new(format!("answer-{at}"), answer));
+        records.push(Record::new(format!("answer-{index}"), answer));
         for kind in [
             DatagramKind::Data,
             DatagramKind::Answer,
             DatagramKind::Greeting,
         ] {
             let sealed = sealing.seal(RECEIVER, kind, body).expect("fits");
-            let name = format!("sealed-{}-{at}", kind as u8);
+            let name = format!("sealed-{}-{index}", kind as u8);
             records.push(Record::new(name, sealed));
         }
     }
     let golden = check("sealed.txt", records);
     let (_, mut opening) = pair();
     for record in &golden {
-        let opened = opening.open(&record.bytes).expect("holds");
-        let (kind, at) = record.name.rsplit_once('-').expect("a number");
-        let at: usize = at.parse().expect("a number");
+        let opened = opening.open(&record.bytes).expect("opens");
+        let (kind, index) = record.name.rsplit_once('-').expect("a number");
+        let index: usize = index.parse().expect("a number");
         let expected = OpenedDatagram {
             kind: match kind {
                 "greeting" | "sealed-0" => DatagramKind::Greeting,
@@ -137,30 +139,30 @@
             sender: SENDER,
             incarnation: SENDER_INCARNATION,
             is_new_incarnation: false,
-            body: &bodies()[at],
+            body: &bodies()[index],
         };
         assert_eq!(opened, expected, "{}", record.name);
     }
-    // The second key opens what the first does not.
+    // Datagrams are sealed with the first key: a receiver that has only the second key rejects them.
     let only_second = Keys(vec![Key::new(OTHER_SECRET)]);
     let mut other = Sessions::new(RECEIVER, RECEIVER_INCARNATION, only_second);
-    let refused = other.open(&golden[0].bytes).map(|_| ());
-    assert_eq!(refused, Err(DatagramError::InvalidTag));
+    let rejected = other.open(&golden[0].bytes).map(|_| ());
+    assert_eq!(rejected, Err(DatagramError::InvalidTag));
 }
 
 #[test]
 fn the_keys_of_secrets_keep_their_authentication_codes() {
     let secrets: [&[u8]; 4] = [b"", b"sixteen bytes it", SECRET, &[0xff; 64]];
-    let records = secrets.iter().enumerate().map(|(at, secret)| {
+    let records = secrets.iter().enumerate().map(|(index, secret)| {
         let sessions = Sessions::new(1, 2, Keys(vec![Key::new(secret)]));
         let sealed = sessions.seal_greeting(b"key").expect("fits");
-        Record::new(format!("key-{at}"), sealed)
+        Record::new(format!("key-{index}"), sealed)
     });
     check("keys.txt", records.collect());
 }
 
 #[test]
-fn the_counter_names_of_datagram_errors_stay() {
+fn counter_names_of_datagram_errors_do_not_change() {
     let names = [
         (DatagramError::InvalidSize, "size"),
         (DatagramError::UnsupportedVersion, "version"),
@@ -174,39 +176,43 @@
     }
 }
 
-/// What is sent, or that nothing is.
-fn optional(name: &str, bytes: Option<Vec<u8>>) -> Record {
+/// A record of a datagram, without bytes if none is sent.
+fn optional_record(name: &str, bytes: Option<Vec<u8>>) -> Record {
     Record::new(name, bytes.unwrap_or_default())
 }
 
 #[test]
 fn greetings_and_answers_keep_their_bytes_and_their_rate_limits() {
-    let me = identity("balancer-1", "127.0.0.1:7000", SENDER_INCARNATION, 0);
-    let sessions = Sessions::new(handshake::id_of(&me.name), me.incarnation, keys());
+    let own_identity = identity("balancer-1", "127.0.0.1:7000", SENDER_INCARNATION, 0);
+    let sessions = Sessions::new(
+        handshake::id_of(&own_identity.name),
+        own_identity.incarnation,
+        keys(),
+    );
     let mut handshakes = Handshakes::new(2);
     let mut records = Vec::new();
     for now in [0, 99, 100, 150, 200, 10_000] {
-        let one = handshakes.build_greeting(now, &sessions, &me, address(1));
-        records.push(optional(&format!("greet-{now}"), one));
-        let other = handshakes.build_greeting(now + 1, &sessions, &me, address(2));
-        records.push(optional(&format!("greet-other-{now}"), other));
+        let one = handshakes.build_greeting(now, &sessions, &own_identity, address(1));
+        records.push(optional_record(&format!("greet-{now}"), one));
+        let other = handshakes.build_greeting(now + 1, &sessions, &own_identity, address(2));
+        records.push(optional_record(&format!("greet-other-{now}"), other));
     }
-    for (at, now) in [0, 1, 2, 999, 1000, 1001, 1002].into_iter().enumerate() {
-        let answer = handshakes.build_answer(now, &sessions, &me, RECEIVER_INCARNATION);
-        records.push(optional(&format!("answer-{at}"), answer));
+    for (index, now) in [0, 1, 2, 999, 1000, 1001, 1002].into_iter().enumerate() {
+        let answer = handshakes.build_answer(now, &sessions, &own_identity, RECEIVER_INCARNATION);
+        records.push(optional_record(&format!("answer-{index}"), answer));
     }
     let golden = check("greetings.txt", records);
     let mut opening = receiver();
     for record in golden.iter().filter(|record| !record.bytes.is_empty()) {
-        let opened = opening.open(&record.bytes).expect("holds");
-        let who = handshake::verify_identity(&opened, "balancer-2");
-        assert_eq!(who.as_ref(), Ok(&me), "{}", record.name);
+        let opened = opening.open(&record.bytes).expect("opens");
+        let identity = handshake::verify_identity(&opened, "balancer-2");
+        assert_eq!(identity.as_ref(), Ok(&own_identity), "{}", record.name);
         assert_eq!(
             handshake::verify_identity(&opened, "balancer-1").map_err(HandshakeError::counter_name),
             Err("own-name")
         );
     }
-    let mut strange = OpenedDatagram {
+    let mut invalid = OpenedDatagram {
         kind: DatagramKind::Greeting,
         sender: 1,
         incarnation: 1,
@@ -214,13 +220,13 @@
         body: b"\xff",
     };
     assert_eq!(
-        handshake::verify_identity(&strange, "balancer-2").map_err(HandshakeError::counter_name),
+        handshake::verify_identity(&invalid, "balancer-2").map_err(HandshakeError::counter_name),
         Err("garbled")
     );
-    let encoded = encode(&me);
-    strange.body = &encoded;
+    let encoded = encode(&own_identity);
+    invalid.body = &encoded;
     assert_eq!(
-        handshake::verify_identity(&strange, "balancer-2").map_err(HandshakeError::counter_name),
+        handshake::verify_identity(&invalid, "balancer-2").map_err(HandshakeError::counter_name),
         Err("garbled")
     );
 }
@@ -229,108 +235,110 @@
 const MEMBERS: usize = 5;
 const GOSSIP_SECONDS: u64 = 60;
 const GOSSIP_LOSS: f64 = 0.1;
-/// Of the first messages the bytes themselves are kept, of the rest a hash for each second.
-const WHOLE_MESSAGES: usize = 60;
+/// The first messages are recorded in full; the later ones only as part of the hash of each second.
+const FULL_MESSAGES: usize = 60;
 
-/// Members whose gossip takes a while and is lost by a seeded chance.
-struct Gossip {
+/// A simulation of members whose messages are delayed and lost at random, from a fixed seed.
+struct GossipSimulation {
     now: u64,
     random: ChaCha8Rng,
     members: Vec<Option<Membership>>,
     queue: BTreeMap<(u64, u64), (usize, Vec<u8>)>,
     sent: u64,
-    whole: Vec<Record>,
-    /// Members that nothing reaches and that reach nobody.
-    cut: BTreeSet<usize>,
-    /// Who came, who went, and who refuted.
+    full_messages: Vec<Record>,
+    /// Members that can neither send nor receive.
+    isolated: BTreeSet<usize>,
+    /// Number of membership changes by kind: up, down, refuted.
     changes: [u64; 3],
-    /// All that was put out in this second.
-    tape: Vec<u8>,
+    /// All outputs of the current second, encoded.
+    recorded: Vec<u8>,
 }
 
-impl Gossip {
+impl GossipSimulation {
     fn new() -> Self {
-        let mut gossip = Self {
+        let mut simulation = Self {
             now: 0,
             random: ChaCha8Rng::seed_from_u64(GOSSIP_SEED),
             members: (0..MEMBERS).map(|_| None).collect(),
             queue: BTreeMap::new(),
             sent: 0,
-            whole: Vec::new(),
-            cut: BTreeSet::new(),
+            full_messages: Vec::new(),
+            isolated: BTreeSet::new(),
             changes: [0; 3],
-            tape: Vec::new(),
+            recorded: Vec::new(),
         };
-        (0..MEMBERS).for_each(|at| gossip.start(at, 100));
-        gossip
+        (0..MEMBERS).for_each(|index| simulation.start(index, 100));
+        simulation
     }
 
-    fn identity(at: usize, incarnation: u64) -> Identity {
+    fn identity(index: usize, incarnation: u64) -> Identity {
         Identity {
-            name: format!("member-{at}"),
-            address: address(at),
+            name: format!("member-{index}"),
+            address: address(index),
             incarnation,
             refutations: 0,
         }
     }
 
-    fn start(&mut self, at: usize, incarnation: u64) {
+    fn start(&mut self, index: usize, incarnation: u64) {
         let timing = ProbeTiming {
             probe_interval: Duration::from_millis(500),
             ack_timeout: Duration::from_millis(150),
             suspicion_timeout: Duration::from_millis(1000),
         };
-        let me = Self::identity(at, incarnation);
-        let seed = GOSSIP_SEED + at as u64 + incarnation;
-        self.members[at] = Some(Membership::new(me, timing, seed));
+        let own_identity = Self::identity(index, incarnation);
+        let seed = GOSSIP_SEED + index as u64 + incarnation;
+        self.members[index] = Some(Membership::new(own_identity, timing, seed));
     }
 
-    fn join(&mut self, at: usize, over: usize, incarnation: u64) {
+    fn join(&mut self, index: usize, through: usize, incarnation: u64) {
         let now = self.now;
-        let over = Self::identity(over, incarnation);
-        let member = self.members[at].as_mut().expect("runs");
-        member.join(now, over);
+        let through = Self::identity(through, incarnation);
+        let member = self.members[index].as_mut().expect("runs");
+        member.join(now, through);
     }
 
-    fn note(&mut self, value: &impl serde::Serialize) {
-        self.tape.extend(encode(value));
+    fn record(&mut self, value: &impl serde::Serialize) {
+        self.recorded.extend(encode(value));
     }
 
-    fn settle(&mut self, at: usize) {
-        let Some(member) = &mut self.members[at] else {
+    /// Records a member's outputs and sends its messages.
+    fn process_outputs(&mut self, index: usize) {
+        let Some(member) = &mut self.members[index] else {
             return;
         };
         let (changes, sends) = (member.take_changes(), member.take_messages());
         for change in changes {
-            let (kind, who) = match change {
-                MembershipChange::Up(who) => (0, who),
-                MembershipChange::Down(who) => (1, who),
-                MembershipChange::Refuted(who) => (2, who),
+            let (kind, identity) = match change {
+                MembershipChange::Up(identity) => (0, identity),
+                MembershipChange::Down(identity) => (1, identity),
+                MembershipChange::Refuted(identity) => (2, identity),
             };
             self.changes[kind] += 1;
-            self.note(&(self.now, at, kind as u8, who));
+            self.record(&(self.now, index, kind as u8, identity));
         }
-        for (who, bytes) in sends {
-            self.note(&(self.now, at, 3u8, &who, &bytes));
+        for (recipient, bytes) in sends {
+            self.record(&(self.now, index, 3u8, &recipient, &bytes));
             self.sent += 1;
-            if self.whole.len() < WHOLE_MESSAGES {
-                let name = format!("{}-{at}-{}", self.now, who.name);
-                self.whole.push(Record::new(name, bytes.clone()));
+            if self.full_messages.len() < FULL_MESSAGES {
+                let name = format!("{}-{index}-{}", self.now, recipient.name);
+                self.full_messages.push(Record::new(name, bytes.clone()));
             }
-            let to = (0..MEMBERS).find(|to| address(*to) == who.address);
-            self.send(at, to.expect("known"), bytes);
+            let to = (0..MEMBERS).find(|to| address(*to) == recipient.address);
+            self.send(index, to.expect("known"), bytes);
         }
     }
 
     fn send(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
         let lost = self.random.random_bool(GOSSIP_LOSS);
         let arrival = self.now + self.random.random_range(1..=20);
-        if !lost && !self.cut.contains(&from) && !self.cut.contains(&to) {
+        if !lost && !self.isolated.contains(&from) && !self.isolated.contains(&to) {
             self.queue.insert((arrival, self.sent), (to, bytes));
         }
     }
 
-    fn turn(&mut self) {
+    /// Delivers the messages that have arrived and wakes the members that are due, for the current millisecond.
+    fn run_millisecond(&mut self) {
         let now = self.now;
         while let Some(entry) = self.queue.first_entry()
             && entry.key().0 <= now
@@ -339,36 +347,36 @@
             if let Some(member) = &mut self.members[to] {
                 member.receive(now, &bytes);
             }
-            self.settle(to);
+            self.process_outputs(to);
         }
-        for at in 0..MEMBERS {
-            if let Some(member) = &mut self.members[at]
+        for index in 0..MEMBERS {
+            if let Some(member) = &mut self.members[index]
                 && member.next_wake().is_some_and(|wake| wake <= now)
             {
                 member.wake(now);
             }
-            self.settle(at);
+            self.process_outputs(index);
         }
     }
 
-    /// What happens at the start of a second.
-    fn events(&mut self, second: u64) {
+    /// Applies the events that are scheduled for the start of a second.
+    fn apply_events(&mut self, second: u64) {
         match second {
-            0 => (1..MEMBERS).for_each(|at| self.join(at, at - 1, 100)),
-            // One dies and comes back.
+            0 => (1..MEMBERS).for_each(|index| self.join(index, index - 1, 100)),
+            // A member crashes and restarts.
             10 => self.members[2] = None,
             18 => {
                 self.start(2, 200);
                 self.join(2, 0, 100);
             }
-            // One is cut off for so long that the others hold it for down.
-            25 => self.cut.extend([3]),
-            31 => self.cut.clear(),
-            // One leaves and comes back.
+            // A member is isolated for so long that the others declare it down.
+            25 => self.isolated.extend([3]),
+            31 => self.isolated.clear(),
+            // A member leaves and joins again.
             40 => {
                 let now = self.now;
                 self.members[4].as_mut().expect("runs").leave(now);
-                self.settle(4);
+                self.process_outputs(4);
                 self.members[4] = None;
             }
             45 => {
@@ -379,38 +387,45 @@
         }
     }
 
-    /// Plays one second and returns what was put out in it.
-    fn second(&mut self, second: u64) -> Vec<u8> {
-        self.events(second);
+    /// Runs one second and returns its recorded outputs.
+    fn run_second(&mut self, second: u64) -> Vec<u8> {
+        self.apply_events(second);
         for _ in 0..1000 {
-            self.turn();
+            self.run_millisecond();
             self.now += 1;
         }
-        for at in 0..MEMBERS {
-            if let Some(member) = &self.members[at] {
+        for index in 0..MEMBERS {
+            if let Some(member) = &self.members[index] {
                 let alive: Vec<Identity> = member.alive().values().cloned().collect();
-                let (me, wake) = (member.own_identity().clone(), member.next_wake());
+                let (own_identity, next_wake) = (member.own_identity().clone(), member.next_wake());
                 let rejected = member.rejected;
-                self.note(&(at, alive, me, wake, rejected));
+                self.record(&(index, alive, own_identity, next_wake, rejected));
             }
         }
-        std::mem::take(&mut self.tape)
+        std::mem::take(&mut self.recorded)
     }
 }
 
 #[test]
-fn a_seeded_exchange_of_gossip_puts_out_the_same_bytes_as_before() {
+fn a_seeded_gossip_simulation_matches_the_fixtures() {
     println!("seed {GOSSIP_SEED}");
-    let mut gossip = Gossip::new();
+    let mut simulation = GossipSimulation::new();
     let mut records = Vec::new();
     for second in 0..GOSSIP_SECONDS {
-        let tape = gossip.second(second);
-        let mut bytes = xxh3_64(&tape).to_le_bytes().to_vec();
-        bytes.extend((tape.len() as u64).to_le_bytes());
+        let recorded = simulation.run_second(second);
+        let mut bytes = xxh3_64(&recorded).to_le_bytes().to_vec();
+        bytes.extend((recorded.len() as u64).to_le_bytes());
         records.push(Record::new(format!("second-{second}"), bytes));
     }
-    println!("{} messages, changes {:?}", gossip.sent, gossip.changes);
-    check("gossip_messages.txt", std::mem::take(&mut gossip.whole));
+    println!(
+        "{} messages; changes up, down, refuted: {:?}",
+        simulation.sent, simulation.changes
+    );
+    let full_messages = std::mem::take(&mut simulation.full_messages);
+    check("gossip_messages.txt", full_messages);
     check("gossip_seconds.txt", records);
-    assert!(gossip.changes.iter().all(|count| *count > 0), "each kind");
+    assert!(
+        simulation.changes.iter().all(|count| *count > 0),
+        "the simulation has to cover each kind of membership change"
+    );
 }
