--- a/crates/leases/src/acceptor.rs
+++ b/crates/leases/src/acceptor.rs
@@ -1,52 +1,56 @@
-//! An acceptor of Paxos (Lamport, 'Paxos Made Simple', 2001, section 2.2): for each lease the ballot that it has
-//! promised and the last term that it voted for.
+//! An acceptor of Paxos (Lamport, 'Paxos Made Simple', 2001, section 2.2). For each lease the acceptor keeps the ballot
+//! that it has promised and the last term that it has voted for.
 //!
-//! It has two more rules. A term is voted for only if the previous one is old enough, so that two terms never overlap
-//! whoever proposes them. And a lease whose holder is on time is not promised to another instance.
+//! Two rules go beyond Paxos. First, an acceptor votes for a term only if the previous term is old enough, so that two
+//! terms never overlap, whichever instance proposes them. Second, an acceptor does not promise a lease to another
+//! instance while the lease's holder is on time.
 //!
-//! An acceptor keeps nothing over a restart. Until the votes that it may have forgotten have expired it abstains;
-//! after that the Unix time in milliseconds stands for the terms that it has forgotten. Terms count up by one, far
-//! slower than milliseconds pass, so that it lies above them all while clocks differ by less than `max_clock_skew`.
+//! An acceptor keeps no state across a restart. After a restart the acceptor abstains until all votes that it may have
+//! forgotten have expired. From then on the Unix time in milliseconds stands for the terms that the acceptor has
+//! forgotten. Term numbers increase by one per term, and terms are far longer than a millisecond. The Unix time is
+//! therefore higher than every forgotten term, as long as wall clocks differ by less than `max_clock_skew`.
 
 use crate::{Ballot, Clocks, InstanceId, LeaseId, Message, Millis, RejectReason};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Leases that an acceptor keeps at most.
+/// Maximum number of leases that an acceptor keeps.
 pub const MAX_LEASES: usize = 65_536;
-/// A lease without requests for so many of its intervals, and for [`FORGET_AFTER_MS`], may be forgotten.
-const FORGET_INTERVALS: u64 = 8;
-/// See [`FORGET_INTERVALS`].
-const FORGET_AFTER_MS: Millis = 3_600_000;
-/// A term may start this share of an interval early, since messages take different times.
-pub const EARLY_SHARE: u64 = 8;
-/// A holder is on time until this share of an interval after its term was due.
-pub const LATE_SHARE: u64 = 4;
-/// A new holder is on time for at least this share of an interval.
-const GRACE_SHARE: u64 = 8;
-/// A proposer whose ballot was too low may retry after this share of an interval.
-const RETRY_SHARE: u64 = 8;
+/// A lease may be evicted if its state has not changed for this number of its intervals and for
+/// [`EVICT_AFTER_MS`].
+const EVICT_AFTER_INTERVALS: u64 = 8;
+/// See [`EVICT_AFTER_INTERVALS`].
+const EVICT_AFTER_MS: Millis = 3_600_000;
+/// A term may start `interval / EARLY_TERM_DIVISOR` early, since message delays vary.
+pub const EARLY_TERM_DIVISOR: u64 = 8;
+/// A holder counts as late once its next term is overdue by `interval / LATE_HOLDER_DIVISOR`.
+pub const LATE_HOLDER_DIVISOR: u64 = 4;
+/// A new holder counts as on time for at least `interval / NEW_HOLDER_GRACE_DIVISOR`.
+const NEW_HOLDER_GRACE_DIVISOR: u64 = 8;
+/// A proposer whose ballot was too low may retry after `interval / RETRY_DIVISOR`.
+const RETRY_DIVISOR: u64 = 8;
 
-/// What an acceptor keeps for a lease.
+/// The state that an acceptor keeps for one lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct AcceptorState {
-    /// Lower ballots are rejected.
+    /// The promised ballot. Lower ballots are rejected.
     pub promised: Ballot,
-    /// The highest term voted for.
+    /// The highest term voted for, or the Unix time that stands for forgotten terms.
     pub highest_term: u64,
-    /// The ballot it was voted for with; the lowest for a number that only stands for what was forgotten.
+    /// The ballot of the vote for `highest_term`; the lowest ballot if `highest_term` stands for forgotten terms.
     pub accepted_ballot: Ballot,
-    /// When it was voted for; `None` where only a promise was given.
+    /// When the acceptor voted for `highest_term`; `None` if it has only given promises.
     pub accepted_at: Option<Millis>,
     /// The lease's interval.
     pub interval: Millis,
-    /// The holder has released the lease.
+    /// Whether the holder has released the lease.
     pub is_released: bool,
-    last_change: Millis,
+    /// When the acceptor last gave a promise or a vote.
+    last_change_at: Millis,
 }
 
 impl AcceptorState {
-    /// Nothing is remembered: the Unix time stands for the terms that were forgotten.
-    fn forgotten(now: Clocks, interval: Millis) -> Self {
+    /// The state of a lease of which the acceptor remembers nothing. The Unix time stands for forgotten terms.
+    fn without_memory(now: Clocks, interval: Millis) -> Self {
         Self {
             promised: Ballot::default(),
             highest_term: now.wall,
@@ -54,26 +58,27 @@
             accepted_at: None,
             interval,
             is_released: true,
-            last_change: now.monotonic,
+            last_change_at: now.monotonic,
         }
     }
 
-    /// When the holder counts as late. A new holder has time to propose a term: two that take the lease from each
-    /// other at once would both get nowhere.
+    /// The time from which the holder counts as late. A new holder has time to propose a term. Without that time, two
+    /// instances could keep taking the lease from each other, and neither would win a term.
     pub fn late_from(&self) -> Millis {
-        let last_sign = self.accepted_at.unwrap_or(self.last_change);
-        let late = last_sign + self.interval + self.interval / LATE_SHARE;
-        late.max(self.last_change + self.interval / GRACE_SHARE)
+        let last_activity = self.accepted_at.unwrap_or(self.last_change_at);
+        let late = last_activity + self.interval + self.interval / LATE_HOLDER_DIVISOR;
+        late.max(self.last_change_at + self.interval / NEW_HOLDER_GRACE_DIVISOR)
     }
 
     fn record_promise(&mut self, now: Clocks, ballot: Ballot, interval: Millis) {
         self.promised = ballot;
         self.is_released = false;
         self.interval = interval;
-        self.last_change = now.monotonic;
+        self.last_change_at = now.monotonic;
     }
 
-    /// Whether the same proposer proposes the term voted for last, perhaps with a higher ballot.
+    /// Whether the proposal is for the term voted for last and comes from the same proposer, possibly with a higher
+    /// ballot.
     fn is_repeated_proposal(&self, ballot: Ballot, term: u64) -> bool {
         let accepted = self.accepted_ballot;
         self.highest_term == term
@@ -81,7 +86,7 @@
     }
 }
 
-/// All votes of an instance.
+/// The acceptor of one instance, for all leases.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Acceptor {
     started_at: Millis,
@@ -90,8 +95,8 @@
 }
 
 impl Acceptor {
-    /// An acceptor that has forgotten whatever it may have voted for. `max_clock_skew`: how far wall clocks may
-    /// differ.
+    /// Creates an acceptor that remembers no votes. `max_clock_skew` is the maximum difference between the wall clocks
+    /// of the instances.
     pub fn new(now: Clocks, max_clock_skew: Millis) -> Self {
         Self {
             started_at: now.monotonic,
@@ -100,28 +105,30 @@
         }
     }
 
-    /// What it keeps of a lease.
+    /// The state kept for a lease, if any.
     pub fn state(&self, lease: LeaseId) -> Option<&AcceptorState> {
         self.leases.get(&lease)
     }
 
-    /// The number of leases it keeps.
+    /// The number of leases that the acceptor keeps.
     pub fn len(&self) -> usize {
         self.leases.len()
     }
 
-    /// Whether it keeps no lease.
+    /// Whether the acceptor keeps no lease.
     pub fn is_empty(&self) -> bool {
         self.leases.is_empty()
     }
 
-    /// How long it still abstains from votes on leases with this interval.
+    /// How much longer the acceptor abstains from votes on leases with this interval, so that votes from before a
+    /// restart have expired by then.
     pub fn remaining_abstention(&self, now: Clocks, interval: Millis) -> Millis {
-        let votes_expire_after = interval + interval / LATE_SHARE + self.max_clock_skew;
+        let votes_expire_after = interval + interval / LATE_HOLDER_DIVISOR + self.max_clock_skew;
         (self.started_at + votes_expire_after).saturating_sub(now.monotonic)
     }
 
-    /// Answers a proposer. `alive` are the instances that this one believes to be alive.
+    /// Handles a proposer's message and returns the response, if there is one. `alive` holds the instances that this
+    /// instance believes to be alive.
     pub fn handle_message(
         &mut self,
         now: Clocks,
@@ -177,25 +184,26 @@
         } = request;
         let abstention = self.remaining_abstention(now, interval);
         if abstention > 0 {
-            return request.reject_blank(RejectReason::Abstaining, abstention);
+            return request.reject_without_state(RejectReason::Abstaining, abstention);
         }
         let is_known = self.leases.contains_key(&lease);
-        if !is_known && !self.make_room(now) {
-            return request.reject_blank(RejectReason::AtCapacity, interval);
+        if !is_known && !self.ensure_capacity(now) {
+            return request.reject_without_state(RejectReason::AtCapacity, interval);
         }
-        let forgotten = AcceptorState::forgotten(now, interval);
-        let state = self.leases.get(&lease).unwrap_or(&forgotten);
-        // A pre-vote's ballot may be low: its sender has not learned of the others' ballots yet.
+        let initial_state = AcceptorState::without_memory(now, interval);
+        let state = self.leases.get(&lease).unwrap_or(&initial_state);
+        // The ballot of a pre-vote may be low, because its sender may not know the ballots of other proposers yet.
         if ballot < state.promised && !pre_vote {
-            let retry_after = interval / RETRY_SHARE;
+            let retry_after = interval / RETRY_DIVISOR;
             return request.reject(RejectReason::BallotTooLow, state, retry_after);
         }
         let holder = state.promised.proposer;
-        let on_time_for = state.late_from().saturating_sub(now.monotonic);
+        let on_time_remaining = state.late_from().saturating_sub(now.monotonic);
         let is_absent = !alive.contains(&InstanceId(holder));
-        // A proposer that falls silent, or cannot hear our answer, must not take a lease from a sound holder.
-        if holder != ballot.proposer && !state.is_released && !is_absent && on_time_for > 0 {
-            return request.reject(RejectReason::LeaseHeld, state, on_time_for);
+        // A proposer that fails after its request, or that cannot receive this response, must not take the lease from a
+        // healthy holder.
+        if holder != ballot.proposer && !state.is_released && !is_absent && on_time_remaining > 0 {
+            return request.reject(RejectReason::LeaseHeld, state, on_time_remaining);
         }
         let promise = Message::Promise {
             lease,
@@ -208,7 +216,7 @@
             previous_promise: state.promised,
         };
         if !pre_vote {
-            let state = self.leases.entry(lease).or_insert(forgotten);
+            let state = self.leases.entry(lease).or_insert(initial_state);
             state.record_promise(now, ballot, interval);
         }
         promise
@@ -222,21 +230,21 @@
         } = request;
         let abstention = self.remaining_abstention(now, interval);
         if abstention > 0 {
-            return request.reject_blank(RejectReason::Abstaining, abstention);
+            return request.reject_without_state(RejectReason::Abstaining, abstention);
         }
-        // It may have known the lease before a restart, with a higher ballot: the proposer prepares first, and
-        // learns the term that stands for what was forgotten.
+        // Before a restart this acceptor may have promised a higher ballot for the lease. The proposer has to prepare
+        // first, and learns from the promise the term that stands for the forgotten ones.
         let Some(state) = self.leases.get_mut(&lease) else {
-            return request.reject_blank(RejectReason::NoPromise, 0);
+            return request.reject_without_state(RejectReason::NoPromise, 0);
         };
         if ballot < state.promised {
-            let retry_after = interval / RETRY_SHARE;
+            let retry_after = interval / RETRY_DIVISOR;
             return request.reject(RejectReason::BallotTooLow, state, retry_after);
         }
-        // For a repeated proposal the time of the first vote stands.
+        // A repeated proposal keeps the time of the first vote.
         if !state.is_repeated_proposal(ballot, term) {
             let earliest = state.accepted_at.map_or(0, |accepted_at| {
-                accepted_at + interval - interval / EARLY_SHARE
+                accepted_at + interval - interval / EARLY_TERM_DIVISOR
             });
             let too_early_by = earliest.saturating_sub(now.monotonic);
             if term <= state.highest_term || too_early_by > 0 {
@@ -262,19 +270,19 @@
         }
     }
 
-    /// Whether another lease can be kept; forgets idle ones if it must.
-    fn make_room(&mut self, now: Clocks) -> bool {
+    /// Returns whether another lease can be kept. At the limit, evicts idle leases first.
+    fn ensure_capacity(&mut self, now: Clocks) -> bool {
         if self.leases.len() >= MAX_LEASES {
             self.leases.retain(|_, state| {
-                let idle = now.monotonic.saturating_sub(state.last_change);
-                idle < FORGET_AFTER_MS.max(state.interval * FORGET_INTERVALS)
+                let idle = now.monotonic.saturating_sub(state.last_change_at);
+                idle < EVICT_AFTER_MS.max(state.interval * EVICT_AFTER_INTERVALS)
             });
         }
         self.leases.len() < MAX_LEASES
     }
 }
 
-/// What a proposer's requests have in common.
+/// The fields that all requests of a proposer have in common.
 #[derive(Clone, Copy)]
 struct Request {
     lease: LeaseId,
@@ -294,8 +302,8 @@
         }
     }
 
-    /// A rejection that tells nothing of the acceptor's state.
-    fn reject_blank(self, reason: RejectReason, retry_after: Millis) -> Message {
+    /// A rejection without any of the acceptor's state.
+    fn reject_without_state(self, reason: RejectReason, retry_after: Millis) -> Message {
         Message::Rejected {
             lease: self.lease,
             ballot: self.ballot,
--- a/crates/leases/src/grant.rs
+++ b/crates/leases/src/grant.rs
@@ -1,20 +1,23 @@
-//! Clocks, and the grant that a lease holder acts under.
+//! Clocks, and the grant under which a lease holder acts.
 
 use crate::LeaseId;
 
-/// Milliseconds: a moment on an instance's monotonic clock, whose origin is its own, or a span of time.
+/// A time on an instance's monotonic clock, or a duration, in milliseconds. Each instance's clock has its own origin.
 pub type Millis = u64;
 
-/// The two clocks of an instance at one moment.
+/// The readings of an instance's two clocks at one moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Clocks {
-    /// Monotonic, from any origin; it also advances while the process is frozen. All waits are measured with it.
+    /// Monotonic time from an arbitrary origin. The clock also advances while the process is suspended. All durations
+    /// are measured with this clock.
     pub monotonic: Millis,
-    /// Unix time. It only numbers the first term that an acceptor without memory hears of.
+    /// Unix time. Used only by an acceptor that remembers nothing of a lease, in place of the terms that it may have
+    /// forgotten.
     pub wall: Millis,
 }
 
-/// The right to carry out a lease's task once, in one term. It expires before anyone may win the next term.
+/// The right to carry out a lease's task once, in one term. The grant expires before any instance can win the next
+/// term.
 ///
 /// ```
 /// use spanspur_leases::{LeaseGrant, LeaseId};
@@ -31,14 +34,15 @@
 pub struct LeaseGrant {
     /// The lease.
     pub lease: LeaseId,
-    /// The number of the term. It only grows, so that what the task acts upon can reject an older holder.
+    /// The number of the term. The numbers of a lease only increase, so a resource that the task writes to can reject
+    /// an earlier holder.
     pub fencing_token: u64,
     /// When the grant expires, on the instance's own monotonic clock.
     pub valid_until: Millis,
 }
 
 impl LeaseGrant {
-    /// Whether the holder may still act. Check immediately before acting, and again after anything slow.
+    /// Whether the holder may still act. Check this immediately before acting, and again after every slow step.
     pub fn is_valid(&self, now: Millis) -> bool {
         now < self.valid_until
     }
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -1,19 +1,21 @@
-//! Periodic leases by majority vote, and a gossiped store for their results.
+//! Periodic leases granted by majority vote, and a replicated store that disseminates their results by gossip.
 //!
-//! A lease is a recurring task that one instance of a cluster carries out per interval. Each interval is a *term*
-//! with a number that never repeats, chosen by a majority of the lease's voters (Paxos). The winner gets a
-//! [`LeaseGrant`] whose fencing token is the term's number. No sockets, clocks, threads or random sources in here:
-//! time and messages come in, messages and grants go out. `docs/design/duties.md` weighs the options; start reading
-//! at [`LeaseManager`].
+//! A lease stands for a recurring task that one instance of a cluster carries out per interval. Each interval is a
+//! *term* with a number that is never reused. A majority of the lease's voters decides by Paxos which instance wins a
+//! term. The winner gets a [`LeaseGrant`] whose fencing token is the term's number.
+//!
+//! The crate has no sockets, clocks, threads or sources of randomness. The caller passes in time and messages, and
+//! takes out messages and grants. [`LeaseManager`] is the entry point; `docs/design/duties.md` compares the design
+//! alternatives.
 //!
 //! | module | holds |
 //! | --- | --- |
 //! | [`message`] | identifiers, ballots and the messages between proposers and acceptors |
 //! | [`grant`] | the right to carry out a lease's task in one term; clocks |
-//! | [`acceptor`] | a voter: what it has promised and accepted, when it abstains |
-//! | [`proposer`] | one proposer of one lease: promises and acceptances counted up to a majority |
-//! | [`ranking`] | which instance is preferred for a lease, and who votes on it |
-//! | [`manager`] | all leases of an instance: timers, hand-over, take-over, batches |
+//! | [`acceptor`] | a voter: its promises and votes, and when it abstains |
+//! | [`proposer`] | a proposer of one lease, which collects promises and votes from a majority |
+//! | [`ranking`] | the preferred instance and the voters of a lease |
+//! | [`manager`] | all leases of an instance: timers, hand-over, take-over, batching of messages |
 //! | [`gossip_store`] | results that all instances share, disseminated when they change |
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/leases/src/manager/proposals.rs
+++ b/crates/leases/src/manager/proposals.rs
@@ -2,7 +2,7 @@
 
 use super::lease::{GRANT_MARGIN_SHARE, STAGGER_SHARE};
 use super::{LeaseManager, Output};
-use crate::acceptor::LATE_SHARE;
+use crate::acceptor::LATE_HOLDER_DIVISOR;
 use crate::proposer::{Phase, Progress, Proposal};
 use crate::{Clocks, InstanceId, LeaseGrant, LeaseId, Message, Millis};
 
@@ -164,7 +164,8 @@
             proposed_at,
         });
         // The rhythm is kept, unless this term came late; then the next must not follow at once.
-        let on_time = proposed_at.saturating_sub(lease.next_term_at) < interval / LATE_SHARE;
+        let on_time =
+            proposed_at.saturating_sub(lease.next_term_at) < interval / LATE_HOLDER_DIVISOR;
         let next_term_at = if on_time {
             lease.next_term_at
         } else {
--- a/crates/leases/src/manager/schedule.rs
+++ b/crates/leases/src/manager/schedule.rs
@@ -2,7 +2,7 @@
 
 use super::LeaseManager;
 use super::lease::STAGGER_SHARE;
-use crate::acceptor::LATE_SHARE;
+use crate::acceptor::LATE_HOLDER_DIVISOR;
 use crate::proposer::Phase;
 use crate::{Clocks, LeaseId, Millis};
 
@@ -86,7 +86,7 @@
         let turn = lease.interval / STAGGER_SHARE * alive_ahead;
         let late_from = match self.acceptor.state(id) {
             Some(state) => state.late_from(),
-            None => lease.added_at + lease.interval + lease.interval / LATE_SHARE,
+            None => lease.added_at + lease.interval + lease.interval / LATE_HOLDER_DIVISOR,
         };
         Some(late_from + turn)
     }
--- a/crates/leases/src/message.rs
+++ b/crates/leases/src/message.rs
@@ -1,17 +1,17 @@
 //! Identifiers, ballots, and the messages between proposers and acceptors.
 //!
-//! The messages travel as postcard, which knows fields by their place and variants by their number: neither may be
-//! reordered.
+//! The messages are encoded with postcard, which identifies a field by its position and a variant by its index, so
+//! neither may be reordered.
 
 use crate::Millis;
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A lease, identified alike at every instance by the XXH3 hash of its name.
+/// Identifies a lease: the XXH3 hash of its name, the same at every instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LeaseId(pub u64);
 
-/// An instance, identified by the XXH3 hash of its name; the same after a restart.
+/// Identifies an instance: the XXH3 hash of its name, which stays the same across restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct InstanceId(pub u64);
 
@@ -29,37 +29,38 @@
     }
 }
 
-/// A Paxos ballot: a proposer's right to propose terms of a lease. A higher one takes precedence.
+/// A Paxos ballot, under which a proposer proposes terms of a lease. A higher ballot takes precedence.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Ballot {
-    /// Grows with each attempt to take a lease over.
+    /// Increases with each attempt to acquire the lease.
     pub round: u64,
     /// The proposer's [`InstanceId`].
     pub proposer: u64,
-    /// The proposer's incarnation. A restarted proposer has forgotten its ballots and must not use one twice.
+    /// The proposer's incarnation. A restarted proposer has forgotten its ballots, and the incarnation keeps it from
+    /// using a ballot twice.
     pub incarnation: u64,
 }
 
 /// Why an acceptor rejects a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RejectReason {
-    /// It has restarted and may have forgotten votes that are still in force.
+    /// The acceptor has restarted and may have forgotten votes that are still in force.
     Abstaining,
     /// Another instance holds the lease and is on time.
     LeaseHeld,
-    /// It has promised a higher ballot.
+    /// The acceptor has promised a higher ballot.
     BallotTooLow,
-    /// The previous term is too young, or the term's number has been voted for already.
+    /// The previous term is too recent, or the acceptor has voted for this term or a higher one already.
     TermTooEarly,
-    /// It keeps no more leases.
+    /// The acceptor has reached its maximum number of leases.
     AtCapacity,
-    /// It remembers no promise for the lease: the proposer has to prepare first.
+    /// The acceptor remembers no promise for the lease, so the proposer has to prepare first.
     NoPromise,
 }
 
-/// What proposers and acceptors exchange about one lease. Many travel in one datagram.
+/// A message between proposers and acceptors about one lease. One datagram may carry many messages.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Message {
     /// Asks for a promise (phase 1a).
@@ -70,10 +71,10 @@
         ballot: Ballot,
         /// The lease's interval.
         interval: Millis,
-        /// Only asks whether a promise would be given; the acceptor's state does not change.
+        /// Whether to ask only if the acceptor would give the promise. The acceptor's state does not change then.
         pre_vote: bool,
     },
-    /// Promises to accept no lower ballot from now on (phase 1b).
+    /// Promises to reject lower ballots from now on (phase 1b).
     Promise {
         /// The lease.
         lease: LeaseId,
@@ -81,11 +82,11 @@
         ballot: Ballot,
         /// The highest term that the acceptor knows to be taken.
         highest_term: u64,
-        /// How long ago it voted for that term; `None` where it remembers no vote.
+        /// How long ago the acceptor voted for `highest_term`; `None` if it remembers no vote.
         accepted_ago: Option<Millis>,
-        /// The ballot with which that term was proposed.
+        /// The ballot under which `highest_term` was proposed.
         accepted_ballot: Ballot,
-        /// The ballot promised before this one.
+        /// The ballot that the acceptor had promised before this one.
         previous_promise: Ballot,
     },
     /// Proposes a term (phase 2a).
@@ -114,23 +115,23 @@
         lease: LeaseId,
         /// The ballot of the request.
         ballot: Ballot,
-        /// Why.
+        /// The reason.
         reason: RejectReason,
         /// The ballot that the acceptor has promised.
         promised: Ballot,
-        /// The highest term that it knows to be taken.
+        /// The highest term that the acceptor knows to be taken.
         highest_term: u64,
-        /// The reason may no longer apply after this time.
+        /// The time after which the reason may no longer apply.
         retry_after: Millis,
     },
     /// The holder releases the lease.
     Release {
         /// The lease.
         lease: LeaseId,
-        /// The ballot under which it was held.
+        /// The ballot under which the lease was held.
         ballot: Ballot,
     },
-    /// Asks the holder to hand the lease over to the sender, which is preferred for it.
+    /// Asks the holder to hand the lease over to the sender, which is the lease's preferred instance.
     RequestHandover {
         /// The lease.
         lease: LeaseId,
--- a/crates/leases/src/proposer.rs
+++ b/crates/leases/src/proposer.rs
@@ -1,14 +1,19 @@
-//! One proposer of one lease: first the right to propose terms, from a majority's promises (Paxos phase 1); then term
-//! after term, each from a majority's votes (phase 2). While it holds the lease a term costs one round of messages.
+//! A proposer of one lease. The promises of a majority of acceptors give the proposer the right to propose terms (Paxos
+//! phase 1). The proposer then proposes term after term and wins each by the votes of a majority (phase 2). While a
+//! proposer holds the lease, a term costs one round of messages.
 //!
-//! Why no term is won twice: let A win term `t` with ballot `a`, and B hold ballot `b > a`. The two majorities share
-//! an acceptor. It voted for `t` before it promised `b`, for after that it rejects `a`; so its promise told B a
-//! highest term of `t` or more, and B proposes only higher ones.
+//! Why no term is won twice: let proposer A win term `t` with ballot `a`, and let proposer B have the promises of a
+//! majority for a ballot `b > a`. The majority that voted for `t` and the majority that promised `b` share an
+//! acceptor. That acceptor voted for `t` before it promised `b`, because after the promise it rejects ballot `a`. The
+//! acceptor's promise therefore reported to B a highest term of at least `t`. B proposes only terms above the highest
+//! reported one.
 //!
-//! A proposer whose proposal met acceptors that had promised more takes a higher ballot and proposes the same term
-//! again, so that a sound term is not lost to an acceptor that lags. It may if none of a majority has voted for that
-//! term, or if the highest ballot that any of them voted for it with was this proposer's own: the rule of Paxos for an
-//! instance with one value, here the identity of the holder.
+//! A proposal may be rejected by acceptors that have promised a higher ballot. The proposer then takes a still higher
+//! ballot and proposes the same term again, so that one lagging acceptor does not make a valid term fail. The proposer
+//! may repeat the term in two cases. Either no acceptor of the majority that promised the new ballot reports a vote
+//! for that term or a higher one. Or that term is the highest one reported, and the highest ballot with which an
+//! acceptor of that majority voted for the term was this proposer's own. This is the rule of Paxos for an instance
+//! with a single value; here the value is the identity of the holder.
 
 use crate::{Ballot, Message, Millis, RejectReason};
 use std::collections::BTreeMap;
@@ -16,57 +21,58 @@
 /// The state of a proposer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
-    /// It proposes nothing.
+    /// No attempt is in progress.
     Idle,
-    /// It has asked whether it would get the promises. A proposer that cannot win, since a majority knows the holder
-    /// to be on time, must not make acceptors reject that holder (Raft's pre-vote; Ongaro, 2014, section 9.6).
+    /// The proposer has asked whether a majority would promise its ballot. A prepare request makes acceptors reject the
+    /// holder's ballot. A proposer that cannot win, because a majority knows that the holder is on time, must not send
+    /// one (the pre-vote of Raft; Ongaro, 2014, section 9.6).
     PreVote,
-    /// It has asked for promises.
+    /// The proposer has asked for promises.
     Preparing,
-    /// It has the promises and waits for the next term.
+    /// The proposer has the promises of a majority and waits until the next term is due.
     Holding,
-    /// It has proposed a term.
+    /// The proposer has proposed a term and waits for votes.
     Proposing,
 }
 
-/// What a response has changed.
+/// The effect of a response on the proposer's attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// Nothing yet.
+    /// No decision yet.
     Pending,
     /// A majority would give its promises.
     PreVoteWon,
     /// A majority has promised.
     Prepared {
-        /// The age of the youngest vote that any of them reported.
+        /// The age of the most recent vote that the majority reported; `None` if none of them remembers a vote.
         accepted_ago: Option<Millis>,
     },
     /// The proposed term is won.
     TermWon,
-    /// A majority is out of reach for this attempt.
+    /// This attempt can no longer reach a majority.
     Failed {
-        /// Another attempt may be worth it after this time.
+        /// The time after which another attempt may succeed.
         retry_after: Millis,
     },
 }
 
-/// An acceptor's answer to the current request.
+/// An acceptor's response to the current request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Vote {
     Granted { accepted_ago: Option<Millis> },
     Rejected { retry_after: Millis },
 }
 
-/// A term that was proposed, and when it was proposed first.
+/// A proposed term and the time of its first proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Proposal {
     /// The term.
     pub term: u64,
-    /// When it was proposed first.
+    /// When the term was first proposed. A repeated proposal keeps this time.
     pub proposed_at: Millis,
 }
 
-/// A term that an acceptor voted for, and the ballot of that vote. Ordered by term, then by ballot.
+/// A term that an acceptor has voted for, and the ballot of that vote. Ordered by term, then by ballot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct AcceptedTerm {
     term: u64,
@@ -76,30 +82,30 @@
 /// A proposer of one lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Proposer {
-    /// Its state.
+    /// The current phase.
     pub phase: Phase,
-    /// The ballot that it holds promises for, or asks promises for.
+    /// The ballot for which the proposer has or requests promises.
     pub ballot: Ballot,
-    /// The term proposed, or the last one.
+    /// The term proposed last.
     pub term: u64,
-    /// When it prepared or proposed.
+    /// When the current attempt began: the start of the pre-vote or preparation, or the first proposal of the term.
     pub started_at: Millis,
-    /// Another proposer, with a higher ballot, that may hold the lease.
+    /// The proposer that may hold the lease, according to a rejection.
     pub known_holder: Option<u64>,
-    /// An acceptor has promised a higher ballot: a new ballot wins it back.
+    /// Whether an acceptor has promised a higher ballot. A new ballot regains that acceptor.
     pub is_preempted: bool,
     votes: BTreeMap<u64, Vote>,
     highest_round: u64,
-    /// Terms up to this one are taken; it may rise during a proposal.
+    /// The highest term that any acceptor has reported as taken. The value may rise during a proposal.
     highest_term: u64,
-    /// The highest vote that the promises reported.
+    /// The highest vote that the promises for the current ballot reported.
     highest_accepted: AcceptedTerm,
-    /// A term that was proposed and not won.
+    /// A term that was proposed but not won.
     unresolved: Option<Proposal>,
 }
 
 impl Proposer {
-    /// A proposer that holds nothing.
+    /// Creates an idle proposer.
     pub fn new() -> Self {
         Self {
             phase: Phase::Idle,
@@ -116,7 +122,7 @@
         }
     }
 
-    /// Begins to ask for promises, with a ballot higher than any seen.
+    /// Starts to request promises for a ballot that is higher than any ballot seen.
     pub fn start_prepare(&mut self, now: Millis, proposer: u64, incarnation: u64) {
         self.ballot = Ballot {
             round: self.ballot.round.max(self.highest_round) + 1,
@@ -130,13 +136,13 @@
         self.votes.clear();
     }
 
-    /// Begins a pre-vote. Its ballot is used for nothing else.
+    /// Starts a pre-vote. The ballot of a pre-vote is not used for anything else.
     pub fn start_pre_vote(&mut self, now: Millis, proposer: u64, incarnation: u64) {
         self.start_prepare(now, proposer, incarnation);
         self.phase = Phase::PreVote;
     }
 
-    /// The proposal that was not won and may be repeated.
+    /// The proposal that was not won and that may be repeated under the current ballot.
     pub fn resumable_proposal(&self) -> Option<Proposal> {
         let accepted = self.highest_accepted;
         let is_own = (accepted.ballot.proposer, accepted.ballot.incarnation)
@@ -146,7 +152,7 @@
         })
     }
 
-    /// Proposes a term: the unresolved one, as of when it was proposed first, or else the next.
+    /// Starts to propose a term: the unresolved one, with the time of its first proposal, or else the next one.
     pub fn propose_term(&mut self, now: Millis) {
         let proposal = self.resumable_proposal().unwrap_or(Proposal {
             term: self.term.max(self.highest_term) + 1,
@@ -159,7 +165,7 @@
         self.votes.clear();
     }
 
-    /// Gives up the unresolved term: it is too late to act in it.
+    /// Drops the unresolved term, which is not proposed again.
     pub fn abandon_proposal(&mut self) {
         self.unresolved = None;
     }
@@ -170,7 +176,7 @@
         self.votes.clear();
     }
 
-    /// Whether this acceptor has answered the current request.
+    /// Whether an acceptor has responded to the current request.
     pub fn has_vote_from(&self, acceptor: u64) -> bool {
         self.votes.contains_key(&acceptor)
     }
@@ -224,8 +230,8 @@
         self.count_votes(voters)
     }
 
-    /// Learns from a promise. It counts as a vote only while promises are asked for: a late one, of an acceptor
-    /// without memory, raises the next term.
+    /// Records a promise. It counts as a vote only while the proposer requests promises. A later promise, which comes
+    /// from an acceptor that had forgotten the lease, only raises the next term.
     fn record_promise(
         &mut self,
         accepted: AcceptedTerm,
@@ -253,7 +259,7 @@
             self.highest_round = self.highest_round.max(promised.round);
             self.is_preempted = true;
         }
-        // After the majority's votes only the preemption matters.
+        // The majority's votes are complete; of a late rejection only the preemption matters.
         if self.phase == Phase::Holding {
             return None;
         }
@@ -262,7 +268,7 @@
             self.known_holder = Some(promised.proposer);
         }
         self.highest_term = self.highest_term.max(highest_term);
-        // The acceptor is asked for its promise now, and may still grant.
+        // The lease manager requests the acceptor's promise next, so the acceptor may still vote.
         if reason == RejectReason::NoPromise {
             return None;
         }
@@ -284,7 +290,7 @@
         Progress::Pending
     }
 
-    /// A majority has granted what was asked for.
+    /// Completes the current phase after a majority has granted the request.
     fn complete_phase(&mut self) -> Progress {
         let progress = match self.phase {
             Phase::PreVote => Progress::PreVoteWon,
@@ -301,8 +307,9 @@
         progress
     }
 
-    /// When a majority may grant again: the longest wait among the acceptors that are ready first. Called with one
-    /// rejection at least: without any, a majority is still in reach.
+    /// The time after which a majority may grant the request: the longest wait among the acceptors that are ready
+    /// first. Requires at least one rejection, which every failed attempt has: without a rejection, a majority is still
+    /// within reach.
     fn retry_after_majority(&self, majority: usize) -> Millis {
         let mut waits: Vec<Millis> = self.votes.values().filter_map(Vote::retry_after).collect();
         waits.sort_unstable();
--- a/crates/leases/src/ranking.rs
+++ b/crates/leases/src/ranking.rs
@@ -1,11 +1,11 @@
-//! The preferred instance and the voter set of a lease, both by weighted rendezvous hashing (Thaler and Ravishankar,
-//! 'A name-based mapping scheme for rendezvous', 1996): leases are spread evenly, and an instance that joins or
-//! leaves moves only its own leases.
+//! Chooses the preferred instance and the voter set of a lease by weighted rendezvous hashing (Thaler and Ravishankar,
+//! 'A name-based mapping scheme for rendezvous', 1996). Leases are spread evenly, and an instance that joins or leaves
+//! moves only its own leases.
 
 use crate::{InstanceId, LeaseId};
 
-/// The score of an instance for a lease, given the two ids: the highest score ranks first. The balancer passes its
-/// own function in.
+/// A function that scores an instance for a lease, given the lease's id and the instance's id. The highest score ranks
+/// first. The balancer supplies the function.
 #[derive(Clone, Copy)]
 pub struct Ranking(pub fn(u64, u64) -> f64);
 
@@ -22,12 +22,12 @@
 }
 
 impl Ranking {
-    /// Hashes a number, so that similar inputs give unrelated outputs.
+    /// Hashes a number, so that similar numbers give unrelated results.
     pub(crate) fn hash_number(number: u64) -> u64 {
         xxhash_rust::xxh3::xxh3_64(&number.to_le_bytes())
     }
 
-    /// The preferred instance for a lease; ties go to the lower id.
+    /// The preferred instance for a lease: the one with the highest score, or, at equal scores, with the lowest id.
     pub fn preferred_instance<'a>(
         &self,
         lease: LeaseId,
@@ -47,7 +47,7 @@
         best.map(|best| best.instance)
     }
 
-    /// The `max_voters` highest ranked voters of a lease, best first.
+    /// The voters of a lease: the first `max_voters` of `voters` by rank, highest first.
     pub fn voter_set(
         &self,
         lease: LeaseId,
