--- a/src/proxy/client.rs
+++ b/src/proxy/client.rs
@@ -14,24 +14,24 @@
 use std::rc::Rc;
 use tokio::net::TcpStream;
 
-/// How the wait for a client's first line ends.
+/// Result of waiting for a client's first line.
 enum Received {
-    /// With a line, or with the end of its time.
+    /// The reader's result, or [`FirstLine::TimedOut`] if the process is about to exit.
     Line(FirstLine),
-    /// The client has to give its descriptor to another one.
+    /// The client was evicted so that its descriptor can be used for another client.
     Evicted,
-    /// The successor of this process has taken the client over.
+    /// The successor of this process has taken over the client.
     Transferred,
 }
 
-/// Serves a client's connection.
+/// Serves a client's connection until it ends.
 pub async fn serve(
     runtime: Rc<Runtime>,
     client: TcpStream,
     mut permit: ConnectionPermit,
     mut reader: ClientReader,
 ) {
-    // Lines are short and waited for: none is held back for more to come.
+    // Lines are short and latency-sensitive: disable Nagle's algorithm.
     let _ = client.set_nodelay(true);
     let first_line = match receive(&runtime, &client, &mut permit, &mut reader).await {
         Received::Line(first_line) => first_line,
@@ -65,9 +65,9 @@
         Err(RequestEnd::Response(response)) => response,
         Err(RequestEnd::Disconnected) => return,
     };
-    // Only the client's closing is awaited from here on.
+    // From here on the client may be evicted: the response is sent, and all that remains is to wait for its close.
     permit.become_idle();
-    let _counted = runtime.lifecycle.clients_with_pending_close.count_client();
+    let _pending_close = runtime.lifecycle.clients_with_pending_close.count_client();
     let line = response.line();
     tokio::select! {
         () = send_and_close(&client, line.as_bytes()) => {}
@@ -89,7 +89,7 @@
             biased;
             first_line = reader.first_line(runtime, client) => return Received::Line(first_line),
             () = permit.evicted() => return Received::Evicted,
-            // The line may be in transit: the client gets its response without it.
+            // The request line may still be in transit: respond as on a timeout.
             Ok(_) = exiting.wait_for(|exiting| *exiting) => return Received::Line(FirstLine::TimedOut),
             successor = runtime.peer_processes.wait_for_successor(), if !transfer_failed => {
                 if transfer(reader, client, &successor).await {
@@ -101,14 +101,16 @@
     }
 }
 
-/// Transfers a client that has not completed its first line; `false` if it stays with this process.
+/// Transfers a client that has not completed its first line to the successor. Returns `false` if the client stays with
+/// this process.
 async fn transfer(reader: &ClientReader, client: &TcpStream, successor: &ConnectionSender) -> bool {
     let time_left = reader.time_left();
     let connection = TransferredConnection::AwaitingRequest(reader.received(), time_left);
     successor.transfer(connection, &[client.as_fd()]).await
 }
 
-/// A front that was told BUSY would send no clients here: it is told nothing and asks again on another connection.
+/// Returns the response to a client that has not sent its request in time. A front proxy that receives BUSY would stop
+/// sending clients here, so its connection is closed without a response and it probes again on a new one.
 fn timeout_response(is_front: bool) -> LocalResponse {
     if is_front {
         return LocalResponse::Close;
@@ -117,7 +119,7 @@
     LocalResponse::Rejected { retry_after: 0 }
 }
 
-/// Serves an established connection that another process of this balancer transferred.
+/// Serves an established connection transferred from another process of this balancer.
 pub async fn serve_transferred(
     runtime: Rc<Runtime>,
     connection: EstablishedConnection,
--- a/src/proxy/client_reader.rs
+++ b/src/proxy/client_reader.rs
@@ -1,4 +1,4 @@
-//! Reads what a client sends before its final response: the request line, and the front's probes before it.
+//! Reads the lines that a client sends up to its request, including the probes of a front proxy.
 
 use crate::invariants;
 use crate::protocol::client::{LineError, LineReader, OpenRequest, OpenRequestError};
@@ -10,39 +10,40 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// Time for a client to send its request line, from its connecting. Some take 2 s; the connection of one that sends
-/// nothing has to be closed after 3 s.
+/// Time from connecting in which a client has to send its request line. Some clients take 2 s, and the connection of a
+/// client that sends nothing has to be closed within 3 s.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Time for the front to send its next line, from the response to its last one.
+/// Time from the response to a probe in which the front proxy has to send its next line.
 const FRONT_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often readiness is checked while the front waits for it.
+/// Interval at which readiness is checked while a front proxy waits for the response to its probe.
 const READINESS_INTERVAL: Duration = Duration::from_millis(20);
-/// The front's probe, and the response of a balancer that takes clients.
+/// The probe line of a front proxy.
 const PROBE: &str = "PING";
+/// The response to a probe while the balancer is not draining.
 const PROBE_RESPONSE: &str = "PONG\r\n";
 
-/// Why a client's bytes are no request.
+/// Why the bytes received from a client are not a valid request.
 #[derive(Clone, Copy, Debug, Error, PartialEq)]
 pub enum MalformedRequest {
-    /// More bytes after the request line.
+    /// The request line is followed by more bytes.
     #[error("more than one line")]
     MultipleLines,
-    /// Not a line of plain text that ends in CRLF, or too long for one.
-    #[error("not a line of text")]
+    /// The bytes are not a line of plain text terminated by CRLF, or the line is too long.
+    #[error("not a line of plain text, or too long")]
     NotText,
     /// The line does not follow the protocol.
     #[error(transparent)]
     InvalidLine(#[from] OpenRequestError),
-    /// Another request of this process has the id.
-    #[error("the id is in use")]
+    /// Another request of this process has the same id.
+    #[error("the request id is in use")]
     IdInUse,
-    /// More bytes while the request waits for its response.
-    #[error("more before the answer")]
+    /// The client sent more bytes while the request was waiting for its response.
+    #[error("data received before the response")]
     DataBeforeResponse,
 }
 
 impl MalformedRequest {
-    /// Counts and logs it; gives the response to it. It costs this connection and nothing else.
+    /// Counts and logs the malformed request, and returns the response to it. Only this connection is affected.
     pub fn respond(self) -> LocalResponse {
         invariants::count("malformed request");
         tracing::debug!(reason = %self, "malformed request");
@@ -50,15 +51,15 @@
     }
 }
 
-/// What a client sends first.
+/// Result of reading a client's first line other than a probe.
 pub enum FirstLine {
-    /// A request.
+    /// A valid request.
     Request(Box<OpenRequest>),
-    /// Something else.
+    /// Bytes that are not a valid request.
     Malformed(MalformedRequest),
-    /// No complete line in time.
+    /// No complete line arrived in time.
     TimedOut,
-    /// Nothing: the client has disconnected.
+    /// The client disconnected before completing a line.
     Disconnected,
 }
 
@@ -66,27 +67,28 @@
 pub struct ClientReader {
     lines: LineReader,
     deadline: Instant,
-    /// Counts the client among those without a request; `None` once it has shown to be a front.
-    counted: Option<CountedClient>,
+    /// Counts the client as one without a request; `None` once a probe has identified it as a front proxy.
+    pending_request: Option<CountedClient>,
 }
 
 impl ClientReader {
-    /// For a client that has just connected.
+    /// Creates the reader of a client that has just connected.
     pub fn new(runtime: &Runtime) -> Self {
         Self::resume(runtime, Vec::new(), REQUEST_TIMEOUT)
     }
 
-    /// For a client of which another process of this balancer has received these bytes, with so much time left.
+    /// Creates the reader of a client transferred from another process of this balancer, which had received the bytes
+    /// `received`; `time_left` remains until the deadline.
     pub fn resume(runtime: &Runtime, received: Vec<u8>, time_left: Duration) -> Self {
-        let counted = runtime.lifecycle.clients_without_request.count_client();
+        let pending_request = runtime.lifecycle.clients_without_request.count_client();
         Self {
             lines: LineReader::from(received),
             deadline: Instant::now() + time_left,
-            counted: Some(counted),
+            pending_request: Some(pending_request),
         }
     }
 
-    /// The bytes received and not consumed.
+    /// The bytes that are received and not consumed yet.
     pub fn received(&self) -> Vec<u8> {
         self.lines.buffered()
     }
@@ -96,12 +98,13 @@
         (self.deadline - Instant::now()).as_secs_f64()
     }
 
-    /// Whether the client has sent a probe: it is a front, and waits for no response to a request.
+    /// Whether the client has sent a probe. Such a client is a front proxy and does not expect a response to a request.
     pub fn is_front(&self) -> bool {
-        self.counted.is_none()
+        self.pending_request.is_none()
     }
 
-    /// The first line other than a probe. It has to be all that the client sends before its response. Cancel safe.
+    /// Reads the first line other than a probe, and responds to probes. The client must not send more before its
+    /// response. Cancel safe.
     pub async fn first_line(&mut self, runtime: &Runtime, client: &TcpStream) -> FirstLine {
         loop {
             let line = match timeout_at(self.deadline, self.lines.next_line(client)).await {
@@ -120,7 +123,7 @@
             if client.try_write(probe_response(runtime)).is_err() {
                 return FirstLine::Disconnected;
             }
-            self.counted.take();
+            self.pending_request.take();
             self.deadline = Instant::now() + FRONT_TIMEOUT;
         }
     }
@@ -134,7 +137,8 @@
     }
 }
 
-/// Waits until requests can be decided or are refused anyway: the front sends clients from the response on.
+/// Waits until requests can be decided or, in draining mode, the probe is refused anyway: a front proxy starts to send
+/// clients as soon as its probe is answered.
 async fn wait_until_ready(runtime: &Runtime) {
     while !runtime.is_ready() && !runtime.lifecycle.is_draining() {
         sleep(READINESS_INTERVAL).await;
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -1,11 +1,12 @@
 //! The data path: a client's connection from its first line to its end.
 //!
-//! [`client`] serves one connection: [`client_reader`] reads its request, [`request`] brings that to a connection at a
-//! backend (by [`attempt`]s, or by [`reopen`]) or to a [`local_response`], and [`relay`] passes lines between the two
-//! until the connection ends, which the [`session`] tells the balancer.
+//! [`client`] serves one connection: [`client_reader`] reads the request, [`request`] turns the request into a
+//! connection to a backend (through [`attempt`]s or [`reopen`]) or into a [`local_response`], and [`relay`] forwards
+//! lines in both directions until the connection ends. The [`session`] reports the end to the balancer.
 //!
-//! The future of [`client::serve`] is the memory that a silent connection costs: whatever lives across an await is in
-//! it, and an `async fn` holds its arguments too. Large buffers and rare steps stay out of it.
+//! The future of [`client::serve`] is the memory cost of an idle connection: it stores every value that lives across an
+//! await, and an `async fn` stores its arguments as well. Large buffers stay out of it; large and rarely taken branches
+//! are boxed.
 
 pub mod attempt;
 pub mod client;
