--- a/src/proxy/attempt.rs
+++ b/src/proxy/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one backend, from connecting to the backend's first line.
+//! A single attempt at one backend, from connecting to the backend's first line.
 
 use crate::api::{Outcome, ServerId, Time};
 use crate::protocol::client::{LineReader, check_first_answer};
@@ -11,25 +11,25 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout_at};
 
-/// The backend gets no request with less time left than this.
-const LEAST_TIME: Duration = Duration::from_millis(1);
+/// A request is not sent to a backend with less time left than this: the line gives the time in whole milliseconds.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(1);
 
 /// A backend that has accepted the request.
 pub struct Backend {
-    /// The connection.
+    /// The connection to the backend.
     pub stream: TcpStream,
-    /// Its first line, without the line end.
+    /// The backend's first line, without the line terminator.
     pub response: String,
-    /// Bytes that followed the first line.
+    /// Bytes received after the first line.
     pub rest: Vec<u8>,
 }
 
-/// What an attempt sends.
+/// The kind of request that an attempt sends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptKind {
-    /// A new request, only for a backend that takes new requests.
+    /// A new request. It is only sent to a server that accepts new requests.
     New,
-    /// A request that reopens a connection, for the backend that has it.
+    /// A request that reopens a connection at the backend that it is established at.
     Reopen,
 }
 
@@ -45,13 +45,13 @@
     /// The connection could not be established.
     #[error("connecting failed: {0}")]
     Connect(#[source] io::Error),
-    /// No time was left once the connection was established.
+    /// No time was left by the time the connection was established.
     #[error("no time left to send the request")]
     NoTimeLeft,
-    /// The server took no new requests once the connection was established.
-    #[error("the server takes no new requests any more")]
+    /// The server had stopped accepting new requests by the time the connection was established.
+    #[error("the server no longer accepts new requests")]
     NotAccepting,
-    /// The client had disconnected once the connection was established.
+    /// The client had disconnected by the time the connection was established.
     #[error("the client has disconnected")]
     ClientDisconnected,
     /// The request could not be sent.
@@ -60,19 +60,19 @@
     /// No response came in time.
     #[error("no response in time")]
     ResponseTimeout,
-    /// The backend closed the connection, or sent what is no line.
-    #[error("no response before the end of the connection")]
+    /// The backend closed the connection, or sent bytes that are not a valid line.
+    #[error("the connection ended without a valid response line")]
     NoResponse,
     /// The backend's response does not accept the request.
     #[error("the backend did not accept the request: {0:?}")]
     NotAccepted(Outcome),
     /// The balancer cancelled the attempt.
-    #[error("cancelled")]
+    #[error("attempt cancelled")]
     Cancelled,
 }
 
 impl AttemptError {
-    /// The outcome of the attempt for the balancer.
+    /// The outcome that is reported to the balancer.
     pub fn outcome(&self) -> Outcome {
         match self {
             Self::NotListed | Self::NoTimeLeft | Self::NotAccepting | Self::ClientDisconnected => {
@@ -87,12 +87,12 @@
     }
 }
 
-/// Attempts a request at a server until the time `until`. `request_line` gives the line to send, for the milliseconds that
-/// are left; `None` if the client has disconnected.
+/// Attempts a request at a server until the time `until`. `request_line` returns the line to send for the number of
+/// milliseconds left, or `None` if the client has disconnected.
 ///
 /// # Errors
-/// If the backend does not accept the request. The connection is closed by then, so that the next attempt is the only one
-/// in flight.
+/// If the backend does not accept the request. The connection is already closed by then, so that the next attempt is
+/// the only one in flight.
 pub async fn run(
     runtime: &Runtime,
     server: ServerId,
@@ -108,7 +108,7 @@
     let time_left = check_still_allowed(runtime, server, kind, until)?;
     let line =
         request_line(time_left.as_millis() as u64).ok_or(AttemptError::ClientDisconnected)?;
-    // Lines are short and waited for: none is held back for more to come.
+    // Lines are short and latency-sensitive: disable Nagle's algorithm.
     stream.set_nodelay(true).map_err(AttemptError::Send)?;
     stream
         .write_all(line.as_bytes())
@@ -130,7 +130,7 @@
         .map_err(AttemptError::Connect)
 }
 
-/// Checks again what may have changed while the connection was established. Returns the time left.
+/// Repeats the checks whose result may have changed while connecting. Returns the time left.
 fn check_still_allowed(
     runtime: &Runtime,
     server: ServerId,
@@ -138,7 +138,7 @@
     until: Time,
 ) -> Result<Duration, AttemptError> {
     let time_left = duration(until - runtime.now());
-    if time_left < LEAST_TIME {
+    if time_left < MIN_TIME_LEFT {
         return Err(AttemptError::NoTimeLeft);
     }
     if kind == AttemptKind::New && !runtime.accepts_new_requests(server) {
--- a/src/proxy/reopen.rs
+++ b/src/proxy/reopen.rs
@@ -1,4 +1,5 @@
-//! Reopens a connection at the backend that has it. The balancer decides nothing here, and is told no outcome.
+//! Reopens a connection at the backend that it is established at. The balancer makes no decision here, and no outcome
+//! is reported to it.
 
 use crate::api::{Outcome, ServerId, Time};
 use crate::protocol::client::OpenRequest;
@@ -7,12 +8,13 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Pause between two attempts.
+/// Delay between two attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// Seconds in which the server has to be listed.
+/// Seconds within which discovery has to list the server.
 const LISTING_TIMEOUT: Time = 1.0;
 
-/// Attempts the request at the server until its deadline; `None` if the connection cannot be reopened.
+/// Attempts the request at the server until the request's deadline. Returns `None` if the connection cannot be
+/// reopened.
 pub async fn reopen(
     runtime: &Runtime,
     open_request: &OpenRequest,
@@ -21,14 +23,14 @@
     let deadline = open_request.request.deadline;
     let listed_by = runtime.now() + LISTING_TIMEOUT;
     loop {
-        let line = |milliseconds| Some(open_request.line_for_backend(milliseconds));
-        // Boxed, so that an established connection does not keep the room for it.
+        let request_line = |milliseconds| Some(open_request.line_for_backend(milliseconds));
+        // Boxed, so that its state does not take space in the future of an established connection.
         let attempt = Box::pin(attempt::run(
             runtime,
             server,
             AttemptKind::Reopen,
             deadline,
-            line,
+            request_line,
         ));
         let attempted = attempt.await;
         let error = match attempted {
@@ -41,17 +43,17 @@
             %server,
             ?outcome,
             %error,
-            "connection not reopened"
+            "attempt to reopen connection failed"
         );
-        let never_listed = outcome == Outcome::NotSent && runtime.now() >= listed_by;
-        if is_final(outcome) || never_listed || runtime.now() >= deadline {
+        let listing_timed_out = outcome == Outcome::NotSent && runtime.now() >= listed_by;
+        if is_final(outcome) || listing_timed_out || runtime.now() >= deadline {
             return None;
         }
         sleep(RETRY_INTERVAL).await;
     }
 }
 
-/// Whether the outcome is the backend's own response, which a retry would only repeat.
+/// Whether the outcome comes from a response of the backend, which a retry would only repeat.
 fn is_final(outcome: Outcome) -> bool {
     matches!(
         outcome,
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -1,4 +1,4 @@
-//! A request, from its line to an established connection or a final response.
+//! Handles a request, from its parsed line to an established connection or a final response.
 
 use crate::api::{AttemptEnded, Event, Request, ServerId, Time};
 use crate::invariants;
@@ -16,36 +16,36 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::{Sleep, sleep_until};
 
-/// Seconds between the client's deadline and the request's: its line has travelled here, and the response has to
-/// travel back.
+/// Seconds by which the request's deadline precedes the client's own: covers the time that the request line took to
+/// arrive and that the response takes to return.
 const DEADLINE_MARGIN: Time = 0.02;
-/// The longest wait for a connection that is reopened, in seconds.
-const LONGEST_REOPEN_WAIT: Time = 40.0;
+/// The longest time to reopen a connection, in seconds.
+const MAX_REOPEN_WAIT: Time = 40.0;
 
 /// A connection that has been opened for a request.
 pub struct OpenedConnection {
-    /// Keeps the request registered.
+    /// Keeps the request registered until it is dropped.
     pub registration: RequestRegistration,
-    /// What is known of the connection.
+    /// The state of the connection.
     pub connection: Box<EstablishedConnection>,
-    /// The backend that accepted it.
+    /// The backend that accepted the request.
     pub backend: Backend,
-    /// The commands for the connection.
+    /// The queue of commands for the connection.
     pub commands: UnboundedReceiver<Command>,
 }
 
 /// How a request ends without a connection.
 pub enum RequestEnd {
-    /// With a response of the balancer's own.
+    /// With a response that the balancer generates.
     Response(LocalResponse),
-    /// Without a response: the client has disconnected.
+    /// Without a response, because the client has disconnected.
     Disconnected,
 }
 
 /// Opens a connection for a request.
 ///
 /// # Errors
-/// If the request ends without a connection.
+/// Returns how the request ended if no connection could be opened.
 pub async fn open(
     runtime: &Rc<Runtime>,
     client: &TcpStream,
@@ -58,7 +58,7 @@
     };
     let (server, attempt, backend) = match open_request.established_at {
         Some(server) => {
-            let backend = open_again(runtime, client, &open_request, server).await?;
+            let backend = reopen_established(runtime, client, &open_request, server).await?;
             (server, 0, backend)
         }
         None => open_new(runtime, client, &open_request, &mut commands).await?,
@@ -72,10 +72,11 @@
     })
 }
 
-/// Nobody is kept longer than its class waits, whatever it asks for; a connection that is reopened has longer.
+/// Returns the deadline of a request. The wait that the client asks for is limited to the longest wait of the
+/// configured classes, or to [`MAX_REOPEN_WAIT`] for a connection that is reopened.
 fn deadline(runtime: &Runtime, open_request: &OpenRequest) -> Time {
     let longest_wait = match open_request.established_at {
-        Some(_) => LONGEST_REOPEN_WAIT,
+        Some(_) => MAX_REOPEN_WAIT,
         None => runtime.process_config().max_client_wait,
     };
     runtime.now() + open_request.wait.min(longest_wait) - DEADLINE_MARGIN
@@ -85,8 +86,8 @@
     RequestEnd::Response(reason.respond())
 }
 
-/// Opens a connection at the backend that has it already.
-async fn open_again(
+/// Reopens a connection at the backend that it is established at.
+async fn reopen_established(
     runtime: &Rc<Runtime>,
     client: &TcpStream,
     open_request: &OpenRequest,
@@ -94,7 +95,7 @@
 ) -> Result<Backend, RequestEnd> {
     let backend = tokio::select! {
         backend = reopen(runtime, open_request, server) => backend,
-        end = client_ends(client) => return Err(end),
+        end = wait_for_client_end(client) => return Err(end),
     };
     let backend = backend.ok_or(RequestEnd::Response(LocalResponse::Failed))?;
     let request = open_request.request;
@@ -103,7 +104,7 @@
     Ok(backend)
 }
 
-/// Opens a connection at the backend that the balancer chooses. Gives its server and the number of the attempt.
+/// Opens a connection at a backend that the balancer chooses. Returns the server, the attempt number and the backend.
 async fn open_new(
     runtime: &Rc<Runtime>,
     client: &TcpStream,
@@ -119,8 +120,8 @@
     } = open_request.request;
     tracing::debug!(request = %id, class, ?group, is_reconnect, wait = open_request.wait, "request received");
     runtime.handle_event(Event::Request(open_request.request));
-    let overdue = open_request.request.deadline + DEADLINE_MARGIN;
-    let mut overdue = pin!(sleep_until(runtime.instant(overdue)));
+    let client_deadline = open_request.request.deadline + DEADLINE_MARGIN;
+    let mut client_deadline = pin!(sleep_until(runtime.instant(client_deadline)));
     let mut pending = PendingRequest {
         runtime,
         client,
@@ -129,7 +130,7 @@
         attempt: 0,
     };
     loop {
-        let (server, until) = pending.next_attempt(overdue.as_mut()).await?;
+        let (server, until) = pending.next_attempt(client_deadline.as_mut()).await?;
         match pending.run_attempt(server, until).await? {
             Ok(backend) => {
                 let attempt = pending.attempt;
@@ -142,7 +143,7 @@
     }
 }
 
-/// A request that the balancer decides.
+/// A request that waits for the balancer's decision, or for the attempt that the balancer has started.
 struct PendingRequest<'a> {
     runtime: &'a Rc<Runtime>,
     client: &'a TcpStream,
@@ -153,19 +154,19 @@
 }
 
 impl PendingRequest<'_> {
-    /// Waits for the command to start an attempt: its server and its deadline. Whether the client has disconnected is
-    /// looked at first: no attempt starts for one that has.
+    /// Waits for the command to start an attempt. Returns the attempt's server and deadline. A disconnect of the client
+    /// takes precedence over commands, so that no attempt is started for a client that has left.
     async fn next_attempt(
         &mut self,
-        mut overdue: Pin<&mut Sleep>,
+        mut client_deadline: Pin<&mut Sleep>,
     ) -> Result<(ServerId, Time), RequestEnd> {
         loop {
             let command = tokio::select! {
                 biased;
-                end = client_ends(self.client) => return Err(self.disconnect(end)),
+                end = wait_for_client_end(self.client) => return Err(self.disconnect(end)),
                 command = self.commands.recv() => command,
-                () = &mut overdue => {
-                    // The client is owed its response all the same.
+                () = &mut client_deadline => {
+                    // The balancer missed the deadline, but the client must still get a response.
                     invariants::holds(false, "requests are decided before their deadline");
                     self.disconnect(RequestEnd::Disconnected);
                     Some(Command::Fail)
@@ -175,36 +176,36 @@
                 Some(Command::StartAttempt(server, until)) => return Ok((server, until)),
                 Some(Command::Reject(retry_after)) => return Err(rejected(retry_after)),
                 Some(Command::Fail) => return Err(failed()),
-                // Void: there is neither an attempt nor a connection.
+                // There is neither an attempt to cancel nor a connection to migrate or transfer.
                 Some(Command::CancelAttempt(_) | Command::Migrate | Command::Transfer) => {}
                 None => return Err(RequestEnd::Disconnected),
             }
         }
     }
 
-    /// Runs an attempt. Returning for any reason closes the attempt's connection, whatever its state.
+    /// Runs an attempt. Unless the attempt succeeds, its connection is closed on return, whatever its state.
     async fn run_attempt(
         &mut self,
         server: ServerId,
         until: Time,
     ) -> Result<Result<Backend, AttemptError>, RequestEnd> {
-        let line = |milliseconds| {
+        let request_line = |milliseconds| {
             let connected = !has_disconnected(self.client);
             connected.then(|| self.open_request.line_for_backend(milliseconds))
         };
         let until = until.min(self.open_request.request.deadline);
-        // Boxed, so that an established connection does not keep the room for it.
+        // Boxed, so that its state does not take space in the future of an established connection.
         let attempt = Box::pin(attempt::run(
             self.runtime,
             server,
             AttemptKind::New,
             until,
-            line,
+            request_line,
         ));
         let attempted = tokio::select! {
             biased;
-            end = client_ends(self.client) => return Err(self.disconnect(end)),
-            command = attempt_cancelled(self.commands, self.attempt) => match command {
+            end = wait_for_client_end(self.client) => return Err(self.disconnect(end)),
+            command = wait_for_attempt_end(self.commands, self.attempt) => match command {
                 Some(Command::Reject(retry_after)) => return Err(rejected(retry_after)),
                 Some(Command::Fail) => return Err(failed()),
                 _ => Err(AttemptError::Cancelled),
@@ -217,7 +218,7 @@
         Ok(attempted)
     }
 
-    /// Tells the balancer how the current attempt failed.
+    /// Reports the failure of the current attempt to the balancer.
     fn end_attempt(&mut self, server: ServerId, error: &AttemptError) {
         let (id, attempt, outcome) = (self.open_request.request.id, self.attempt, error.outcome());
         tracing::debug!(request = %id, %server, attempt, ?outcome, %error, "attempt failed");
@@ -231,7 +232,7 @@
         self.attempt += 1;
     }
 
-    /// Tells the balancer that the client waits no longer.
+    /// Reports to the balancer that the client no longer waits. Returns `end`.
     fn disconnect(&self, end: RequestEnd) -> RequestEnd {
         let id = self.open_request.request.id;
         self.runtime.handle_event(Event::ClientDisconnected(id));
@@ -247,8 +248,9 @@
     RequestEnd::Response(LocalResponse::Rejected { retry_after })
 }
 
-/// Waits for a command that ends the attempt in flight: it is cancelled, or the request gets its final response.
-async fn attempt_cancelled(
+/// Waits for a command that ends the attempt in flight: a cancellation of the attempt, or a final response to the
+/// request.
+async fn wait_for_attempt_end(
     commands: &mut UnboundedReceiver<Command>,
     attempt: u32,
 ) -> Option<Command> {
@@ -264,8 +266,8 @@
     }
 }
 
-/// Waits until the client disconnects, or sends more before it has its response.
-async fn client_ends(client: &TcpStream) -> RequestEnd {
+/// Waits until the client disconnects, or breaks the protocol by sending data before its response.
+async fn wait_for_client_end(client: &TcpStream) -> RequestEnd {
     match LineReader::default().read_more(client).await {
         Ok(true) => malformed(MalformedRequest::DataBeforeResponse),
         _ => RequestEnd::Disconnected,
