--- a/src/proxy/direction.rs
+++ b/src/proxy/direction.rs
@@ -1,5 +1,5 @@
-//! One direction of an established connection. Only complete lines are passed on, so that a line of the balancer's own
-//! can come between any two of them.
+//! One direction of an established connection. Only complete lines are forwarded, so that the balancer can insert a
+//! line of its own between any two of them.
 
 use crate::invariants;
 use crate::protocol::client::MAX_LINE;
@@ -15,7 +15,7 @@
     Read,
     /// Bytes were written to the destination.
     Wrote,
-    /// The end of the source was passed on to the destination.
+    /// The end of the source was forwarded to the destination.
     Ended,
 }
 
@@ -28,26 +28,27 @@
     Destination,
 }
 
-/// The bytes on their way in one direction.
+/// The bytes buffered in one direction.
 pub struct Direction {
     buffer: Vec<u8>,
-    /// Bytes at the start of the buffer that may be written: complete lines, or all of it after the end.
+    /// Number of bytes at the start of the buffer that may be written: the complete lines, or the whole buffer once the
+    /// source has ended.
     writable: usize,
-    /// Ends, in the buffer, of the lines read since [`Self::take_line_ends`].
+    /// End offsets in the buffer of the lines read since the last call of [`Self::take_line_ends`].
     line_ends: Vec<usize>,
     source_ended: bool,
-    end_passed_on: bool,
+    end_forwarded: bool,
 }
 
 impl Direction {
-    /// A direction with these bytes read and not written yet.
+    /// Creates a direction whose buffer holds these bytes, read and not written yet.
     pub fn new(buffer: Vec<u8>) -> Self {
         let mut direction = Self {
             buffer,
             writable: 0,
             line_ends: Vec::new(),
             source_ended: false,
-            end_passed_on: false,
+            end_forwarded: false,
         };
         direction.find_line_ends(0);
         direction
@@ -61,10 +62,10 @@
         self.writable = self.line_ends.last().copied().unwrap_or(self.writable);
     }
 
-    /// Writes what is writable, else reads more: the buffer never holds more than one read. Cancel safe.
+    /// Writes what is writable, else reads more, so that the buffer stays within [`MAX_LINE`]. Cancel safe.
     ///
     /// # Errors
-    /// The side that failed.
+    /// Returns the side that failed.
     pub async fn step(
         &mut self,
         source: &TcpStream,
@@ -78,14 +79,14 @@
                     return Ok(Step::Wrote);
                 }
             } else if self.source_ended {
-                if self.end_passed_on {
+                if self.end_forwarded {
                     return std::future::pending().await;
                 }
-                self.end_passed_on = true;
+                self.end_forwarded = true;
                 let _ = SockRef::from(destination).shutdown(Shutdown::Write);
                 return Ok(Step::Ended);
             } else {
-                self.check_room()?;
+                self.check_line_length()?;
                 source.readable().await.map_err(|_| FailedSide::Source)?;
                 if self.try_read(source)? {
                     return Ok(Step::Read);
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Writes without waiting; `false` if the destination takes nothing now.
+    /// Writes without waiting. Returns `false` if the destination is not writable.
     fn try_write(&mut self, destination: &TcpStream) -> Result<bool, FailedSide> {
         match destination.try_write(&self.buffer[..self.writable]) {
             Ok(written) => {
@@ -107,8 +108,9 @@
         }
     }
 
-    /// A line without an end costs its own connection, not the memory of the process.
-    fn check_room(&self) -> Result<(), FailedSide> {
+    /// Fails if the buffer is full with an incomplete line: an endless line ends its own connection instead of
+    /// exhausting the memory of the process.
+    fn check_line_length(&self) -> Result<(), FailedSide> {
         if self.buffer.len() < MAX_LINE {
             return Ok(());
         }
@@ -116,11 +118,11 @@
         Err(FailedSide::Source)
     }
 
-    /// Reads without waiting; `false` if there was nothing to read, or the end.
+    /// Reads without waiting. Returns `false` if there was nothing to read or the source has ended.
     fn try_read(&mut self, source: &TcpStream) -> Result<bool, FailedSide> {
         let mut chunk = [0; MAX_LINE];
-        let room = MAX_LINE - self.buffer.len();
-        match source.try_read(&mut chunk[..room]) {
+        let capacity = MAX_LINE - self.buffer.len();
+        match source.try_read(&mut chunk[..capacity]) {
             Ok(0) => {
                 self.end_source();
                 Ok(false)
@@ -136,30 +138,31 @@
         }
     }
 
-    /// Takes the ends, in the buffer, of the lines read since the last call.
+    /// Takes the end offsets in the buffer of the lines read since the last call.
     pub fn take_line_ends(&mut self) -> Vec<usize> {
         std::mem::take(&mut self.line_ends)
     }
 
-    /// Reads nothing more; an incomplete line at the end is passed on as it is.
+    /// Stops reading from the source. An incomplete line at the end is forwarded as it is.
     pub fn end_source(&mut self) {
         self.source_ended = true;
         self.writable = self.buffer.len();
     }
 
-    /// Ends the direction with a line of the balancer's own, after the complete lines that are on their way.
+    /// Ends the direction with a line of the balancer's own, after the complete lines in the buffer. Drops an
+    /// incomplete line.
     pub fn end_with(&mut self, line: &[u8]) {
         self.buffer.truncate(self.writable);
         self.buffer.extend_from_slice(line);
         self.end_source();
     }
 
-    /// The bytes read and not written yet.
+    /// The bytes that are read and not written yet.
     pub fn buffer(&self) -> &[u8] {
         &self.buffer
     }
 
-    /// Whether complete lines wait for the destination.
+    /// Whether bytes wait to be written to the destination.
     pub fn has_unwritten_lines(&self) -> bool {
         self.writable > 0
     }
@@ -169,8 +172,8 @@
         self.source_ended
     }
 
-    /// Whether the end of the source has been passed on to the destination.
-    pub fn is_end_passed_on(&self) -> bool {
-        self.end_passed_on
+    /// Whether the end of the source has been forwarded to the destination.
+    pub fn is_end_forwarded(&self) -> bool {
+        self.end_forwarded
     }
 }
--- a/src/proxy/relay.rs
+++ b/src/proxy/relay.rs
@@ -1,5 +1,5 @@
-//! Relays an established connection: lines pass both ways until one side ends, the backend falls silent, or the client
-//! is asked to migrate.
+//! Relays an established connection: forwards lines in both directions until one side ends, the backend stops
+//! responding, or the client is asked to migrate.
 
 use crate::api::Outcome;
 use crate::invariants;
@@ -20,9 +20,9 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::{Instant, sleep_until};
 
-/// A backend that has announced the end of the connection has this long to close, where the client is to migrate.
+/// Time for a backend that has announced the end of the connection to close it, once the client is to migrate.
 const ANNOUNCED_END_TIMEOUT: Duration = Duration::from_secs(1);
-/// Wake-up of a connection that waits for nothing in particular.
+/// Wake-up interval of a connection without a pending timeout.
 const IDLE_WAKE_UP: Duration = Duration::from_secs(3600);
 /// The line that asks a client to connect elsewhere.
 const MIGRATE_LINE: &[u8] = b"MOVE\r\n";
@@ -34,9 +34,9 @@
     backend: TcpStream,
     to_backend: Direction,
     to_client: Direction,
-    /// One side has ended: when the connection is closed if the other does not end before.
+    /// When the connection is closed at the latest; `None` while neither side is ending.
     close_at: Option<Instant>,
-    /// Nothing is passed to the backend any more.
+    /// Nothing more is forwarded to the backend.
     to_backend_stopped: bool,
 }
 
@@ -45,8 +45,8 @@
 const CONTINUE: Flow = ControlFlow::Continue(());
 const CLOSE: Flow = ControlFlow::Break(());
 
-/// Relays a connection that a backend has just accepted, until it is over. What is needed only to begin is dropped before
-/// the future begins: an `async fn` would hold it for as long as the connection stands.
+/// Relays a connection that a backend has just accepted, until it ends. Arguments that are only needed for the setup
+/// are dropped before the future is returned: an `async fn` would hold them for the lifetime of the connection.
 pub fn relay(
     runtime: Rc<Runtime>,
     connection: Box<EstablishedConnection>,
@@ -57,12 +57,12 @@
     let received = [backend.response.as_bytes(), b"\r\n", &backend.rest].concat();
     let mut relay = Relay::new(runtime, &connection, client, backend.stream);
     relay.to_client = Direction::new(received);
-    // The first line accepts the request; it is no reply to a line.
+    // The first line accepts the request; it is not a reply to a line of the client.
     relay.handle_backend_lines(1);
     relay.run(commands)
 }
 
-/// Relays a connection that was established at another process, until it is over.
+/// Relays a connection that was established by another process, until it ends.
 pub fn resume(
     runtime: Rc<Runtime>,
     connection: EstablishedConnection,
@@ -73,14 +73,14 @@
     let mut relay = Relay::new(runtime, &connection, client, backend);
     relay.to_backend = Direction::new(connection.to_backend);
     relay.to_client = Direction::new(connection.to_client);
-    // The other process has handled these lines.
+    // The other process has already handled the buffered lines.
     relay.to_backend.take_line_ends();
     relay.to_client.take_line_ends();
     relay.run(commands)
 }
 
 impl Relay {
-    /// With nothing in the buffers.
+    /// Creates a relay with empty buffers.
     fn new(
         runtime: Rc<Runtime>,
         connection: &EstablishedConnection,
@@ -110,17 +110,17 @@
                     biased;
                     command = commands.recv() => match command {
                         Some(Command::Migrate) => self.migrate(),
-                        // Boxed: it is rare, and its future large.
+                        // Boxed: the branch is rarely taken and its future is large.
                         Some(Command::Transfer) => Box::pin(self.transfer()).await,
-                        Some(command) => unexpected(command),
+                        Some(command) => ignore_unexpected(command),
                         None => CLOSE,
                     },
                     step = self.to_client.step(&self.backend, &self.client) => self.handle_backend_step(step),
                     step = self.to_backend.step(&self.client, &self.backend), if !self.to_backend_stopped => {
                         self.handle_client_step(step)
                     }
-                    // All that the client can still do is to close its side.
-                    () = discard(&self.client), if self.waits_for_client() => CLOSE,
+                    // Both directions are done: wait for the client to close its side.
+                    () = discard(&self.client), if self.awaits_client_close() => CLOSE,
                     () = sleep_until(wake_up) => self.handle_wake_up(),
                 };
                 if flow.is_break() {
@@ -133,18 +133,19 @@
     /// Handles the command to migrate the client.
     fn migrate(&mut self) -> Flow {
         if self.session.is_end_announced() || self.to_client.has_source_ended() {
-            // The backend is about to end, or has ended, maybe within a line: the client sees that end.
+            // The backend is about to end the connection or has ended it, possibly within a line. The client sees that
+            // end, so no MOVE line is sent.
             self.session.notify_backend_end();
             self.close_within(ANNOUNCED_END_TIMEOUT);
         } else if !self.session.is_end_notified() {
             self.session.notify_end(Outcome::Cancelled);
-            self.send_client_elsewhere();
+            self.send_migrate_and_close();
         }
-        // Else the balancer has asked for a connection that has just ended.
+        // Otherwise the connection had already ended when the balancer asked for its migration.
         CONTINUE
     }
 
-    /// Transfers the connection to the successor of this process, if it is not about to end.
+    /// Transfers the connection to the successor of this process, unless the connection is about to end.
     async fn transfer(&mut self) -> Flow {
         if self.is_ending() || !self.try_transfer().await {
             return CONTINUE;
@@ -161,7 +162,7 @@
             || self.session.is_end_announced()
     }
 
-    /// Whether the successor has taken the connection over.
+    /// Tries to transfer the connection. Returns whether the successor has taken it over.
     async fn try_transfer(&self) -> bool {
         let Some(successor) = self.session.runtime().peer_processes.successor() else {
             return false;
@@ -174,16 +175,17 @@
         successor.transfer(connection, &descriptors).await
     }
 
-    /// Handles a step of the direction from the backend to the client.
+    /// Handles the result of a step in the direction from the backend to the client.
     fn handle_backend_step(&mut self, step: Result<Step, FailedSide>) -> Flow {
         match step {
             Ok(Step::Read) => self.handle_backend_lines(0),
             Ok(Step::Wrote) => {}
             Ok(Step::Ended) => {
                 self.session.notify_backend_end();
-                return self.await_other_end(self.to_backend.is_end_passed_on());
+                return self.await_other_end(self.to_backend.is_end_forwarded());
             }
-            // After an announced end, or one of our own, the manner of it says nothing more.
+            // The outcome is already known, because the backend has announced the end or the balancer has ended the
+            // connection: treat the error as a regular end.
             Err(FailedSide::Source)
                 if self.session.is_end_announced() || self.session.is_end_notified() =>
             {
@@ -199,7 +201,7 @@
         CONTINUE
     }
 
-    /// Handles a step of the direction from the client to the backend.
+    /// Handles the result of a step in the direction from the client to the backend.
     fn handle_client_step(&mut self, step: Result<Step, FailedSide>) -> Flow {
         match step {
             Ok(Step::Read) => {
@@ -213,16 +215,16 @@
             }
             Ok(Step::Ended) => {
                 self.session.notify_client_end();
-                return self.await_other_end(self.to_client.is_end_passed_on());
+                return self.await_other_end(self.to_client.is_end_forwarded());
             }
             Err(FailedSide::Source) => return self.close_after_client(),
-            // The other direction shows how the backend has ended; it may hold lines for the client still.
+            // The other direction shows how the backend ended the connection, and may still hold lines for the client.
             Err(FailedSide::Destination) => self.to_backend_stopped = true,
         }
         CONTINUE
     }
 
-    /// One side has ended: closes if the other has too, else waits for it.
+    /// Handles the end of one side: closes the connection if the other side has ended too, else waits for that.
     fn await_other_end(&mut self, other_ended: bool) -> Flow {
         if other_ended {
             return CLOSE;
@@ -231,25 +233,25 @@
         CONTINUE
     }
 
-    /// The client's side is broken: so is the backend's.
+    /// Handles a failure of the client's side: closes the backend's side with a reset.
     fn close_after_client(&mut self) -> Flow {
         self.session.notify_client_end();
         close_with_reset(&self.backend);
         CLOSE
     }
 
-    /// Whether only the client's closing is awaited.
-    fn waits_for_client(&self) -> bool {
-        self.to_backend_stopped && self.to_client.is_end_passed_on()
+    /// Whether all that remains is for the client to close its side.
+    fn awaits_client_close(&self) -> bool {
+        self.to_backend_stopped && self.to_client.is_end_forwarded()
     }
 
-    /// When the connection has to be looked at if nothing happens before.
+    /// When the next timeout of the connection has to be checked.
     fn wake_up(&self) -> Instant {
-        let silent_at = || {
-            let silent_at = self.session.replies.silent_at();
-            silent_at.filter(|_| !self.to_client.has_unwritten_lines())
+        let silence_deadline = || {
+            let silence_deadline = self.session.replies.silence_deadline();
+            silence_deadline.filter(|_| !self.to_client.has_unwritten_lines())
         };
-        let wake_up = self.close_at.or_else(silent_at);
+        let wake_up = self.close_at.or_else(silence_deadline);
         wake_up.unwrap_or_else(|| Instant::now() + IDLE_WAKE_UP)
     }
 
@@ -257,35 +259,35 @@
         if self.close_at.is_some() {
             return CLOSE;
         }
-        // Where lines wait for the client, it is the client that holds the backend up.
+        // While lines wait to be written to the client, nothing is read from the backend: the client is what is slow.
         if self.session.replies.is_silent() && !self.to_client.has_unwritten_lines() {
             invariants::count("backend fell silent");
             self.session.notify_end(Outcome::Reset);
-            self.send_client_elsewhere();
+            self.send_migrate_and_close();
         }
         CONTINUE
     }
 
-    /// Asks the client to connect elsewhere and ends both sides: the backend's at once, so that it does not carry the
-    /// connection for as long as the client takes to close.
-    fn send_client_elsewhere(&mut self) {
+    /// Asks the client to reconnect elsewhere and ends both sides. The backend's side is shut down at once, so that the
+    /// connection does not load the backend until the client closes.
+    fn send_migrate_and_close(&mut self) {
         self.to_client.end_with(MIGRATE_LINE);
         let _ = SockRef::from(&self.backend).shutdown(Shutdown::Both);
         self.close_at = Some(Instant::now() + CLOSE_TIMEOUT);
         self.to_backend_stopped = true;
     }
 
-    /// Closes the connection after this time at the latest, if no earlier time is set.
+    /// Closes the connection after this time, unless a time to close is already set.
     fn close_within(&mut self, time: Duration) {
         self.close_at.get_or_insert_with(|| Instant::now() + time);
     }
 
-    /// Handles the lines read from the backend; the first `skip` of them are neither replies nor reports.
+    /// Handles the lines read from the backend, except the first `skip`, which are neither replies nor reports.
     fn handle_backend_lines(&mut self, skip: usize) {
-        self.session.replies.record_heard();
+        self.session.replies.record_received();
         let mut start = 0;
-        for (number, end) in self.to_client.take_line_ends().into_iter().enumerate() {
-            if number >= skip {
+        for (index, end) in self.to_client.take_line_ends().into_iter().enumerate() {
+            if index >= skip {
                 let line = &self.to_client.buffer()[start..end];
                 self.session.handle_backend_line(line);
             }
@@ -294,7 +296,7 @@
     }
 }
 
-fn unexpected(command: Command) -> Flow {
+fn ignore_unexpected(command: Command) -> Flow {
     invariants::holds(
         false,
         "an established connection is only migrated or transferred",
--- a/src/proxy/reply_tracker.rs
+++ b/src/proxy/reply_tracker.rs
@@ -1,4 +1,5 @@
-//! Which lines a backend has not answered yet: how long its replies take, and whether it has fallen silent.
+//! Tracks the lines that a backend has not answered yet, to measure its reply times and to detect a backend that has
+//! stopped responding.
 
 use crate::runtime::duration;
 use crate::transfer::EstablishedConnection;
@@ -6,40 +7,40 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A backend that has left a line unanswered for so long is gone. Clients send a line every 2 s, and the connection has to
-/// end within 7 s: this leaves a second for the balancer's own delays.
+/// A backend that owes a reply and has sent nothing for this long is considered failed. Clients send a line every 2 s,
+/// and the connection has to end within 7 s: this leaves a second for the balancer's own delays.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(4);
-/// How many lines without a reply are remembered.
+/// Maximum number of lines without a reply whose send time is kept.
 const MAX_UNANSWERED: usize = 64;
 
-/// The lines sent to a backend and its replies.
+/// Matches a backend's replies to the lines sent to it.
 pub struct ReplyTracker {
-    /// When each line was sent that has no reply yet.
+    /// When each line without a reply was sent, oldest first.
     sent: VecDeque<Instant>,
-    /// Lines read from the client and not written completely.
+    /// Number of lines read from the client and not yet written completely.
     unsent_lines: usize,
-    /// When the silence began: the backend was heard, or was sent the first line without a reply.
-    last_heard: Instant,
+    /// When the backend last sent anything, or when it was sent a line while it owed no reply, whichever is later.
+    last_activity: Instant,
 }
 
 impl ReplyTracker {
-    /// Continues from what is known of the connection.
+    /// Restores the state saved in the connection.
     pub fn new(connection: &EstablishedConnection) -> Self {
         let now = Instant::now();
-        let ago = |age: &f64| now.checked_sub(duration(*age)).unwrap_or(now);
+        let instant = |age: &f64| now.checked_sub(duration(*age)).unwrap_or(now);
         let ages = connection.unanswered_ages.iter().take(MAX_UNANSWERED);
         Self {
-            sent: ages.map(ago).collect(),
+            sent: ages.map(instant).collect(),
             unsent_lines: connection.unsent_lines,
-            last_heard: ago(&connection.backend_silent_for),
+            last_activity: instant(&connection.backend_silent_for),
         }
     }
 
-    /// Writes what is tracked into the connection, for a transfer.
+    /// Saves the state into the connection for a transfer.
     pub fn save(&self, connection: &mut EstablishedConnection) {
         let age = |at: &Instant| at.elapsed().as_secs_f64();
         connection.unanswered_ages = self.sent.iter().map(age).collect();
-        connection.backend_silent_for = age(&self.last_heard);
+        connection.backend_silent_for = age(&self.last_activity);
         connection.unsent_lines = self.unsent_lines;
     }
 
@@ -52,23 +53,24 @@
     pub fn record_sent(&mut self) {
         let now = Instant::now();
         if self.sent.is_empty() {
-            self.last_heard = now;
+            self.last_activity = now;
         }
         let lines = std::mem::take(&mut self.unsent_lines);
-        let room = MAX_UNANSWERED.saturating_sub(self.sent.len());
-        self.sent.extend(std::iter::repeat_n(now, lines.min(room)));
+        let remaining = MAX_UNANSWERED.saturating_sub(self.sent.len());
+        self.sent
+            .extend(std::iter::repeat_n(now, lines.min(remaining)));
     }
 
-    /// Records that the backend was heard.
-    pub fn record_heard(&mut self) {
-        self.last_heard = Instant::now();
+    /// Records that bytes were received from the backend.
+    pub fn record_received(&mut self) {
+        self.last_activity = Instant::now();
     }
 
-    /// Takes a reply, heard last, to the oldest line without one: the time between them. `None` if all lines have their
-    /// reply.
+    /// Matches a reply, received at the time last recorded, to the oldest line without one. Returns the time between
+    /// the two, or `None` if no line lacks a reply.
     pub fn take_reply(&mut self) -> Option<Duration> {
         let sent = self.sent.pop_front()?;
-        Some(self.last_heard - sent)
+        Some(self.last_activity - sent)
     }
 
     /// Time since the oldest line without a reply was sent.
@@ -76,13 +78,13 @@
         self.sent.front().map(Instant::elapsed)
     }
 
-    /// When the backend counts as silent if it is not heard before; `None` if it owes no reply.
-    pub fn silent_at(&self) -> Option<Instant> {
-        (!self.sent.is_empty()).then(|| self.last_heard + SILENCE_TIMEOUT)
+    /// When the backend counts as silent if it sends nothing until then; `None` if it owes no reply.
+    pub fn silence_deadline(&self) -> Option<Instant> {
+        (!self.sent.is_empty()).then(|| self.last_activity + SILENCE_TIMEOUT)
     }
 
-    /// Whether the backend has fallen silent.
+    /// Whether the backend owes a reply and has sent nothing for `SILENCE_TIMEOUT`.
     pub fn is_silent(&self) -> bool {
-        !self.sent.is_empty() && self.last_heard.elapsed() >= SILENCE_TIMEOUT
+        !self.sent.is_empty() && self.last_activity.elapsed() >= SILENCE_TIMEOUT
     }
 }
