--- a/src/proxy/closing.rs
+++ b/src/proxy/closing.rs
@@ -1,4 +1,4 @@
-//! How connections are closed, and how it is noticed that the peer has closed its side.
+//! Closes connections, and detects that the peer has closed its side.
 
 use socket2::SockRef;
 use std::io::{self, ErrorKind};
@@ -9,16 +9,16 @@
 use tokio::task::yield_now;
 use tokio::time::timeout;
 
-/// When one side has closed, the other has this long to close too.
+/// Time for one side to close after the other side has closed.
 pub const CLOSE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Bytes that [`discard`] reads at once.
+/// Maximum number of bytes that [`discard`] reads at once.
 const DISCARD_CHUNK: usize = 16 * 1024;
 
-/// Reads and drops until the peer closes: closing with unread bytes would reset the connection and could take the last
-/// line with it.
+/// Reads and drops bytes until the peer closes. Closing a socket with unread bytes would reset the connection, and the
+/// peer could lose the last line sent to it.
 pub async fn discard(stream: &TcpStream) {
     while stream.readable().await.is_ok() {
-        // Bound to a name: in the head of the match the buffer would live across the await.
+        // A separate statement: in the scrutinee of the match, the buffer would live across the await.
         let read = stream.try_read(&mut [0; DISCARD_CHUNK]);
         match read {
             Ok(0) => return,
@@ -30,7 +30,7 @@
     }
 }
 
-/// Writes a last line, closes the sending side and waits, for a limited time, for the peer to close.
+/// Writes a last line, shuts down the sending side and waits up to [`CLOSE_TIMEOUT`] for the peer to close.
 pub async fn send_and_close(stream: &TcpStream, line: &[u8]) {
     let close = async {
         if write_all(stream, line).await.is_ok() {
@@ -52,12 +52,12 @@
     Ok(())
 }
 
-/// Makes the connection close with a reset, as the other side's did.
+/// Makes the connection close with a reset, to propagate the reset of the other side.
 pub fn close_with_reset(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Whether the peer has closed or broken its side. Asks the kernel, which may know before the event loop does.
+/// Whether the peer has closed or reset its side. Asks the kernel, which may know before the event loop does.
 pub fn has_disconnected(stream: &TcpStream) -> bool {
     match SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]) {
         Ok(received) => received == 0,
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -1,14 +1,14 @@
-//! The listening sockets: bound by this process, or inherited from the platform.
+//! The listening socket: bound by this process, or inherited through socket activation.
 
 use socket2::Socket;
 use std::io;
 use std::net::SocketAddr;
 use tokio::net::{TcpListener, TcpSocket};
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: u32 = 1024;
 
-/// Listens at this address.
+/// Binds a listening socket to this address.
 ///
 /// # Errors
 /// If the address cannot be bound.
@@ -18,13 +18,13 @@
     } else {
         TcpSocket::new_v6()
     }?;
-    // A restart at the same address must not wait for old connections to time out.
+    // A restart at the same address must not wait for old connections in TIME_WAIT.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(BACKLOG)
 }
 
-/// Takes over the inherited listening socket; `configured` is the address that it should listen at.
+/// Uses an inherited listening socket. `configured` is the address that the socket is expected to listen at.
 ///
 /// # Errors
 /// If the socket cannot be made non-blocking or registered.
@@ -34,7 +34,7 @@
         .ok()
         .and_then(|address| address.as_socket());
     if bound != Some(configured) {
-        tracing::warn!(?bound, %configured, "inherited socket listens at another address than key 'listen'");
+        tracing::warn!(?bound, %configured, "inherited socket does not listen at the address of key 'listen'");
     }
     socket.set_nonblocking(true)?;
     TcpListener::from_std(socket.into())
--- a/src/proxy/session.rs
+++ b/src/proxy/session.rs
@@ -1,4 +1,4 @@
-//! An established connection as the balancer knows it: what its backend says on it, and how it ends.
+//! Reports an established connection to the balancer: the messages of its backend, and how the connection ends.
 
 use crate::api::{AttemptEnded, Event, Outcome, Request, ServerId};
 use crate::protocol::client::BackendLine;
@@ -7,22 +7,22 @@
 use crate::transfer::EstablishedConnection;
 use std::rc::Rc;
 
-/// What is known of an established connection.
+/// The state of an established connection that is independent of its sockets.
 pub struct Session {
     runtime: Rc<Runtime>,
     request: Request,
     server: ServerId,
     attempt: u32,
-    /// The lines sent to the backend and its replies.
+    /// Matches the backend's replies to the lines sent to it.
     pub replies: ReplyTracker,
-    /// The backend has reported a figure on this connection.
+    /// Whether the backend has sent a `LOAD` report on this connection.
     has_reported: bool,
     announced_outcome: Option<Outcome>,
     end_notified: bool,
 }
 
 impl Session {
-    /// Continues from what is known of the connection.
+    /// Continues from the saved state of the connection.
     pub fn new(runtime: Rc<Runtime>, connection: &EstablishedConnection) -> Self {
         Self {
             runtime,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// What another process needs to continue, with nothing in the buffers.
+    /// Saves the state that another process needs to continue. The buffers are left empty.
     pub fn save(&self) -> EstablishedConnection {
         let mut connection = EstablishedConnection::new(self.request, self.server, self.attempt);
         connection.has_reported = self.has_reported;
@@ -44,12 +44,12 @@
         connection
     }
 
-    /// The runtime that it belongs to.
+    /// The runtime that the connection belongs to.
     pub fn runtime(&self) -> &Runtime {
         &self.runtime
     }
 
-    /// Handles one line of the backend, its end included.
+    /// Handles one line of the backend, including its terminator.
     pub fn handle_backend_line(&mut self, line: &[u8]) {
         tracing::trace!(
             request = %self.request.id,
@@ -59,17 +59,17 @@
             "line from backend"
         );
         match BackendLine::parse(line) {
-            BackendLine::Load(figure) => self.report_figure(figure),
+            BackendLine::Load(value) => self.report_value(value),
             BackendLine::Bye => self.announced_outcome = Some(Outcome::Success),
             BackendLine::Move => self.announced_outcome = Some(Outcome::Cancelled),
             BackendLine::Reply => self.report_reply(),
         }
     }
 
-    fn report_figure(&mut self, figure: f64) {
-        let first = !std::mem::replace(&mut self.has_reported, true);
+    fn report_value(&mut self, value: f64) {
+        let is_first = !std::mem::replace(&mut self.has_reported, true);
         self.runtime
-            .report_figure(self.request.id, self.server, figure, first);
+            .report_value(self.request.id, self.server, value, is_first);
     }
 
     fn report_reply(&mut self) {
@@ -84,17 +84,17 @@
         self.announced_outcome.is_some()
     }
 
-    /// Whether the balancer has been told that the connection is over.
+    /// Whether the end of the connection has been reported to the balancer.
     pub fn is_end_notified(&self) -> bool {
         self.end_notified
     }
 
-    /// Tells the balancer that the backend has ended the connection: as announced, else by a reset.
+    /// Reports to the balancer that the backend has ended the connection: with the announced outcome, else as a reset.
     pub fn notify_backend_end(&mut self) {
         self.notify_end(self.announced_outcome.unwrap_or(Outcome::Reset));
     }
 
-    /// Tells the balancer, once, that the backend's side is over.
+    /// Reports the end of the connection to the balancer with this outcome, unless an end was already reported.
     pub fn notify_end(&mut self, outcome: Outcome) {
         if std::mem::replace(&mut self.end_notified, true) {
             return;
@@ -110,7 +110,7 @@
         }));
     }
 
-    /// Tells the balancer, once, that the client's side is over.
+    /// Reports to the balancer that the client has disconnected, unless an end was already reported.
     pub fn notify_client_end(&mut self) {
         if std::mem::replace(&mut self.end_notified, true) {
             return;
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -214,20 +214,21 @@
         self.requests.send_command(id, command);
     }
 
-    /// Handles a figure that a backend reported on a connection; `first` if it is the connection's first.
-    pub fn report_figure(
+    /// Handles the value of a `LOAD` report of a backend on a connection. `is_first` tells whether the report is the
+    /// connection's first.
+    pub fn report_value(
         self: &Rc<Self>,
         id: RequestId,
         server: ServerId,
-        figure: f64,
-        first: bool,
+        value: f64,
+        is_first: bool,
     ) {
         let now = self.now();
         let report = self
             .measurements
             .borrow_mut()
             .reports
-            .classify(now, server, figure, first);
+            .classify(now, server, value, is_first);
         match report {
             Report::Load(load) => self.handle_event(Event::LoadReport { id, load }),
             Report::MessageTime(seconds) => {
