--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,37 +1,37 @@
-//! Many balancers without shared state, in virtual time, against servers that count the attempts of all of them.
+//! Many balancers without shared state, in virtual time. Checks the sum of their attempts at each server.
 
 mod common;
 use common::*;
 use spanspur::api::*;
 use std::collections::BTreeMap;
 
-const NODES: u32 = 100;
+const BALANCERS: u32 = 100;
 const SLOW_START_WINDOW: Time = 24.0;
-/// The load of each connection: a server of weight 7 is full with 100.
-const LOAD: f64 = 70_000.0;
+/// The load of each connection, in microseconds of work per second. A server of weight 7 is full with 100 connections.
+const CONNECTION_LOAD: f64 = 70_000.0;
 const WEIGHT: f64 = 7.0;
 
-fn weighted(number: u64) -> Endpoint {
+fn weighted_endpoint(number: u64) -> Endpoint {
     Endpoint {
         weight: WEIGHT,
         ..endpoint(number)
     }
 }
 
-/// A fleet of nodes, each with connections to each of the old servers in turn.
+/// Many balancers, each with connections to the warm servers in turn.
 struct Fleet {
-    nodes: Vec<TestBalancer>,
+    balancers: Vec<TestBalancer>,
     random: Random,
 }
 
 impl Fleet {
     fn new(established: u64) -> Self {
-        Self::of(NODES, 6, established)
+        Self::with_size(BALANCERS, 6, established)
     }
 
-    fn of(nodes: u32, servers: u64, established: u64) -> Self {
+    fn with_size(balancers: u32, servers: u64, established: u64) -> Self {
         let config = BalancerConfig {
-            balancer_count: nodes,
+            balancer_count: balancers,
             classes: vec![RequestClass {
                 message_latency_objective: Some(0.25),
                 ..RequestClass::default()
@@ -43,59 +43,72 @@
             overload_window: 2.0,
             ..BalancerConfig::default()
         };
-        let old: Vec<Endpoint> = (0..servers).map(weighted).collect();
-        let node = |seed: u64| {
+        let warm: Vec<Endpoint> = (0..servers).map(weighted_endpoint).collect();
+        let new_balancer = |seed: u64| {
             let balancer_index = seed as u32;
             let config = BalancerConfig {
                 balancer_index,
                 ..config.clone()
             };
-            let mut node = TestBalancer::seeded(config, seed + 1);
-            node.update_endpoints(0.0, UpdateKind::Cached, &old);
+            let mut balancer = TestBalancer::seeded(config, seed + 1);
+            balancer.update_endpoints(0.0, UpdateKind::Cached, &warm);
             for i in 0..established {
                 let id = RequestId(1_000_000 + i);
-                let to = old[((seed + i) % servers) as usize].id;
-                node.handle(
+                let to = warm[((seed + i) % servers) as usize].id;
+                balancer.handle(
                     0.0,
                     Event::AlreadyEstablished {
                         request: Request::new(id, 0, 2.0),
                         server: to,
                     },
                 );
-                node.handle(0.1, Event::LoadReport { id, load: LOAD });
+                balancer.handle(
+                    0.1,
+                    Event::LoadReport {
+                        id,
+                        load: CONNECTION_LOAD,
+                    },
+                );
             }
-            node
+            balancer
         };
         Self {
-            nodes: (0..u64::from(nodes)).map(node).collect(),
+            balancers: (0..u64::from(balancers)).map(new_balancer).collect(),
             random: Random(1),
         }
     }
 
-    /// A client of some group requests a connection of this node, which is established at once.
-    fn connect(&mut self, now: Time, node: usize, group: u64) -> Option<ServerId> {
-        let id = self.nodes[node].next_id();
+    /// A client of the group requests a connection from the balancer. If there is an attempt, its connection is
+    /// established at once. Returns its server.
+    fn connect(&mut self, now: Time, balancer: usize, group: u64) -> Option<ServerId> {
+        let id = self.balancers[balancer].next_id();
         let request = Request {
             group: Some(Key::of(&group.to_string())),
             ..Request::new(id, 0, now + 2.0)
         };
-        let to = self.nodes[node].request(now, request)?;
-        self.nodes[node].handle(now, Event::Established { id, server: to });
-        self.nodes[node].handle(now, Event::LoadReport { id, load: LOAD });
+        let to = self.balancers[balancer].request(now, request)?;
+        self.balancers[balancer].handle(now, Event::Established { id, server: to });
+        self.balancers[balancer].handle(
+            now,
+            Event::LoadReport {
+                id,
+                load: CONNECTION_LOAD,
+            },
+        );
         Some(to)
     }
 
     fn update_endpoints(&mut self, now: Time, entries: &[Endpoint]) {
-        for node in &mut self.nodes {
-            node.update_endpoints(now, UpdateKind::Delta, entries);
+        for balancer in &mut self.balancers {
+            balancer.update_endpoints(now, UpdateKind::Delta, entries);
         }
     }
 }
 
-/// The attempts that a server of that weight withstands in the two seconds from `age` on.
-fn withstood(age: Time) -> f64 {
+/// Number of attempts that a server of weight [`WEIGHT`] withstands in two seconds, starting at `age`.
+fn withstood_attempts(age: Time) -> f64 {
     let capacity_share = 0.13 + 0.87 * (age / SLOW_START_WINDOW).min(1.0);
-    3.0 * capacity_share * (WEIGHT * 1e6 / LOAD) / SLOW_START_WINDOW * 2.0
+    3.0 * capacity_share * (WEIGHT * 1e6 / CONNECTION_LOAD) / SLOW_START_WINDOW * 2.0
 }
 
 #[test]
@@ -104,105 +117,107 @@
     let cold: Vec<Endpoint> = (10..20)
         .map(|i| Endpoint {
             started_at: 100.0,
-            ..weighted(i)
+            ..weighted_endpoint(i)
         })
         .collect();
     fleet.update_endpoints(101.0, &cold);
-    // 30 clients a second, of all nodes together.
-    let mut sent: BTreeMap<ServerId, Vec<Time>> = BTreeMap::new();
+    // 30 clients per second, over all balancers.
+    let mut attempts: BTreeMap<ServerId, Vec<Time>> = BTreeMap::new();
     for i in 0..600 {
         let now = 101.0 + f64::from(i) / 30.0;
-        let (node, group) = (fleet.random.below(100) as usize, fleet.random.below(10));
+        let (balancer, group) = (fleet.random.below(100) as usize, fleet.random.below(10));
         let to = fleet
-            .connect(now, node, group)
+            .connect(now, balancer, group)
             .expect("a server with capacity");
-        sent.entry(to).or_default().push(now);
+        attempts.entry(to).or_default().push(now);
     }
-    let new = assert_not_overloaded(&sent, &cold, 111.0, 0.0);
-    // Ten that warm up beside six old ones: they get a fifth of the requests at least.
-    assert!(new > 60, "{new} of 300 in ten seconds");
+    let at_cold = assert_not_overloaded(&attempts, &cold, 111.0, 0.0);
+    // Ten servers that warm up beside six warm ones must get at least a fifth of the requests.
+    assert!(at_cold > 60, "{at_cold} of 300 requests in ten seconds");
 }
 
-/// Checks that each cold server withstands the attempts of all nodes in any two seconds, but for so many standard
-/// deviations (Poisson): the more servers there are, the more windows there are for chance. Returns how many came
-/// before `until`.
+/// Checks that each cold server withstands the attempts of all balancers in any two seconds, within a tolerance of
+/// `deviations` standard deviations (Poisson): with more servers there are more windows, and so more random outliers.
+/// Returns the number of attempts at the cold servers before `until`.
 fn assert_not_overloaded(
-    sent: &BTreeMap<ServerId, Vec<Time>>,
+    attempts: &BTreeMap<ServerId, Vec<Time>>,
     cold: &[Endpoint],
     until: Time,
-    chance: f64,
+    deviations: f64,
 ) -> usize {
-    let mut new = 0;
+    let mut total = 0;
     for server in cold {
-        let times = sent.get(&server.id).map_or(&[][..], |times| times);
-        new += times.iter().filter(|at| **at < until).count();
+        let times = attempts.get(&server.id).map_or(&[][..], |times| times);
+        total += times.iter().filter(|at| **at < until).count();
         for (i, at) in times.iter().enumerate() {
-            let window = times[i..].iter().take_while(|t| **t < at + 2.0).count();
-            let most = withstood(at - server.started_at);
-            let most = most + chance * most.sqrt();
+            let in_window = times[i..].iter().take_while(|t| **t < at + 2.0).count();
+            let withstood = withstood_attempts(at - server.started_at);
+            let max_attempts = withstood + deviations * withstood.sqrt();
             assert!(
-                window as f64 <= most.max(2.0),
-                "{window} from {at}, {most} withstood"
+                in_window as f64 <= max_attempts.max(2.0),
+                "{in_window} attempts in the two seconds from {at}, at most {max_attempts} allowed"
             );
         }
     }
-    new
+    total
 }
 
 #[test]
 fn a_rollout_of_54_of_90_servers_in_7_s_behind_300_balancers_overloads_none() {
-    let mut fleet = Fleet::of(300, 36, 5);
+    let mut fleet = Fleet::with_size(300, 36, 5);
     let cold: Vec<Endpoint> = (40..94)
         .map(|i| Endpoint {
             started_at: 100.0 + 7.0 * (i - 40) as f64 / 54.0,
-            ..weighted(i)
+            ..weighted_endpoint(i)
         })
         .collect();
-    let mut told = 0;
-    // Clients of all nodes together, of 70 groups of uneven size: 1,000 requests a second.
-    let mut sent: BTreeMap<ServerId, Vec<Time>> = BTreeMap::new();
+    let mut listed = 0;
+    // 1,000 requests per second over all balancers, by clients of 70 groups of uneven size.
+    let mut attempts: BTreeMap<ServerId, Vec<Time>> = BTreeMap::new();
     for i in 0..15_000 {
         let now = 100.0 + f64::from(i) / 1000.0;
-        let known = cold
+        let discovered = cold
             .iter()
             .take_while(|s| s.started_at + 1.0 <= now)
             .count();
-        if known > told {
-            fleet.update_endpoints(now, &cold[told..known]);
-            told = known;
+        if discovered > listed {
+            fleet.update_endpoints(now, &cold[listed..discovered]);
+            listed = discovered;
         }
-        let node = fleet.random.below(300) as usize;
+        let balancer = fleet.random.below(300) as usize;
         let group = fleet.random.below(70) * fleet.random.below(70) / 70;
-        if let Some(to) = fleet.connect(now, node, group) {
-            sent.entry(to).or_default().push(now);
+        if let Some(to) = fleet.connect(now, balancer, group) {
+            attempts.entry(to).or_default().push(now);
         }
     }
-    let new = assert_not_overloaded(&sent, &cold, 115.0, 1.0);
-    // 0.85 of three times what fills them in the slow-start window, at their capacity by then.
-    let due: Time = cold
+    let at_cold = assert_not_overloaded(&attempts, &cold, 115.0, 1.0);
+    // The budgets are 0.85 of three times the rate that fills the servers in the slow-start window, at their current
+    // capacity.
+    let budget: f64 = cold
         .iter()
         .map(|s| {
             let age = 114.0 - s.started_at;
-            0.85 * withstood(age / 2.0) / 2.0 * age
+            0.85 * withstood_attempts(age / 2.0) / 2.0 * age
         })
         .sum();
     assert!(
-        new as f64 > due / 2.0,
-        "{new} at new servers, {due} within their budgets"
+        at_cold as f64 > budget / 2.0,
+        "{at_cold} attempts at cold servers, with a budget of {budget}"
     );
 }
 
-/// The most attempts that a cold server may get in two seconds from `age` on by the operators' terms: what it
-/// withstands, and a little for chance, whatever the number of processes.
-fn allowed(age: Time) -> f64 {
-    let withstood = withstood(age);
+/// Maximum number of attempts that a cold server may get in two seconds, starting at `age`, whatever the number of
+/// balancers: what the server withstands, plus a margin for chance. The operators state this bound.
+fn max_allowed_attempts(age: Time) -> f64 {
+    let withstood = withstood_attempts(age);
     withstood + 2.0 * withstood.sqrt() + 2.0
 }
 
-/// Twenty or thirty nodes with a constant rate of requests, and none for `lull` before a burst.
+/// Twenty or thirty balancers get a constant rate of requests, interrupted by no requests for `lull` seconds and then
+/// a burst.
 #[test]
 fn slow_start_holds_for_the_sum_of_20_or_30_balancers_through_lulls_bursts_and_restarts() {
-    for (nodes, lull, restarts) in [
+    for (balancers, lull, restarts) in [
         (20, 0.0, false),
         (30, 0.0, false),
         (20, 1.9, false),
@@ -212,24 +227,26 @@
         (30, 1.9, true),
     ] {
         for seed in 1..6 {
-            let mut fleet = Fleet::of(nodes, 8, 6);
+            let mut fleet = Fleet::with_size(balancers, 8, 6);
             fleet.random = Random(seed);
             let cold: Vec<Endpoint> = (20..26)
                 .map(|i| Endpoint {
                     started_at: 100.0 + 0.3 * (i - 20) as f64,
-                    ..weighted(i)
+                    ..weighted_endpoint(i)
                 })
                 .collect();
             fleet.update_endpoints(102.0, &cold);
-            let mut sent: BTreeMap<ServerId, Vec<Time>> = BTreeMap::new();
+            let mut attempts: BTreeMap<ServerId, Vec<Time>> = BTreeMap::new();
             let mut restarted = 0;
             for tick in 0..2_000 {
                 let now = 102.0 + f64::from(tick) / 100.0;
-                // All processes restart, one after the other, within two seconds.
-                if restarts && tick > 300 && restarted < nodes as usize && tick % 6 == 0 {
-                    let fresh = Fleet::of(nodes, 8, 6).nodes.swap_remove(restarted);
-                    fleet.nodes[restarted] = fresh;
-                    fleet.nodes[restarted].update_endpoints(now, UpdateKind::Delta, &cold);
+                // All balancers restart one after the other within two seconds.
+                if restarts && tick > 300 && restarted < balancers as usize && tick % 6 == 0 {
+                    let fresh = Fleet::with_size(balancers, 8, 6)
+                        .balancers
+                        .swap_remove(restarted);
+                    fleet.balancers[restarted] = fresh;
+                    fleet.balancers[restarted].update_endpoints(now, UpdateKind::Delta, &cold);
                     restarted += 1;
                 }
                 // Four seconds of requests, then the lull, then a burst of a tenth of a second.
@@ -241,22 +258,22 @@
                     _ => 4,
                 };
                 for _ in 0..count {
-                    let node = fleet.random.below(u64::from(nodes)) as usize;
+                    let balancer = fleet.random.below(u64::from(balancers)) as usize;
                     let group = fleet.random.below(200);
-                    if let Some(to) = fleet.connect(now, node, group) {
-                        sent.entry(to).or_default().push(now);
+                    if let Some(to) = fleet.connect(now, balancer, group) {
+                        attempts.entry(to).or_default().push(now);
                     }
                 }
             }
             for server in &cold {
-                let times = sent.get(&server.id).map_or(&[][..], |times| times);
-                assert!(times.len() > 20, "{} used of {server:?}", times.len());
+                let times = attempts.get(&server.id).map_or(&[][..], |times| times);
+                assert!(times.len() > 20, "{} attempts at {server:?}", times.len());
                 for (i, at) in times.iter().enumerate() {
-                    let window = times[i..].iter().take_while(|t| **t < at + 2.0).count();
-                    let most = allowed(at - server.started_at);
+                    let in_window = times[i..].iter().take_while(|t| **t < at + 2.0).count();
+                    let max_attempts = max_allowed_attempts(at - server.started_at);
                     assert!(
-                        window as f64 <= most,
-                        "{nodes} nodes, lull {lull}, restarts {restarts}, seed {seed}: {window} from {at}, {most} allowed"
+                        in_window as f64 <= max_attempts,
+                        "{balancers} balancers, lull {lull}, restarts {restarts}, seed {seed}: {in_window} attempts from {at}, {max_attempts} allowed"
                     );
                 }
             }
@@ -269,45 +286,55 @@
     let mut fleet = Fleet::new(5);
     let cold = Endpoint {
         started_at: 100.0,
-        ..weighted(10)
+        ..weighted_endpoint(10)
     };
     fleet.update_endpoints(100.5, &[cold]);
-    // No request for 12 s; then one at each node at once.
-    let mut there = 0;
-    for node in 0..NODES as usize {
-        there += usize::from(fleet.connect(112.0, node, node as u64) == Some(cold.id));
+    // No requests for 12 s, then one at each balancer at once.
+    let mut at_cold = 0;
+    for balancer in 0..BALANCERS as usize {
+        at_cold += usize::from(fleet.connect(112.0, balancer, balancer as u64) == Some(cold.id));
     }
-    let most = withstood(12.0);
-    assert!((there as f64) < most, "{there} at once, {most} withstood");
-    assert!(there > 0, "the budget is used");
+    let withstood = withstood_attempts(12.0);
+    assert!(
+        (at_cold as f64) < withstood,
+        "{at_cold} attempts at once, {withstood} withstood"
+    );
+    assert!(at_cold > 0, "the budget is used");
 }
 
 #[test]
 fn a_balancer_with_one_connection_does_not_assume_that_all_others_have_one_too() {
-    // 100 connections over six servers for 100 each: a request goes where its group ranks first.
+    // 100 connections in total, while each of six servers takes 100: a request goes to the server that its group ranks
+    // first.
     let mut fleet = Fleet::new(1);
-    let list: Vec<Endpoint> = (0..6).map(weighted).collect();
-    for node in 0..NODES as usize {
+    let endpoints: Vec<Endpoint> = (0..6).map(weighted_endpoint).collect();
+    for balancer in 0..BALANCERS as usize {
         for group in 0..3 {
             let key = Key::of(&group.to_string());
-            let score = |m: &&Endpoint| spanspur::score(key, m.id, WEIGHT);
-            let first = list.iter().max_by(|a, b| score(a).total_cmp(&score(b)));
-            let to = fleet.nodes[node].place(1.0, key);
-            assert_eq!(to, first.map(|m| m.id), "node {node}, group {group}");
+            let score = |entry: &&Endpoint| spanspur::score(key, entry.id, WEIGHT);
+            let first = endpoints
+                .iter()
+                .max_by(|a, b| score(a).total_cmp(&score(b)));
+            let to = fleet.balancers[balancer].place(1.0, key);
+            assert_eq!(
+                to,
+                first.map(|entry| entry.id),
+                "balancer {balancer}, group {group}"
+            );
         }
     }
 }
 
 #[test]
-fn a_group_stays_on_one_server_where_a_balancers_part_of_a_server_is_less_than_a_connection() {
-    // 300 nodes and 90 servers: a node's part of a server is a quarter of a connection. Each server with a connection
-    // of a group has the cost of the group, so a second client of a group has to go where the first one is.
-    let mut fleet = Fleet::of(300, 90, 0);
-    for node in 0..300 {
+fn a_group_stays_on_one_server_where_a_balancers_share_of_a_server_is_less_than_a_connection() {
+    // With 300 balancers and 90 servers, a balancer's share of a server is a quarter of a connection. Each server with
+    // a connection of a group bears the cost of the group, so further clients must go to the server of the first one.
+    let mut fleet = Fleet::with_size(300, 90, 0);
+    for balancer in 0..300 {
         let servers: Vec<_> = (0..4)
             .map(|_| {
                 fleet
-                    .connect(1.0, node, node as u64)
+                    .connect(1.0, balancer, balancer as u64)
                     .expect("a server with capacity")
             })
             .collect();
