--- a/crates/leases/src/gossip_store.rs
+++ b/crates/leases/src/gossip_store.rs
@@ -1,69 +1,71 @@
-//! A replicated key-value store: of each key every instance keeps the value with the highest version.
+//! A replicated key-value store. For each key, every instance keeps the value with the highest version.
 //!
-//! New entries are disseminated at once: directly to a few instances, and in larger clusters down a tree in which
-//! each recipient forwards them to some more, so that no instance's share grows with the cluster. What is lost on the
-//! way is repaired by anti-entropy: each instance periodically sends a digest to another one, which answers with what
-//! differs (Demers and others, 'Epidemic algorithms for replicated database maintenance', 1987).
+//! New entries are disseminated at once: directly to a few instances, and in larger clusters down a tree in which each
+//! recipient forwards the entries to further instances, so that no instance sends more messages as the cluster grows.
+//! Anti-entropy repairs losses: each instance periodically sends a digest to another instance, which answers with the
+//! entries that differ (Demers and others, 'Epidemic algorithms for replicated database maintenance', 1987).
 
 use crate::InstanceId;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Keys that a store holds at most.
+/// Maximum number of keys in a store.
 pub const MAX_KEYS: usize = 65_536;
-/// Bytes of one value at most.
+/// Maximum size of a value, in bytes.
 pub const MAX_VALUE_BYTES: usize = 512;
-/// Recipients that a sender addresses directly; in larger clusters these forward the entries.
+/// Maximum number of instances that a sender addresses directly. In larger clusters these forward the entries.
 pub const FANOUT: usize = 8;
-/// Buckets of a digest.
+/// Number of buckets of a digest.
 const DIGEST_BUCKETS: usize = 64;
-/// Entries of one answer to a digest at most.
+/// Maximum number of entries in the answer to a digest.
 const MAX_REPAIR_ENTRIES: usize = 256;
 
-/// One versioned value.
+/// A key with a versioned value.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GossipEntry {
-    /// Its key.
+    /// The key.
     pub key: u64,
-    /// A higher version replaces a lower one. Often the term of the lease that published it.
+    /// The version. A higher version replaces a lower one. Often the term of the lease under which the entry is
+    /// published.
     pub version: u64,
     /// The value.
     pub value: Vec<u8>,
 }
 
-/// What stores send each other.
+/// A message between two stores.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GossipMessage {
     /// Entries that are new or that the recipient lacks.
     Entries {
         /// The entries.
         entries: Vec<GossipEntry>,
-        /// Instances to which the recipient forwards them.
+        /// Instances to which the recipient forwards the entries.
         forward_to: Vec<InstanceId>,
     },
-    /// For each bucket a hash over its keys and versions.
+    /// For each bucket, a hash over the keys and versions in the bucket.
     Digest(Vec<u64>),
 }
 
-/// A message and its recipient.
+/// A recipient and a message.
 pub type OutgoingGossip = (InstanceId, GossipMessage);
 
-/// What a received message led to.
+/// The effect of a received message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedGossip {
-    /// Entries that replaced older ones here.
+    /// Entries that are new to this store or have replaced older ones.
     pub updated: Vec<GossipEntry>,
     /// Messages to be sent.
     pub outgoing: Vec<OutgoingGossip>,
 }
 
-/// One instance's replica.
+/// The replica of one instance.
 #[derive(Clone, Debug, Default)]
 pub struct GossipStore {
     entries: BTreeMap<u64, GossipEntry>,
-    /// Entries rejected: too large, or the store was full.
+    /// Number of entries rejected because the value was too large or the store was full.
     pub rejected_entries: u64,
+    /// The offset at which the last truncated answer to a digest started.
     repair_offset: usize,
 }
 
@@ -88,7 +90,7 @@
         self.entries.is_empty()
     }
 
-    /// Stores entries of this instance and returns the messages that bring them to the others.
+    /// Stores entries of this instance and returns the messages that disseminate the accepted ones to `others`.
     pub fn publish(
         &mut self,
         entries: Vec<GossipEntry>,
@@ -108,17 +110,17 @@
                 entries,
                 forward_to,
             } => {
-                // Also what is known here is forwarded: the others may lack it.
+                // Entries that this store holds already are forwarded too, because the recipients may lack them.
                 let outgoing = disseminate(&entries, &forward_to);
                 ReceivedGossip {
                     updated: self.merge_entries(entries),
                     outgoing,
                 }
             }
-            GossipMessage::Digest(theirs) => ReceivedGossip {
+            GossipMessage::Digest(remote_hashes) => ReceivedGossip {
                 updated: Vec::new(),
                 outgoing: self
-                    .answer_digest(&theirs)
+                    .answer_digest(&remote_hashes)
                     .map(|answer| (from, answer))
                     .into_iter()
                     .collect(),
@@ -126,17 +128,18 @@
         }
     }
 
-    /// A digest of this store. The store that receives it answers with the entries that differ.
+    /// A digest of this store. The store that receives the digest answers with its entries from the buckets that
+    /// differ.
     pub fn digest(&self) -> GossipMessage {
         GossipMessage::Digest(self.hash_buckets())
     }
 
-    /// Drops the entries that are no longer wanted.
+    /// Drops the entries for which `is_wanted` returns false.
     pub fn retain(&mut self, is_wanted: impl Fn(&GossipEntry) -> bool) {
         self.entries.retain(|_, entry| is_wanted(entry));
     }
 
-    /// Merges entries and returns those that replaced older ones.
+    /// Merges entries and returns those that are new or have replaced older ones.
     fn merge_entries(&mut self, entries: Vec<GossipEntry>) -> Vec<GossipEntry> {
         entries
             .into_iter()
@@ -158,14 +161,14 @@
         true
     }
 
-    /// The entries of the buckets that differ; `None` for a digest of another size.
-    fn answer_digest(&mut self, theirs: &[u64]) -> Option<GossipMessage> {
-        if theirs.len() != DIGEST_BUCKETS {
+    /// The entries of the buckets that differ; `None` for a digest with another number of buckets.
+    fn answer_digest(&mut self, remote_hashes: &[u64]) -> Option<GossipMessage> {
+        if remote_hashes.len() != DIGEST_BUCKETS {
             return None;
         }
-        let ours = self.hash_buckets();
+        let local_hashes = self.hash_buckets();
         let differing: BTreeSet<usize> = (0..DIGEST_BUCKETS)
-            .filter(|bucket| ours[*bucket] != theirs[*bucket])
+            .filter(|bucket| local_hashes[*bucket] != remote_hashes[*bucket])
             .collect();
         let entries = self.entries.values();
         let entries = entries.filter(|entry| differing.contains(&bucket_of(entry.key)));
@@ -176,7 +179,8 @@
         })
     }
 
-    /// Bounds an answer. The next ones start at other places, so that in the end all entries arrive.
+    /// Limits the number of entries in an answer. Successive answers start at different offsets, so that eventually all
+    /// entries arrive.
     fn limit_repair(&mut self, mut entries: Vec<GossipEntry>) -> Vec<GossipEntry> {
         if entries.len() > MAX_REPAIR_ENTRIES {
             self.repair_offset = (self.repair_offset + MAX_REPAIR_ENTRIES) % entries.len();
@@ -202,17 +206,17 @@
     (key % DIGEST_BUCKETS as u64) as usize
 }
 
-/// Sends entries to the first [`FANOUT`] recipients; each of them forwards to its part of the rest.
+/// Sends entries to the first [`FANOUT`] recipients. Each of them forwards the entries to its part of the others.
 fn disseminate(entries: &[GossipEntry], recipients: &[InstanceId]) -> Vec<OutgoingGossip> {
     let (direct, indirect) = recipients.split_at(recipients.len().min(FANOUT));
-    let part_size = indirect.len().div_ceil(FANOUT).max(1);
-    let mut parts = indirect.chunks(part_size);
+    let chunk_size = indirect.len().div_ceil(FANOUT).max(1);
+    let mut chunks = indirect.chunks(chunk_size);
     direct
         .iter()
         .map(|recipient| {
             let message = GossipMessage::Entries {
                 entries: entries.to_vec(),
-                forward_to: parts.next().unwrap_or_default().to_vec(),
+                forward_to: chunks.next().unwrap_or_default().to_vec(),
             };
             (*recipient, message)
         })
--- a/crates/leases/src/manager/lease.rs
+++ b/crates/leases/src/manager/lease.rs
@@ -4,11 +4,12 @@
 use crate::ranking::Ranking;
 use crate::{InstanceId, LeaseId, Message, Millis};
 
-/// A grant expires this share of an interval before the interval ends.
-pub(super) const GRANT_MARGIN_SHARE: u64 = 4;
-/// Voters take over one after the other, this share of an interval apart.
-pub(super) const STAGGER_SHARE: u64 = 8;
+/// A grant expires `interval / GRANT_MARGIN_DIVISOR` before the interval ends.
+pub(super) const GRANT_MARGIN_DIVISOR: u64 = 4;
+/// Voters take over in turn, `interval / STAGGER_DIVISOR` apart.
+pub(super) const STAGGER_DIVISOR: u64 = 8;
 
+/// A configured lease, as this instance sees it.
 #[derive(Clone, Debug)]
 pub(super) struct Lease {
     pub interval: Millis,
@@ -18,19 +19,21 @@
     pub preferred: Option<InstanceId>,
     /// When the next term may be proposed.
     pub next_term_at: Millis,
-    /// The time of its timer.
+    /// When the armed timer expires.
     pub timer_at: Option<Millis>,
-    /// Requests repeated so far in this attempt.
-    pub repeats: u32,
-    /// The preferred instance has asked for the lease.
+    /// Number of retransmissions in the current attempt.
+    pub retransmissions: u32,
+    /// Whether the preferred instance has asked for the lease.
     pub is_handover_requested: bool,
-    /// The last term won here.
+    /// The last term that this instance won.
     pub last_won: Option<Proposal>,
+    /// Terms in which this instance carried out the task.
     pub completed: u64,
+    /// See [`LeaseStatus::missed`](super::LeaseStatus::missed).
     pub missed: u64,
-    /// Whether it is held, as reported last.
+    /// Whether this instance holds the lease, as last reported by an output.
     pub is_held: bool,
-    /// Whether its quorum is lost, as reported last.
+    /// Whether the quorum is lost, as last reported by an output.
     pub is_quorum_lost: bool,
     pub added_at: Millis,
 }
@@ -49,7 +52,7 @@
             preferred,
             next_term_at: now,
             timer_at: None,
-            repeats: 0,
+            retransmissions: 0,
             is_handover_requested: false,
             last_won: None,
             completed: 0,
@@ -60,18 +63,19 @@
         }
     }
 
-    /// A pause that differs between proposers and attempts: those that failed together must not retry together.
+    /// A delay that differs between proposers and attempts, so that proposers that failed together do not retry
+    /// together.
     pub fn jitter(&self, id: LeaseId, instance: InstanceId) -> Millis {
-        let drawn = Ranking::hash_number(id.0 ^ instance.0 ^ self.proposer.ballot.round);
-        drawn % (self.interval / STAGGER_SHARE + 1)
+        let hash = Ranking::hash_number(id.0 ^ instance.0 ^ self.proposer.ballot.round);
+        hash % (self.interval / STAGGER_DIVISOR + 1)
     }
 
-    /// When a grant expires, or an attempt is pointless, that began at this moment.
+    /// When the grant of an attempt that began at `started_at` expires. From then on the attempt is pointless.
     pub fn expiry_of(&self, started_at: Millis) -> Millis {
-        started_at + self.interval - self.interval / GRANT_MARGIN_SHARE
+        started_at + self.interval - self.interval / GRANT_MARGIN_DIVISOR
     }
 
-    /// What the proposer asks the voters for in its phase.
+    /// The request that the proposer sends to the voters in its current phase.
     pub fn current_request(&self, id: LeaseId) -> Message {
         let (proposer, interval) = (&self.proposer, self.interval);
         let ballot = proposer.ballot;
@@ -91,7 +95,7 @@
         }
     }
 
-    /// The voters that have not answered the current request.
+    /// The voters that have not responded to the current request.
     pub fn unanswered_voters(&self) -> Vec<InstanceId> {
         let voters = self.voters.iter();
         voters
--- a/crates/leases/src/manager/mod.rs
+++ b/crates/leases/src/manager/mod.rs
@@ -1,17 +1,19 @@
-//! All leases of one instance: which to hold, when to propose a term, hand over and take over. Messages of one moment
-//! to one recipient leave together, so that the cost follows the rate of terms and not the number of leases.
+//! Manages all leases of one instance: which leases to hold, when to propose a term, when to hand a lease over and when
+//! to take one over. Messages that are ready at the same time for the same recipient are sent together, so that the
+//! cost follows the rate of terms and not the number of leases.
 //!
-//! The preferred instance, the one that ranks first among those alive, holds a lease. Where another holds it, the
-//! preferred one asks for it and gets it between two terms. Where the preferred one does nothing (it does not know the
-//! lease, or cannot reach a majority), the voters of that lease take over one after the other once its holder is late.
+//! A lease is held by its preferred instance, which is the one that ranks first among those alive. If another instance
+//! holds the lease, the preferred instance asks the holder for the lease and receives it between two terms. If the
+//! preferred instance does not act, because it does not know the lease or cannot reach a majority, the voters of the
+//! lease take over in turn once the holder is late.
 //!
 //! | module | holds |
 //! | --- | --- |
 //! | `lease` | the local state of one lease |
-//! | `proposals` | proposing, releasing and what an attempt has led to |
-//! | `votes` | messages from other instances: this instance's votes, and the others' responses |
+//! | `proposals` | proposing terms, releasing a lease, and acting on the result of an attempt |
+//! | `votes` | messages from other instances: requests for this instance's votes, and responses to its own requests |
 //! | `schedule` | timers, and when a late holder is replaced |
-//! | `status` | what is known of each lease, for the staff |
+//! | `status` | the status of each lease, for operators |
 
 mod lease;
 mod proposals;
@@ -28,28 +30,28 @@
 use schedule::{MAX_BATCH_WINDOW_MS, Timer};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Voters of one lease at most.
+/// Maximum number of voters of one lease.
 pub const MAX_VOTERS: usize = 5;
 
-/// What an instance is given at its start.
+/// The configuration of a [`LeaseManager`].
 #[derive(Clone, Debug)]
 pub struct LeaseConfig {
-    /// This instance.
+    /// The id of this instance.
     pub instance: InstanceId,
-    /// This run of the process: never the same twice.
+    /// Identifies this run of the process; every run needs another value.
     pub incarnation: u64,
-    /// The instances that may vote, the same at all of them.
+    /// The instances that may vote. The list has to be the same at all instances.
     pub voters: Vec<InstanceId>,
-    /// How far wall clocks may differ.
+    /// The maximum difference between the wall clocks of the instances.
     pub max_clock_skew: Millis,
-    /// Ranks instances for a lease.
+    /// Ranks the instances for a lease.
     pub ranking: Ranking,
 }
 
-/// What the driver has to do, or to report.
+/// An action for the driver to carry out, or an event to report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Send these messages to an instance, in as many datagrams as it takes.
+    /// Send these messages to an instance, in as many datagrams as needed.
     Send(InstanceId, Vec<Message>),
     /// A term was won: carry out the lease's task while the grant is valid.
     Granted(LeaseGrant),
@@ -57,31 +59,31 @@
     TermsMissed {
         /// The lease.
         lease: LeaseId,
-        /// How many terms.
+        /// The number of missed terms.
         terms: u64,
     },
-    /// The quorum for a lease that this instance should hold was lost, or is reachable again.
+    /// The quorum for a lease that this instance should hold was lost or is reachable again.
     QuorumChanged {
         /// The lease.
         lease: LeaseId,
-        /// Whether it was lost.
+        /// Whether the quorum is lost.
         is_lost: bool,
     },
-    /// This instance acquired a lease or ceased to hold it.
+    /// This instance has acquired a lease or no longer holds it.
     HoldingChanged {
         /// The lease.
         lease: LeaseId,
-        /// Whether it is held now.
+        /// Whether this instance holds the lease now.
         is_held: bool,
     },
 }
 
-/// The leases of one instance, without I/O: the driver passes time and messages in, and takes the outputs.
+/// The leases of one instance, without I/O. The driver passes in time and messages and takes out the outputs.
 #[derive(Clone, Debug)]
 pub struct LeaseManager {
     config: LeaseConfig,
     acceptor: Acceptor,
-    /// The instances believed to be alive; this one always is.
+    /// The instances believed to be alive; always contains this instance.
     alive: BTreeSet<InstanceId>,
     leases: BTreeMap<LeaseId, Lease>,
     timers: BTreeSet<Timer>,
@@ -91,7 +93,7 @@
 }
 
 impl LeaseManager {
-    /// An instance that knows no lease and nobody but itself.
+    /// Creates a manager without leases, which knows no other instance.
     pub fn new(now: Clocks, config: LeaseConfig) -> Self {
         let acceptor = Acceptor::new(now, config.max_clock_skew);
         Self {
@@ -106,7 +108,8 @@
         }
     }
 
-    /// Sets the leases, each with its interval: new ones begin, missing or changed ones are released.
+    /// Sets the leases and their intervals. Leases that are removed are released, new ones are added, and a lease whose
+    /// interval has changed is released and added again.
     pub fn configure(&mut self, now: Clocks, intervals: &BTreeMap<LeaseId, Millis>) {
         let removed: Vec<LeaseId> = self
             .leases
@@ -136,7 +139,7 @@
         self.schedule_check(now, id);
     }
 
-    /// Sets the instances that are alive; this instance itself always is.
+    /// Sets the instances that are alive. This instance always counts as alive.
     pub fn update_alive(&mut self, now: Clocks, alive: &BTreeSet<InstanceId>) {
         let mut alive = alive.clone();
         alive.insert(self.config.instance);
@@ -151,27 +154,27 @@
         }
     }
 
-    /// Ranks again what may have changed, and returns the leases whose preferred instance is another one now.
+    /// Updates the preferred instance of each lease and returns the leases for which it has changed.
     fn update_preferred(
         &mut self,
         joined: &[InstanceId],
         left: &BTreeSet<InstanceId>,
     ) -> Vec<LeaseId> {
         let ranking = self.config.ranking;
-        let mut moved = Vec::new();
+        let mut changed = Vec::new();
         for (id, lease) in &mut self.leases {
             let preferred = match lease.preferred {
-                // Only those that joined can outrank one that is still there.
+                // Only an instance that joined can outrank a preferred instance that is still alive.
                 Some(preferred) if !left.contains(&preferred) => {
                     ranking.preferred_instance(*id, joined.iter().chain([&preferred]))
                 }
                 _ => ranking.preferred_instance(*id, &self.alive),
             };
             if std::mem::replace(&mut lease.preferred, preferred) != preferred {
-                moved.push(*id);
+                changed.push(*id);
             }
         }
-        moved
+        changed
     }
 
     /// Handles messages from another instance.
@@ -181,7 +184,7 @@
         }
     }
 
-    /// Takes what is to be done, in order.
+    /// Takes the outputs in order, with the messages last.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         let mut outputs = std::mem::take(&mut self.outputs);
         let outbox = std::mem::take(&mut self.outbox);
@@ -190,7 +193,7 @@
         outputs
     }
 
-    /// Records that the driver carried out a task, or (`false`) found its grant expired before that.
+    /// Records that the driver has carried out a lease's task, or, if `in_time` is false, that the grant expired first.
     pub fn record_completion(&mut self, grant: &LeaseGrant, in_time: bool) {
         if let Some(lease) = self.leases.get_mut(&grant.lease) {
             match in_time {
@@ -200,7 +203,7 @@
         }
     }
 
-    /// Releases every lease, before an orderly shutdown.
+    /// Releases all leases before an orderly shutdown.
     pub fn release_all(&mut self, now: Clocks) {
         self.configure(now, &BTreeMap::new());
     }
@@ -211,7 +214,7 @@
         lease.is_some_and(|lease| lease.preferred == Some(self.config.instance))
     }
 
-    /// Sends a message. One to this instance itself is handled at once.
+    /// Queues a message for another instance. A message to this instance is handled at once.
     fn send_message(&mut self, now: Clocks, to: InstanceId, message: Message) {
         if to == self.config.instance {
             self.handle_message(now, to, &message);
--- a/crates/leases/src/manager/schedule.rs
+++ b/crates/leases/src/manager/schedule.rs
@@ -1,17 +1,18 @@
-//! Timers: when the next term is proposed, a request repeated, or a late holder replaced.
+//! Timers: when to propose the next term, retransmit a request or replace a late holder.
 
 use super::LeaseManager;
-use super::lease::STAGGER_SHARE;
+use super::lease::STAGGER_DIVISOR;
 use crate::acceptor::LATE_HOLDER_DIVISOR;
 use crate::proposer::Phase;
 use crate::{Clocks, LeaseId, Millis};
 
-/// Terms that fall due within this share of the shortest interval travel together, within the two bounds below.
-const BATCH_SHARE: u64 = 50;
+/// Timers that expire within `shortest interval / BATCH_DIVISOR` are handled together, so that their messages are sent
+/// together. The next two constants bound this window.
+const BATCH_DIVISOR: u64 = 50;
 const MIN_BATCH_WINDOW_MS: Millis = 5;
 pub(super) const MAX_BATCH_WINDOW_MS: Millis = 200;
 
-/// A lease's timer; ordered by time, then by lease.
+/// The timer of a lease. Ordered by time, then by lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Timer {
     at: Millis,
@@ -19,10 +20,10 @@
 }
 
 impl LeaseManager {
-    /// When [`LeaseManager::wake`] has to be called at the latest, on the monotonic clock; `None` without a timer.
+    /// The time on the monotonic clock at which [`LeaseManager::wake`] is due; `None` if no timer is armed.
     pub fn next_wake(&self) -> Option<Millis> {
         let at = self.timers.first()?.at;
-        // Rounded up, so that what falls due together is sent together.
+        // Rounded up to the batch window, so that timers of one window are handled by one call.
         Some(at.div_ceil(self.batch_window) * self.batch_window)
     }
 
@@ -46,11 +47,14 @@
         match lease.proposer.phase {
             Phase::Idle => self.check_holder(now, id),
             Phase::Holding => self.propose_term(now, id),
-            Phase::PreVote | Phase::Preparing | Phase::Proposing => self.repeat_request(now, id),
+            Phase::PreVote | Phase::Preparing | Phase::Proposing => {
+                self.retransmit_request(now, id)
+            }
         }
     }
 
-    /// Tries to acquire the lease if this instance is preferred, or the holder is late and it is this voter's turn.
+    /// Starts a pre-vote if this instance is preferred, or if the holder is late and it is this instance's turn to take
+    /// over. Otherwise schedules the next check.
     fn check_holder(&mut self, now: Clocks, id: LeaseId) {
         let takeover_at = self.takeover_at(id);
         let is_turn = takeover_at.is_some_and(|at| at <= now.monotonic);
@@ -61,7 +65,8 @@
         }
     }
 
-    /// Sets the timer of an idle lease: at once if this instance is preferred, else when the holder is late.
+    /// Arms the timer of an idle lease: for now if this instance is preferred, else for this voter's turn to take over.
+    /// An instance without a vote needs no timer.
     pub(super) fn schedule_check(&mut self, now: Clocks, id: LeaseId) {
         let Some(lease) = self.leases.get(&id) else {
             return;
@@ -76,19 +81,21 @@
         }
     }
 
-    /// When this instance, as a voter of the lease, takes it over from a late holder; `None` if it has no vote.
+    /// When this instance takes the lease over from a late holder; `None` if this instance is not a voter of the lease.
     fn takeover_at(&self, id: LeaseId) -> Option<Millis> {
         let lease = self.leases.get(&id)?;
         let own_id = self.config.instance;
         let position = lease.voters.iter().position(|voter| *voter == own_id)?;
-        let ahead = lease.voters[..position].iter();
-        let alive_ahead = ahead.filter(|voter| self.alive.contains(voter)).count() as u64;
-        let turn = lease.interval / STAGGER_SHARE * alive_ahead;
+        let higher_ranked = lease.voters[..position].iter();
+        let alive_ahead = higher_ranked
+            .filter(|voter| self.alive.contains(voter))
+            .count() as u64;
+        let stagger = lease.interval / STAGGER_DIVISOR * alive_ahead;
         let late_from = match self.acceptor.state(id) {
             Some(state) => state.late_from(),
             None => lease.added_at + lease.interval + lease.interval / LATE_HOLDER_DIVISOR,
         };
-        Some(late_from + turn)
+        Some(late_from + stagger)
     }
 
     pub(super) fn arm_next_term(&mut self, now: Clocks, id: LeaseId) {
@@ -115,7 +122,7 @@
 
     pub(super) fn update_batch_window(&mut self) {
         let shortest = self.leases.values().map(|lease| lease.interval).min();
-        let window = shortest.unwrap_or(u64::MAX) / BATCH_SHARE;
+        let window = shortest.unwrap_or(u64::MAX) / BATCH_DIVISOR;
         self.batch_window = window.clamp(MIN_BATCH_WINDOW_MS, MAX_BATCH_WINDOW_MS);
     }
 }
--- a/crates/leases/src/manager/status.rs
+++ b/crates/leases/src/manager/status.rs
@@ -1,4 +1,4 @@
-//! What is known of each lease, for the staff.
+//! The status of each lease, for operators.
 
 use super::LeaseManager;
 use super::lease::Lease;
@@ -7,28 +7,29 @@
 use crate::{Clocks, InstanceId, LeaseId, Millis};
 use serde::{Deserialize, Serialize};
 
-/// What an instance knows of one lease.
+/// The status of one lease, as far as one instance knows.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeaseStatus {
     /// The lease.
     pub lease: LeaseId,
-    /// Its interval.
+    /// The lease's interval.
     pub interval: Millis,
     /// The holder, as far as this instance knows.
     pub holder: Option<InstanceId>,
     /// The last term that this instance won or voted for; 0 for none.
     pub term: u64,
-    /// How long ago that was.
+    /// The time since this instance proposed or voted for `term`.
     pub term_age: Option<Millis>,
-    /// Terms in which the task was carried out here.
+    /// Terms in which this instance carried out the task.
     pub completed: u64,
-    /// Terms that passed without the task before a take-over here, or whose grant expired too soon.
+    /// Terms that passed without the task before this instance took the lease over, and terms won by this instance
+    /// whose grant expired before the task was carried out.
     pub missed: u64,
-    /// This instance should hold the lease and cannot reach a majority.
+    /// Whether this instance should hold the lease but cannot reach a majority.
     pub is_quorum_lost: bool,
 }
 
-/// The last term that was won or voted for; ordered by term.
+/// The last term that was won or voted for. Ordered by term.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct LastTerm {
     term: u64,
@@ -54,12 +55,12 @@
         })
     }
 
-    /// The whole state of a lease in Rust's debug format, for tracing a fault.
+    /// The full state of a lease in Rust's debug format, for diagnosing a fault.
     pub fn describe(&self, id: LeaseId) -> String {
         format!("{:?} {:?}", self.leases.get(&id), self.acceptor.state(id))
     }
 
-    /// How long this instance still abstains from votes on a lease with this interval.
+    /// How much longer this instance abstains from votes on leases with this interval.
     pub fn remaining_abstention(&self, now: Clocks, interval: Millis) -> Millis {
         self.acceptor.remaining_abstention(now, interval)
     }
--- a/crates/leases/src/manager/votes.rs
+++ b/crates/leases/src/manager/votes.rs
@@ -19,19 +19,21 @@
         }
     }
 
-    /// Answers a proposer. An acceptor votes on any lease, also on one that is not configured here yet.
+    /// Passes a proposer's request to the acceptor. The acceptor votes on any lease, including one that is not
+    /// configured at this instance yet.
     fn handle_request(&mut self, now: Clocks, from: InstanceId, lease: LeaseId, request: &Message) {
-        let answer = self.acceptor.handle_message(now, request, &self.alive);
-        if let Some(answer) = answer {
-            self.send_message(now, from, answer);
+        let response = self.acceptor.handle_message(now, request, &self.alive);
+        if let Some(response) = response {
+            self.send_message(now, from, response);
         }
-        // After a vote for another instance: no need to check before that one is late.
+        // A vote for another instance postpones the time at which that instance counts as late.
         if from != self.config.instance && !self.is_preferred(lease) {
             self.schedule_check(now, lease);
         }
     }
 
-    /// Hands the lease over at once, or, during a proposal, when the term is won.
+    /// Hands the lease over to the preferred instance: at once while holding the lease between two terms, or, during a
+    /// proposal, when the term is won.
     fn handle_handover_request(&mut self, now: Clocks, from: InstanceId, id: LeaseId) {
         let Some(lease) = self.leases.get_mut(&id) else {
             return;
@@ -70,7 +72,7 @@
         if progress != Progress::Pending {
             return self.apply_progress(now, id, progress);
         }
-        // A rejection that came after the majority's promises.
+        // A rejection that arrived after the majority was complete: an acceptor has promised a higher ballot.
         if lease.proposer.phase == Phase::Holding && lease.proposer.is_preempted {
             self.start_prepare(now, id);
         }
