--- a/crates/leases/tests/gossip_store.rs
+++ b/crates/leases/tests/gossip_store.rs
@@ -1,4 +1,4 @@
-//! Entries reach all stores, however many, and what is lost on the way comes later.
+//! Gossip entries reach all stores at any cluster size, and digests repair lost messages.
 
 use spanspur_leases::InstanceId;
 use spanspur_leases::gossip_store::{
@@ -14,12 +14,12 @@
     }
 }
 
-/// Publishes at store 0 of so many; `lost` says which of the messages do not arrive. Returns the most messages that
-/// any one store sent.
+/// Publishes entries at store 0 and delivers all messages, except those for whose sequence number `is_lost` returns
+/// true. Returns the highest number of messages that one store sent.
 fn publish(
     stores: &mut [GossipStore],
     entries: Vec<GossipEntry>,
-    mut lost: impl FnMut(usize) -> bool,
+    mut is_lost: impl FnMut(usize) -> bool,
 ) -> usize {
     let others: Vec<InstanceId> = (1..stores.len() as u64).map(InstanceId).collect();
     let mut sent: BTreeMap<usize, usize> = BTreeMap::new();
@@ -30,14 +30,14 @@
     while let Some((from, to, message)) = queue.pop() {
         count += 1;
         *sent.entry(from).or_default() += 1;
-        if lost(count) {
+        if is_lost(count) {
             continue;
         }
-        let at = to.0 as usize;
-        let sends = stores[at]
+        let index = to.0 as usize;
+        let sends = stores[index]
             .receive(InstanceId(from as u64), message)
             .outgoing;
-        queue.extend(sends.into_iter().map(|(to, message)| (at, to, message)));
+        queue.extend(sends.into_iter().map(|(to, message)| (index, to, message)));
     }
     sent.values().max().copied().unwrap_or(0)
 }
@@ -46,14 +46,17 @@
 fn entries_reach_all_stores_and_none_exceeds_the_fanout() {
     for size in [2, 5, 9, 10, 50, 200] {
         let mut stores = vec![GossipStore::default(); size];
-        let most = publish(&mut stores, vec![entry(1, 7)], |_| false);
+        let max_sent = publish(&mut stores, vec![entry(1, 7)], |_| false);
         assert!(
             stores
                 .iter()
-                .all(|b| b.get(1).is_some_and(|e| e.version == 7)),
-            "{size}"
+                .all(|store| store.get(1).is_some_and(|entry| entry.version == 7)),
+            "{size} stores: not all hold the entry"
+        );
+        assert!(
+            max_sent <= FANOUT,
+            "{size} stores: one sends {max_sent} messages"
         );
-        assert!(most <= FANOUT, "{size} stores: one sends {most}");
     }
 }
 
@@ -61,23 +64,28 @@
 fn digests_repair_losses_and_an_older_version_never_wins() {
     let mut stores = vec![GossipStore::default(); 20];
     let entries = (0..1000).map(|key| entry(key, 5)).collect();
-    publish(&mut stores, entries, |n| n % 3 == 0);
-    assert!(stores.iter().any(|b| b.len() < 1000), "nothing was lost");
+    publish(&mut stores, entries, |count| count % 3 == 0);
+    assert!(
+        stores.iter().any(|store| store.len() < 1000),
+        "no entry was lost"
+    );
     let mut rounds = 0;
-    while stores.iter().any(|b| b.len() < 1000) {
+    while stores.iter().any(|store| store.len() < 1000) {
         rounds += 1;
         assert!(
             rounds < 40,
             "{:?}",
             stores.iter().map(GossipStore::len).collect::<Vec<_>>()
         );
-        for at in 0..20 {
-            let with = (at + rounds) % 20;
-            let ask = stores[at].digest();
-            let answers = stores[with].receive(InstanceId(at as u64), ask).outgoing;
+        for index in 0..20 {
+            let peer = (index + rounds) % 20;
+            let digest = stores[index].digest();
+            let answers = stores[peer]
+                .receive(InstanceId(index as u64), digest)
+                .outgoing;
             for (to, message) in answers {
-                assert_eq!(to.0 as usize, at);
-                stores[at].receive(InstanceId(with as u64), message);
+                assert_eq!(to.0 as usize, index);
+                stores[index].receive(InstanceId(peer as u64), message);
             }
         }
     }
@@ -86,7 +94,7 @@
         forward_to: Vec::new(),
     };
     assert!(stores[2].receive(InstanceId(9), old).updated.is_empty());
-    assert_eq!(stores[2].get(3).map(|e| e.version), Some(5));
+    assert_eq!(stores[2].get(3).map(|entry| entry.version), Some(5));
 }
 
 #[test]
@@ -99,6 +107,11 @@
     };
     assert!(store.publish(vec![large], &[InstanceId(2)]).is_empty());
     assert_eq!((store.len(), store.rejected_entries), (0, 1));
-    let strange = GossipMessage::Digest(vec![1, 2, 3]);
-    assert!(store.receive(InstanceId(2), strange).outgoing.is_empty());
+    let invalid_digest = GossipMessage::Digest(vec![1, 2, 3]);
+    assert!(
+        store
+            .receive(InstanceId(2), invalid_digest)
+            .outgoing
+            .is_empty()
+    );
 }
--- a/crates/leases/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -1,8 +1,10 @@
-//! Every order of events of a small world, by stateright: three instances, one lease, two terms, a process that
-//! dies and starts again, and one that may stand still at any point, also between checking its grant and acting.
-//! Acceptors and proposers are the real ones; requests may be lost, late and out of order, and responses may be lost.
-//! A response that comes late is left out: until it comes the proposer does nothing that it could not do later as
-//! well, and what it asks meanwhile of the other acceptors may itself be late.
+//! Model checking by stateright: every order of events in a small cluster with three instances, one lease and two
+//! terms. One process may crash and restart. A process may be suspended at any point, also between checking its grant
+//! and acting.
+//!
+//! The model runs the real acceptors and proposers. Requests may be lost, delayed and reordered, and responses may be
+//! lost. Delayed responses are not modelled: while a response is delayed, the proposer does nothing that it could not
+//! also do later, and its requests to the other acceptors may be delayed themselves.
 
 use spanspur_leases::acceptor::Acceptor;
 use spanspur_leases::proposer::{Phase, Progress, Proposer};
@@ -12,8 +14,8 @@
 
 const LEASE: LeaseId = LeaseId(1);
 const INTERVAL: u64 = 1000;
-/// One step of time is enough for the next term, and for a restarted acceptor to vote again.
-const STEP: u64 = 1300;
+/// Milliseconds per time step: long enough for the next term, and for a restarted acceptor to vote again.
+const STEP_MS: u64 = 1300;
 const INSTANCES: usize = 3;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -22,85 +24,97 @@
     acceptors: Vec<Acceptor>,
     proposers: Vec<Proposer>,
     incarnations: Vec<u64>,
-    /// Requests: from, to, what, in an order of no meaning; each is delivered once or never.
-    net: Vec<(usize, usize, Message)>,
-    /// How often each term was acted in. A term that is won is acted in at once: when does not matter to the
-    /// count, and no grant is checked, as if each had been checked long before.
-    acts: BTreeMap<u64, u32>,
+    /// Requests in flight as (sender, recipient, message), sorted so that equal states compare equal. Each request is
+    /// delivered once or never.
+    network: Vec<(usize, usize, Message)>,
+    /// How often the task was carried out in each term. A proposer acts as soon as it wins a term, because the time of
+    /// the action does not matter to the count. The proposer does not check the grant, as if the process had been
+    /// suspended right after the check.
+    executions: BTreeMap<u64, u32>,
     prepares: u32,
     proposals: u32,
-    died: bool,
+    has_restarted: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Action {
+    /// Delivers the request and its response.
     Deliver(usize),
-    /// The answer gets lost.
-    Unheard(usize),
+    /// Delivers the request and loses its response.
+    DeliverAndLoseResponse(usize),
     Prepare(usize),
     Propose(usize),
     Restart(usize),
-    Pass,
+    AdvanceTime,
 }
 
-struct World {
-    prepares: u32,
-    proposals: u32,
-    steps: u64,
-    /// A process may die and start again.
-    restarts: bool,
-    /// A restarted acceptor votes at once, and time numbers nothing: what must be caught.
-    forgetful: bool,
+/// The bounds and the options of the model.
+struct LeaseModel {
+    max_prepares: u32,
+    max_proposals: u32,
+    max_steps: u64,
+    /// Whether one process may crash and restart.
+    allow_restart: bool,
+    /// Simulates a faulty acceptor, which the model has to detect: it votes at once after a restart, and the Unix time
+    /// does not stand for forgotten terms.
+    faulty_acceptor: bool,
 }
 
-impl World {
+impl LeaseModel {
     fn now(&self, state: &State) -> Clocks {
-        // The acceptors of the start are old: they abstain from nothing.
-        let monotonic = 100_000 + state.step * STEP;
-        let wall = if self.forgetful { 7 } else { monotonic };
+        // The initial acceptors have run long enough not to abstain.
+        let monotonic = 100_000 + state.step * STEP_MS;
+        let wall = if self.faulty_acceptor { 7 } else { monotonic };
         Clocks { monotonic, wall }
     }
 
-    fn ask(&self, state: &mut State, from: usize, to: usize, message: Message) {
+    fn send_request(&self, state: &mut State, from: usize, to: usize, message: Message) {
         if from == to {
-            return self.take(state, from, to, &message, true);
+            return self.deliver(state, from, to, &message, true);
         }
         let delivery = (from, to, message);
-        if !state.net.contains(&delivery) {
-            state.net.push(delivery);
-            state.net.sort_unstable();
+        if !state.network.contains(&delivery) {
+            state.network.push(delivery);
+            state.network.sort_unstable();
         }
     }
 
-    /// An acceptor handles a request, and the proposer its response, unless it gets lost.
-    fn take(&self, state: &mut State, from: usize, to: usize, message: &Message, heard: bool) {
+    /// Lets the acceptor handle a request, and the proposer handle the response unless the response is lost.
+    fn deliver(
+        &self,
+        state: &mut State,
+        from: usize,
+        to: usize,
+        message: &Message,
+        response_arrives: bool,
+    ) {
         let now = self.now(state);
-        // Nobody is believed to be there: the fewest reasons to reject.
-        let answer = state.acceptors[to].handle_message(now, message, &BTreeSet::new());
-        let Some(answer) = answer.filter(|_| heard) else {
+        // No instance is believed to be alive, which leaves the acceptor the fewest reasons to reject.
+        let response = state.acceptors[to].handle_message(now, message, &BTreeSet::new());
+        let Some(response) = response.filter(|_| response_arrives) else {
             return;
         };
         let proposer = &mut state.proposers[from];
-        if let Message::Rejected { reason, ballot, .. } = &answer
+        if let Message::Rejected { reason, ballot, .. } = &response
             && *reason == RejectReason::NoPromise
             && *ballot == proposer.ballot
         {
-            let ask = prepare(proposer);
-            return self.ask(state, from, to, ask);
+            let request = prepare_request(proposer);
+            return self.send_request(state, from, to, request);
         }
-        if proposer.handle_response(to as u64, &answer, INSTANCES) == Progress::TermWon {
-            *state.acts.entry(proposer.term).or_default() += 1;
+        if proposer.handle_response(to as u64, &response, INSTANCES) == Progress::TermWon {
+            *state.executions.entry(proposer.term).or_default() += 1;
         }
     }
 
-    fn ask_all(&self, state: &mut State, from: usize, message: &Message) {
+    fn send_to_all(&self, state: &mut State, from: usize, message: &Message) {
         for voter in 0..INSTANCES {
-            self.ask(state, from, voter, message.clone());
+            self.send_request(state, from, voter, message.clone());
         }
     }
 }
 
-fn prepare(proposer: &Proposer) -> Message {
+fn prepare_request(proposer: &Proposer) -> Message {
     Message::Prepare {
         lease: LEASE,
         ballot: proposer.ballot,
@@ -109,7 +123,7 @@
     }
 }
 
-impl Model for World {
+impl Model for LeaseModel {
     type State = State;
     type Action = Action;
 
@@ -123,34 +137,34 @@
             acceptors: vec![Acceptor::new(long_ago, 0); INSTANCES],
             proposers: vec![Proposer::new(); INSTANCES],
             incarnations: vec![1; INSTANCES],
-            net: Vec::new(),
-            acts: BTreeMap::new(),
+            network: Vec::new(),
+            executions: BTreeMap::new(),
             prepares: 0,
             proposals: 0,
-            died: false,
+            has_restarted: false,
         }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        actions.extend((0..state.net.len()).map(Action::Deliver));
-        actions.extend((0..state.net.len()).map(Action::Unheard));
+        actions.extend((0..state.network.len()).map(Action::Deliver));
+        actions.extend((0..state.network.len()).map(Action::DeliverAndLoseResponse));
         for i in 0..INSTANCES {
-            // Two of them propose, all three vote: a third proposer adds only names.
-            let may = i < 2 && state.prepares < self.prepares;
-            // Also after a proposal that met a rejection: the same term may be proposed again then.
-            if may && state.proposers[i].phase != Phase::Holding {
+            // Two instances propose and all three vote. A third proposer would only add symmetric states.
+            let may_prepare = i < 2 && state.prepares < self.max_prepares;
+            // A proposer may also prepare after its proposal was rejected, to propose the same term again.
+            if may_prepare && state.proposers[i].phase != Phase::Holding {
                 actions.push(Action::Prepare(i));
             }
-            if state.proposers[i].phase == Phase::Holding && state.proposals < self.proposals {
+            if state.proposers[i].phase == Phase::Holding && state.proposals < self.max_proposals {
                 actions.push(Action::Propose(i));
             }
-            // The two proposers are alike: it is one of them, or the third acceptor.
-            if self.restarts && !state.died && i != 1 {
+            // The two proposers are symmetric, so it is enough to restart one of them or the third acceptor.
+            if self.allow_restart && !state.has_restarted && i != 1 {
                 actions.push(Action::Restart(i));
             }
         }
-        if state.step < self.steps {
-            actions.push(Action::Pass);
+        if state.step < self.max_steps {
+            actions.push(Action::AdvanceTime);
         }
     }
 
@@ -158,45 +172,45 @@
         let mut state = last.clone();
         let now = self.now(&state);
         match action {
-            Action::Deliver(n) => {
-                let (from, to, message) = state.net.remove(n);
-                self.take(&mut state, from, to, &message, true);
+            Action::Deliver(index) => {
+                let (from, to, message) = state.network.remove(index);
+                self.deliver(&mut state, from, to, &message, true);
             }
-            Action::Unheard(n) => {
-                let (from, to, message) = state.net.remove(n);
-                self.take(&mut state, from, to, &message, false);
+            Action::DeliverAndLoseResponse(index) => {
+                let (from, to, message) = state.network.remove(index);
+                self.deliver(&mut state, from, to, &message, false);
             }
             Action::Prepare(i) => {
                 state.prepares += 1;
                 let incarnation = state.incarnations[i];
                 state.proposers[i].start_prepare(now.monotonic, i as u64, incarnation);
-                let ask = prepare(&state.proposers[i]);
-                self.ask_all(&mut state, i, &ask);
+                let request = prepare_request(&state.proposers[i]);
+                self.send_to_all(&mut state, i, &request);
             }
             Action::Propose(i) => {
                 state.proposals += 1;
                 state.proposers[i].propose_term(now.monotonic);
-                let ask = Message::Accept {
+                let request = Message::Accept {
                     lease: LEASE,
                     ballot: state.proposers[i].ballot,
                     term: state.proposers[i].term,
                     interval: INTERVAL,
                 };
-                self.ask_all(&mut state, i, &ask);
+                self.send_to_all(&mut state, i, &request);
             }
             Action::Restart(i) => {
-                state.died = true;
-                let mut born = now;
-                if self.forgetful {
-                    born.monotonic = 0;
+                state.has_restarted = true;
+                let mut started_at = now;
+                if self.faulty_acceptor {
+                    started_at.monotonic = 0;
                 }
-                state.acceptors[i] = Acceptor::new(born, 0);
+                state.acceptors[i] = Acceptor::new(started_at, 0);
                 state.proposers[i] = Proposer::new();
                 state.incarnations[i] += 1;
             }
-            Action::Pass => state.step += 1,
+            Action::AdvanceTime => state.step += 1,
         }
-        // The time of asking plays no part here.
+        // The start of an attempt does not influence the model; clearing it merges equivalent states.
         state
             .proposers
             .iter_mut()
@@ -206,56 +220,59 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("at most one act a term", |_, state: &State| {
-                state.acts.values().all(|acts| *acts <= 1)
+            Property::always("a task runs at most once per term", |_, state: &State| {
+                state.executions.values().all(|count| *count <= 1)
+            }),
+            Property::sometimes("a term is won", |_, state: &State| {
+                !state.executions.is_empty()
             }),
-            Property::sometimes("an act", |_, state: &State| !state.acts.is_empty()),
-            Property::sometimes("two terms", |world: &World, state: &State| {
-                state.acts.len() > 1 || world.steps == 0
+            Property::sometimes("two terms are won", |model: &LeaseModel, state: &State| {
+                state.executions.len() > 1 || model.max_steps == 0
             }),
         ]
     }
 }
 
-fn check(world: World) {
-    let checker = world.checker().threads(4).spawn_bfs().join();
-    println!("{} different states", checker.unique_state_count());
+fn check(model: LeaseModel) {
+    let checker = model.checker().threads(4).spawn_bfs().join();
+    println!("{} unique states", checker.unique_state_count());
     checker.assert_properties();
 }
 
 #[test]
-fn at_most_one_act_a_term_with_a_restart() {
-    check(World {
-        prepares: 2,
-        proposals: 2,
-        steps: 1,
-        restarts: true,
-        forgetful: false,
+fn a_task_runs_at_most_once_per_term_across_a_restart() {
+    check(LeaseModel {
+        max_prepares: 2,
+        max_proposals: 2,
+        max_steps: 1,
+        allow_restart: true,
+        faulty_acceptor: false,
     });
 }
 
 #[test]
-fn at_most_one_act_a_term_with_a_term_proposed_again() {
-    check(World {
-        prepares: 3,
-        proposals: 3,
-        steps: 0,
-        restarts: false,
-        forgetful: false,
+fn a_task_runs_at_most_once_per_term_when_a_term_is_proposed_again() {
+    check(LeaseModel {
+        max_prepares: 3,
+        max_proposals: 3,
+        max_steps: 0,
+        allow_restart: false,
+        faulty_acceptor: false,
     });
 }
 
+/// Checks the model itself: it has to find a violation if an acceptor votes with forgotten state.
 #[test]
-fn an_acceptor_that_forgets_and_votes_at_once_is_caught() {
-    let world = World {
-        prepares: 2,
-        proposals: 2,
-        steps: 1,
-        restarts: true,
-        forgetful: true,
+fn the_model_detects_an_acceptor_that_forgets_its_votes_and_does_not_abstain() {
+    let model = LeaseModel {
+        max_prepares: 2,
+        max_proposals: 2,
+        max_steps: 1,
+        allow_restart: true,
+        faulty_acceptor: true,
     };
-    let checker = world.checker().threads(4).spawn_bfs().join();
-    let found = checker.discovery("at most one act a term");
+    let checker = model.checker().threads(4).spawn_bfs().join();
+    let found = checker.discovery("a task runs at most once per term");
     println!(
         "{:?}",
         found.as_ref().map(|path| path.clone().into_actions())
--- a/crates/leases/tests/wire_fixtures.rs
+++ b/crates/leases/tests/wire_fixtures.rs
@@ -1,5 +1,5 @@
-//! The bytes that instances exchange about leases and gossiped entries, compared with fixture files. Written by the
-//! tree at 71566bd; rewriting them (`WRITE_FIXTURES=1`) hides a change of the bytes between versions.
+//! Compares the encoded bytes of lease messages and gossip messages with fixture files. Commit 71566bd wrote the files;
+//! writing them again (`WRITE_FIXTURES=1`) would hide a change of the bytes between versions.
 
 #[path = "../../../tests/common/wire_fixtures.rs"]
 mod wire_fixtures;
@@ -18,10 +18,10 @@
     ("unknown", RejectReason::NoPromise),
 ];
 
-/// Values of one size: no field shares its number with another, so that two fields that change places show.
+/// Generates field values of one magnitude. No two fields get the same number, so that swapped fields are detected.
 struct Sample {
     name: &'static str,
-    /// The next number to be drawn, or how far below the largest one it lies.
+    /// The next number, or, if `large` is set, its distance from the largest number.
     next: u64,
     large: bool,
 }
@@ -66,7 +66,7 @@
     postcard::to_stdvec(value).expect("encodes")
 }
 
-/// Compares the values' bytes with the file, and the file's values with these once they are decoded.
+/// Compares the encoded values with the file, and the values decoded from the file with the given ones.
 fn check_values<T>(file: &str, values: &[(String, T)])
 where
     T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug,
@@ -186,7 +186,7 @@
 }
 
 fn entry(key: u64, version: u64, length: usize) -> GossipEntry {
-    let value = (0..length).map(|at| at as u8 ^ key as u8).collect();
+    let value = (0..length).map(|index| index as u8 ^ key as u8).collect();
     GossipEntry {
         key,
         version,
@@ -204,7 +204,7 @@
     ];
     let named = entries.iter().enumerate();
     let named: Vec<(String, GossipEntry)> = named
-        .map(|(at, entry)| (format!("entry-{at}"), entry.clone()))
+        .map(|(index, entry)| (format!("entry-{index}"), entry.clone()))
         .collect();
     check_values("board_entries.txt", &named);
     let instances = vec![InstanceId(0), InstanceId(300), InstanceId(u64::MAX)];
@@ -243,16 +243,19 @@
     check_values("board_news.txt", &messages);
 }
 
-/// Adds what a store sends, in order.
+/// Adds a record for each message that a store sends, in order.
 fn push_sends(records: &mut Vec<Record>, step: &str, sends: &[(InstanceId, GossipMessage)]) {
     records.push(Record::new(step, encode(&sends.len())));
-    for (at, (to, message)) in sends.iter().enumerate() {
-        records.push(Record::new(format!("{step}-{at}"), encode(&(to, message))));
+    for (index, (to, message)) in sends.iter().enumerate() {
+        records.push(Record::new(
+            format!("{step}-{index}"),
+            encode(&(to, message)),
+        ));
     }
 }
 
 #[test]
-fn what_a_gossip_store_sends_keeps_its_bytes() {
+fn the_messages_of_a_gossip_store_keep_their_bytes() {
     let mut records = Vec::new();
     let others: Vec<InstanceId> = (2..30).map(InstanceId).collect();
     let mut first = GossipStore::default();
@@ -280,16 +283,16 @@
 fn identifiers_and_status_keep_their_bytes() {
     let names = ["", "list", "list/head", "probe", "balancer-1", "é"];
     let mut records = Vec::new();
-    for (at, name) in names.into_iter().enumerate() {
+    for (index, name) in names.into_iter().enumerate() {
         let lease = LeaseId::of(name);
         assert_eq!(lease.0, InstanceId::of(name).0);
         records.push(Record::new(
-            format!("hash-{at}"),
+            format!("hash-{index}"),
             lease.0.to_le_bytes().into(),
         ));
-        records.push(Record::new(format!("duty-{at}"), encode(&lease)));
+        records.push(Record::new(format!("duty-{index}"), encode(&lease)));
         let instance = encode(&InstanceId::of(name));
-        records.push(Record::new(format!("instance-{at}"), instance));
+        records.push(Record::new(format!("instance-{index}"), instance));
     }
     for mut sample in Sample::all() {
         let s = &mut sample;
