--- a/crates/leases/src/acceptor.rs
+++ b/crates/leases/src/acceptor.rs
@@ -3,7 +3,7 @@
 //!
 //! Two rules go beyond Paxos. First, an acceptor votes for a term only if the previous term is old enough, so that two
 //! terms never overlap, whichever instance proposes them. Second, an acceptor does not promise a lease to another
-//! instance while the lease's holder is on time.
+//! instance while the lease's holder is believed to be alive and is on time.
 //!
 //! An acceptor keeps no state across a restart. After a restart the acceptor abstains until all votes that it may have
 //! forgotten have expired. From then on the Unix time in milliseconds stands for the terms that the acceptor has
--- a/crates/leases/src/gossip_store.rs
+++ b/crates/leases/src/gossip_store.rs
@@ -2,8 +2,9 @@
 //!
 //! New entries are disseminated at once: directly to a few instances, and in larger clusters down a tree in which each
 //! recipient forwards the entries to further instances, so that no instance sends more messages as the cluster grows.
-//! Anti-entropy repairs losses: each instance periodically sends a digest to another instance, which answers with the
-//! entries that differ (Demers and others, 'Epidemic algorithms for replicated database maintenance', 1987).
+//! Anti-entropy repairs losses: each instance periodically sends a digest to another instance, which answers with its
+//! entries from the buckets that differ (Demers and others, 'Epidemic algorithms for replicated database maintenance',
+//! 1987).
 
 use crate::InstanceId;
 use serde::{Deserialize, Serialize};
--- a/crates/leases/src/manager/proposals.rs
+++ b/crates/leases/src/manager/proposals.rs
@@ -57,8 +57,7 @@
         lease.retransmissions += 1;
         let in_time = now.monotonic < lease.expiry_of(lease.proposer.started_at);
         let proposer = &lease.proposer;
-        // An acceptor has promised a higher ballot: prepares with a new ballot, so that the same term can be proposed
-        // to that acceptor.
+        // An acceptor has promised a higher ballot. With a new ballot the same term can be proposed to that acceptor.
         if proposer.phase == Phase::Proposing && proposer.is_preempted && in_time {
             return self.start_prepare(now, id);
         }
@@ -190,7 +189,8 @@
         if is_handover_requested {
             self.release_lease(now, id);
         } else if is_preempted {
-            // An acceptor has promised a higher ballot: regains that acceptor before the next term.
+            // An acceptor has promised a higher ballot. A new ballot obtains that acceptor's promise before the next
+            // term.
             self.start_prepare(now, id);
         } else {
             self.arm_next_term(now, id);
--- a/crates/leases/src/manager/votes.rs
+++ b/crates/leases/src/manager/votes.rs
@@ -26,7 +26,7 @@
         if let Some(response) = response {
             self.send_message(now, from, response);
         }
-        // A vote for another instance postpones the time at which that instance counts as late.
+        // A vote for another instance postpones the time at which that instance counts as late, and with it the check.
         if from != self.config.instance && !self.is_preferred(lease) {
             self.schedule_check(now, lease);
         }
--- a/crates/leases/src/message.rs
+++ b/crates/leases/src/message.rs
@@ -71,7 +71,7 @@
         ballot: Ballot,
         /// The lease's interval.
         interval: Millis,
-        /// Whether to ask only if the acceptor would give the promise. The acceptor's state does not change then.
+        /// If set, the acceptor only answers whether it would give the promise, and keeps its state unchanged.
         pre_vote: bool,
     },
     /// Promises to reject lower ballots from now on (phase 1b).
--- a/crates/leases/src/proposer.rs
+++ b/crates/leases/src/proposer.rs
@@ -23,9 +23,9 @@
 pub enum Phase {
     /// No attempt is in progress.
     Idle,
-    /// The proposer has asked whether a majority would promise its ballot. A prepare request makes acceptors reject the
-    /// holder's ballot. A proposer that cannot win, because a majority knows that the holder is on time, must not send
-    /// one (the pre-vote of Raft; Ongaro, 2014, section 9.6).
+    /// The proposer has asked whether a majority would promise the proposer's ballot. A prepare request makes
+    /// acceptors reject the holder's ballot. A proposer that cannot win, because a majority knows that the holder is
+    /// on time, must not send one (the pre-vote of Raft; Ongaro, 2014, section 9.6).
     PreVote,
     /// The proposer has asked for promises.
     Preparing,
@@ -90,7 +90,7 @@
     pub term: u64,
     /// When the current attempt began: the start of the pre-vote or preparation, or the first proposal of the term.
     pub started_at: Millis,
-    /// The proposer that may hold the lease, according to a rejection.
+    /// Another proposer that may hold the lease, as reported by a rejection.
     pub known_holder: Option<u64>,
     /// Whether an acceptor has promised a higher ballot. A new ballot regains that acceptor.
     pub is_preempted: bool,
--- a/crates/leases/tests/wire_fixtures.rs
+++ b/crates/leases/tests/wire_fixtures.rs
@@ -9,6 +9,7 @@
 use spanspur_leases::{Ballot, InstanceId, LeaseId, LeaseStatus, Message, RejectReason};
 use wire_fixtures::Record;
 
+/// The reasons, each with its label in the fixture files.
 const REJECT_REASONS: [(&str, RejectReason); 6] = [
     ("abstains", RejectReason::Abstaining),
     ("held", RejectReason::LeaseHeld),
--- a/crates/membership/src/authentication.rs
+++ b/crates/membership/src/authentication.rs
@@ -186,8 +186,8 @@
     keys: Keys,
     peers: BTreeMap<u64, Peer>,
     /// Sequence numbers for a peer's new incarnation start above this value. It is at least as high as the last number
-    /// used for any forgotten peer: if that peer comes back with the same incarnation, its replay window accepts the
-    /// numbers that follow.
+    /// used for any forgotten peer: if that peer returns with the same incarnation, the peer's replay window accepts
+    /// the numbers that follow.
     first_sequence_number: u64,
 }
 
