--- a/src/proxy/direction.rs
+++ b/src/proxy/direction.rs
@@ -62,7 +62,7 @@
         self.writable = self.line_ends.last().copied().unwrap_or(self.writable);
     }
 
-    /// Writes what is writable, else reads more, so that the buffer stays within [`MAX_LINE`]. Cancel safe.
+    /// Writes what is writable, else reads more: reading never grows the buffer past [`MAX_LINE`]. Cancel safe.
     ///
     /// # Errors
     /// Returns the side that failed.
--- a/src/runtime/clock.rs
+++ b/src/runtime/clock.rs
@@ -1,19 +1,19 @@
-//! The clock: monotonic time, anchored at the Unix time of the start.
+//! A monotonic clock, anchored at the Unix time at which it was started.
 
 use crate::api::Time;
 use std::time::{Duration, Instant, SystemTime};
 
-/// The duration of a span that is not a finite length of time.
-const LONGEST_SPAN: Duration = Duration::from_secs(4260);
+/// The duration that stands in for spans that a [`Duration`] cannot represent, such as infinity.
+const FALLBACK_SPAN: Duration = Duration::from_secs(4260);
 
-/// A clock that never goes back. Its times are Unix times, as discovery's are.
+/// A clock that never goes back. Its times are Unix times, like those of discovery.
 pub struct Clock {
     started: Instant,
     started_unix: Time,
 }
 
 impl Clock {
-    /// A clock anchored at the current Unix time.
+    /// Starts a clock anchored at the current Unix time.
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
         Self {
@@ -38,7 +38,7 @@
     }
 }
 
-/// A span in seconds as a duration; negative spans are zero.
+/// Converts a span in seconds to a duration. Negative spans become zero.
 pub fn duration(span: Time) -> Duration {
-    Duration::try_from_secs_f64(span.max(0.0)).unwrap_or(LONGEST_SPAN)
+    Duration::try_from_secs_f64(span.max(0.0)).unwrap_or(FALLBACK_SPAN)
 }
--- a/src/runtime/connection_limit.rs
+++ b/src/runtime/connection_limit.rs
@@ -1,26 +1,27 @@
-//! Limits the descriptors that clients hold. When they run out, clients that have not sent their request, or have their
-//! final response already, are evicted for the others, the one that has waited longest first.
+//! Limits the descriptors held by clients. When the descriptors run out, idle clients are evicted, the longest idle
+//! first. A client is idle until it has sent its request, and again from its final response on.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// Descriptors reserved for what is not a client's or its backend's, and for those that are being closed.
+/// Descriptors reserved for uses other than clients and their backends, and for connections that are being closed.
 const RESERVED_DESCRIPTORS: usize = 40;
-/// Of these, how many may be used by rejected clients that may still be sending.
+/// Reserved descriptors that may be used by rejected clients that may still be sending.
 const MAX_LINGERING: usize = 8;
-/// Descriptors of an idle client: its own.
+/// Descriptors of an idle client: that of the client.
 const IDLE_DESCRIPTORS: usize = 1;
-/// Descriptors of a client in service: its own and its backend's.
+/// Descriptors of a client in service: those of the client and the backend.
 const SERVICE_DESCRIPTORS: usize = 2;
 
-/// The descriptors held by clients.
+/// Counts the descriptors held by clients and evicts idle clients when there are too many.
 #[derive(Default)]
 pub struct ConnectionLimit {
     held: Cell<usize>,
     lingering: Cell<usize>,
-    /// Idle clients in the order in which they became idle; a closed channel is a client that is idle no longer.
+    /// Idle clients in the order in which they became idle. A closed channel belongs to a client that is no longer
+    /// idle.
     evictable: RefCell<VecDeque<oneshot::Sender<()>>>,
 }
 
@@ -42,8 +43,8 @@
 }
 
 impl ConnectionLimit {
-    /// A permit for a client that has sent nothing yet, in a process that may hold so many descriptors; `None` if
-    /// clients in service hold all that are not reserved.
+    /// Acquires a permit for a client that has sent nothing yet, in a process that may hold `descriptor_limit`
+    /// descriptors. Returns `None` if clients in service hold all descriptors that are not reserved.
     pub fn acquire_for_client(
         self: &Rc<Self>,
         descriptor_limit: usize,
@@ -51,7 +52,8 @@
         self.acquire(client_descriptors(descriptor_limit))
     }
 
-    /// A permit for an idle connection, among at most so many descriptors; `None` if none of them can be had.
+    /// Acquires a permit for an idle connection, if necessary by evicting another one to stay within `limit`
+    /// descriptors. Returns `None` if the limit is reached and no connection is idle.
     pub fn acquire(self: &Rc<Self>, limit: usize) -> Option<ConnectionPermit> {
         let mut permit = ConnectionPermit {
             limit: self.clone(),
@@ -64,14 +66,15 @@
         })
     }
 
-    /// A permit for an idle client that another process of this balancer transferred, whatever the limit.
+    /// Creates a permit for an idle client transferred from another process of this balancer, regardless of the limit.
     pub fn admit_idle(self: &Rc<Self>) -> ConnectionPermit {
         let mut permit = self.admit(IDLE_DESCRIPTORS);
         permit.become_idle();
         permit
     }
 
-    /// A permit for a client in service that another process of this balancer transferred, whatever the limit.
+    /// Creates a permit for a client in service transferred from another process of this balancer, regardless of the
+    /// limit.
     pub fn admit_in_service(self: &Rc<Self>) -> ConnectionPermit {
         self.admit(SERVICE_DESCRIPTORS)
     }
@@ -85,7 +88,8 @@
         }
     }
 
-    /// A reserved descriptor for a rejected client; `None` if too many are in use.
+    /// Acquires a reserved descriptor for a rejected client. Returns `None` if all descriptors for rejected clients are
+    /// in use.
     pub fn acquire_for_lingering(&self) -> Option<LingerPermit<'_>> {
         let lingering = &self.lingering;
         (lingering.get() < MAX_LINGERING).then(|| {
@@ -99,8 +103,8 @@
         self.held.get()
     }
 
-    /// Evicts the client that has been idle longest; `false` if none is idle. Its descriptor is closed a moment later:
-    /// the reserved ones cover that time.
+    /// Evicts the client that has been idle longest. Returns `false` if no client is idle. The client's descriptor is
+    /// closed shortly after; until then the reserved descriptors make up for it.
     fn evict_one(&self) -> bool {
         let mut evictable = self.evictable.borrow_mut();
         while let Some(client) = evictable.pop_front() {
@@ -113,13 +117,14 @@
 }
 
 impl ConnectionPermit {
-    /// Extends the permit to a client in service, which is not evicted; `false` if there are no descriptors for it.
+    /// Extends the permit to a client in service, which cannot be evicted. Returns `false` if no descriptor is
+    /// available.
     pub fn acquire_for_service(&mut self, descriptor_limit: usize) -> bool {
         self.eviction = None;
         self.grow_to(SERVICE_DESCRIPTORS, client_descriptors(descriptor_limit))
     }
 
-    /// Reduces the permit to an idle client, which may be evicted.
+    /// Reduces the permit to an idle client, which can be evicted.
     pub fn become_idle(&mut self) {
         let held = &self.limit.held;
         held.set(held.get() - (self.held - IDLE_DESCRIPTORS));
@@ -158,7 +163,8 @@
     }
 }
 
-/// Of the descriptors that the process may hold, those for clients: at least one client can be served.
+/// Returns how many of the descriptors that the process may hold are available to clients: enough for at least one
+/// client in service.
 fn client_descriptors(descriptor_limit: usize) -> usize {
     descriptor_limit
         .saturating_sub(RESERVED_DESCRIPTORS)
--- a/src/runtime/endpoint_directory.rs
+++ b/src/runtime/endpoint_directory.rs
@@ -1,4 +1,5 @@
-//! The listed endpoints: as discovery names them, as the balancer sees them, and their addresses.
+//! The listed endpoints, each with its state as announced by discovery, its effective state for the balancer and its
+//! address.
 
 use crate::api::{Endpoint, EndpointState, ServerId, Time, UpdateKind};
 use crate::discovery::endpoint_list::{EndpointList, ListedEndpoint};
@@ -8,32 +9,33 @@
 
 /// A listed endpoint.
 struct DirectoryEntry {
-    /// As discovery names it.
+    /// As announced by discovery.
     announced: Endpoint,
-    /// As the balancer sees it, after the mask of maintenance and hand-over.
+    /// As passed to the balancer, after maintenance and hand-over are applied.
     effective: Endpoint,
     address: SocketAddr,
 }
 
-/// When slow start ends for a server.
+/// The current time and the slow-start window, which together tell whether a server is warming up.
 #[derive(Clone, Copy)]
 pub struct SlowStartWindow {
     /// The current time.
     pub now: Time,
-    /// Seconds after its start in which a server is warming up.
+    /// Seconds after its start during which a server is warming up.
     pub length: Time,
 }
 
-/// What makes the balancer see an endpoint differently than discovery names it.
+/// The conditions under which an endpoint's effective state differs from the announced one.
 #[derive(Default)]
 struct EndpointMask {
     maintenance: MaintenanceSet,
-    /// Another process takes the clients: the slow-start budget of cold servers is its alone.
+    /// Whether another process accepts the clients. The slow-start budget of cold servers then belongs to that process
+    /// alone.
     clients_handed_over: bool,
 }
 
 impl EndpointMask {
-    /// The endpoint as the balancer is to see it: a server under maintenance is draining, whatever its list says.
+    /// Returns the effective endpoint. A server under maintenance is draining even if the list says it is ready.
     fn apply(&self, announced: Endpoint, window: SlowStartWindow) -> Endpoint {
         let maintenance = self.maintenance.override_for(
             announced.id.0,
@@ -44,7 +46,7 @@
         let warming_up = maintenance.started > window.now - window.length;
         let state = match announced.state {
             EndpointState::Ready if maintenance.draining => EndpointState::Draining,
-            // Two processes that both used a cold server's budget would use it twice.
+            // If two processes both used a cold server's slow-start budget, it would be spent twice.
             EndpointState::Ready if self.clients_handed_over && warming_up => {
                 EndpointState::Draining
             }
@@ -67,7 +69,7 @@
 }
 
 impl EndpointDirectory {
-    /// Applies a list from discovery. Returns its endpoints as the balancer is to see them.
+    /// Applies a list from discovery. Returns its endpoints with their effective state.
     pub fn apply(
         &mut self,
         kind: UpdateKind,
@@ -107,7 +109,7 @@
         effective
     }
 
-    /// Masks all listed endpoints anew. Returns those that the balancer sees differently now.
+    /// Recomputes the effective state of all listed endpoints. Returns the endpoints whose effective state has changed.
     pub fn refresh(&mut self, window: SlowStartWindow) -> Vec<Endpoint> {
         let mut changed = Vec::new();
         for listed in self.listed.values_mut() {
@@ -121,7 +123,7 @@
         changed
     }
 
-    /// Revision of the list applied last.
+    /// The revision of the list applied last.
     pub fn revision(&self) -> u64 {
         self.revision
     }
@@ -131,28 +133,28 @@
         &self.mask.maintenance
     }
 
-    /// Merges in newer knowledge of the servers under maintenance; [`Self::refresh`] brings it into effect.
+    /// Merges newer entries into the servers under maintenance. They take effect with [`Self::refresh`].
     pub fn merge_maintenance(&mut self, maintenance: &MaintenanceSet) {
         self.mask.maintenance.merge(maintenance);
     }
 
-    /// Sets whether another process takes the clients; [`Self::refresh`] brings it into effect.
+    /// Sets whether another process accepts the clients. The change takes effect with [`Self::refresh`].
     pub fn set_clients_handed_over(&mut self, handed_over: bool) {
         self.mask.clients_handed_over = handed_over;
     }
 
     /// The address of a listed server.
     pub fn address(&self, server: ServerId) -> Option<SocketAddr> {
-        self.listed.get(&server).map(|at| at.address)
+        self.listed.get(&server).map(|entry| entry.address)
     }
 
     /// All listed servers with their addresses.
     pub fn addresses(&self) -> Vec<(ServerId, SocketAddr)> {
         let listed = self.listed.iter();
-        listed.map(|(id, at)| (*id, at.address)).collect()
+        listed.map(|(id, entry)| (*id, entry.address)).collect()
     }
 
-    /// All listed endpoints as discovery names them, with their addresses.
+    /// All listed endpoints as announced by discovery, with their addresses.
     pub fn announced(&self) -> Vec<ListedEndpoint> {
         let entries = self.listed.values();
         let listed = entries.map(|entry| ListedEndpoint {
@@ -162,10 +164,10 @@
         listed.collect()
     }
 
-    /// Whether the server is listed and takes new requests.
+    /// Whether the server is listed and accepts new requests.
     pub fn accepts_new_requests(&self, server: ServerId) -> bool {
         let listed = self.listed.get(&server);
-        listed.is_some_and(|at| at.effective.state == EndpointState::Ready)
+        listed.is_some_and(|entry| entry.effective.state == EndpointState::Ready)
     }
 
     /// Whether no endpoint is listed.
--- a/src/runtime/endpoints.rs
+++ b/src/runtime/endpoints.rs
@@ -1,4 +1,4 @@
-//! Updates of the endpoint list and of the servers under maintenance, and questions about them.
+//! Updates and queries of the endpoint list and of the servers under maintenance.
 
 use super::Runtime;
 use super::endpoint_directory::SlowStartWindow;
@@ -10,7 +10,8 @@
 use std::rc::Rc;
 
 impl Runtime {
-    /// Applies an endpoint list: first to the directory, so that the balancer chooses among known addresses.
+    /// Applies an endpoint list, first to the directory and then to the balancer, so that the address of every server
+    /// that the balancer chooses is known.
     pub fn update_endpoints(self: &Rc<Self>, kind: UpdateKind, list: EndpointList) {
         if let Some(entry) = &list.unusable {
             tracing::warn!(entry, "unusable address in endpoint list");
@@ -24,7 +25,7 @@
         self.endpoints_changed.notify_one();
     }
 
-    /// Applies a list that control instances distributed in place of discovery, and passes it on to the other processes
+    /// Applies a list received from the control instances instead of discovery, and forwards it to the other processes
     /// of this balancer as if it had come from discovery.
     pub fn update_from_distribution(self: &Rc<Self>, list: EndpointList) {
         let kind = list.update_kind();
@@ -44,13 +45,13 @@
         self.endpoints.borrow().maintenance().clone()
     }
 
-    /// Merges in newer knowledge of the servers under maintenance.
+    /// Merges newer entries into the servers under maintenance, and applies them.
     pub fn merge_maintenance(self: &Rc<Self>, maintenance: &MaintenanceSet) {
         self.endpoints.borrow_mut().merge_maintenance(maintenance);
         self.refresh_endpoints();
     }
 
-    /// Sets whether another process takes the clients.
+    /// Sets whether another process accepts the clients. If so, this process stops accepting them.
     pub fn set_clients_handed_over(self: &Rc<Self>, handed_over: bool) {
         self.endpoints
             .borrow_mut()
@@ -59,7 +60,7 @@
         self.lifecycle.set_accepting(!handed_over);
     }
 
-    /// Masks all endpoints anew, and tells the balancer of those that changed as if discovery had.
+    /// Recomputes the effective state of all endpoints, and passes those that changed to the balancer as an update.
     fn refresh_endpoints(self: &Rc<Self>) {
         let window = self.slow_start_window();
         let changed = self.endpoints.borrow_mut().refresh(window);
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Revision of the endpoint list applied last.
+    /// The revision of the endpoint list applied last.
     pub fn list_revision(&self) -> u64 {
         self.endpoints.borrow().revision()
     }
@@ -94,7 +95,7 @@
         self.endpoints.borrow().addresses()
     }
 
-    /// Whether the server is listed and takes new requests.
+    /// Whether the server is listed and accepts new requests.
     pub fn accepts_new_requests(&self, server: ServerId) -> bool {
         self.endpoints.borrow().accepts_new_requests(server)
     }
--- a/src/runtime/latency_tracker.rs
+++ b/src/runtime/latency_tracker.rs
@@ -3,12 +3,12 @@
 use crate::api::{BalancerConfig, Event, ServerId, Time};
 use std::collections::HashMap;
 
-/// A message that takes longer than the shortest objective divided by this is slow.
+/// A message that takes longer than the shortest latency objective divided by this is slow.
 const SLOW_DIVISOR: f64 = 3.0;
-/// While messages at a backend stay slow, the balancer is told once in this time, in seconds.
+/// Interval between reports to the balancer while messages at a backend stay slow, in seconds.
 const REPEAT_INTERVAL: Time = 1.0;
 
-/// The shortest latency objective for a message, in seconds, where the settings name one.
+/// Returns the shortest message latency objective of all classes, in seconds, or `None` if no class has one.
 pub(super) fn shortest_message_objective(config: &BalancerConfig) -> Option<Time> {
     let objectives = config
         .classes
@@ -17,16 +17,16 @@
     objectives.reduce(f64::min)
 }
 
-/// The backends whose messages take long.
+/// Tracks the backends whose messages are slow.
 pub struct LatencyTracker {
-    /// Messages that take longer, in seconds, are slow; infinite where no class has an objective for messages.
+    /// Messages that take longer than this, in seconds, are slow; infinite if no class has a message latency objective.
     threshold: Time,
-    /// When the balancer was last told of each slow backend.
+    /// When each slow backend was last reported to the balancer.
     last_reports: HashMap<ServerId, Time>,
 }
 
 impl LatencyTracker {
-    /// A tracker with the threshold that the settings give.
+    /// Creates a tracker with the threshold that results from the configuration.
     pub fn new(config: &BalancerConfig) -> Self {
         let objective = shortest_message_objective(config);
         Self {
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Handles the time of one message, in seconds. Returns the report for the balancer: one in each interval while the
-    /// backend is slow, and one when it is no longer.
+    /// Handles the measured time of one message, in seconds. Returns a report for the balancer once per interval while
+    /// the backend is slow, and once when it is no longer slow.
     pub fn measure(&mut self, now: Time, server: ServerId, seconds: Time) -> Option<Event> {
         if seconds <= self.threshold {
             let was_slow = self.last_reports.remove(&server).is_some();
--- a/src/runtime/lifecycle_state.rs
+++ b/src/runtime/lifecycle_state.rs
@@ -1,15 +1,15 @@
-//! How far the life of the process has come, and the clients that its end waits for.
+//! The lifecycle state of the process, and counters of the clients that its shutdown waits for.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// Counts clients that are still owed something.
+/// Counts the clients in one state that shutdown waits for.
 #[derive(Default)]
 pub struct ClientCounter(Rc<Cell<usize>>);
 
 impl ClientCounter {
-    /// The clients counted now.
+    /// The number of clients currently counted.
     pub fn count(&self) -> usize {
         self.0.get()
     }
@@ -21,7 +21,7 @@
     }
 }
 
-/// One counted client.
+/// Counts one client until it is dropped.
 pub struct CountedClient(Rc<Cell<usize>>);
 
 impl Drop for CountedClient {
@@ -30,7 +30,8 @@
     }
 }
 
-/// Readiness, draining mode, shutdown, and the clients to wait for.
+/// Whether discovery has answered, clients are accepted, the balancer drains and the process shuts down, and the
+/// clients that shutdown waits for.
 pub struct LifecycleState {
     discovery_answered: Cell<bool>,
     accepting: watch::Sender<bool>,
@@ -40,7 +41,7 @@
     exiting: watch::Sender<bool>,
     /// Clients whose request has not been received yet.
     pub clients_without_request: ClientCounter,
-    /// Clients that get their final response and have not closed their side yet.
+    /// Clients with a final response that have not closed their side yet.
     pub clients_with_pending_close: ClientCounter,
 }
 
@@ -80,14 +81,14 @@
         *self.accepting.borrow()
     }
 
-    /// Changes of whether clients are accepted.
+    /// Subscribes to changes of whether clients are accepted.
     pub fn subscribe_accepting(&self) -> watch::Receiver<bool> {
         self.accepting.subscribe()
     }
 
-    /// Sets draining mode, in which front proxies are told not to send clients; `true` if that is a change.
+    /// Sets draining mode, in which front proxies are told not to send clients. Returns whether the mode has changed.
     pub fn set_draining(&self, draining: bool) -> bool {
-        let replace = |before: &mut bool| std::mem::replace(before, draining) != draining;
+        let replace = |current: &mut bool| std::mem::replace(current, draining) != draining;
         self.draining.send_if_modified(replace)
     }
 
@@ -96,13 +97,13 @@
         *self.draining.borrow()
     }
 
-    /// Changes of draining mode.
+    /// Subscribes to changes of draining mode.
     pub fn subscribe_draining(&self) -> watch::Receiver<bool> {
         self.draining.subscribe()
     }
 
-    /// Sets whether draining mode was requested at this process. One that took over a balancer in draining mode
-    /// counts as ready all the same.
+    /// Sets whether draining mode was requested at this process. A process that took over a balancer in draining mode
+    /// still counts as ready.
     pub fn set_draining_requested_here(&self, requested: bool) {
         self.draining_requested_here.set(requested);
     }
@@ -112,22 +113,22 @@
         self.draining_requested_here.get()
     }
 
-    /// Records that the process was told to stop.
+    /// Records that the process was asked to stop.
     pub fn set_shutting_down(&self) {
         self.shutting_down.set(true);
     }
 
-    /// Whether the process was told to stop.
+    /// Whether the process was asked to stop.
     pub fn is_shutting_down(&self) -> bool {
         self.shutting_down.get()
     }
 
-    /// Records that the process is about to exit: clients without a request get their response now.
+    /// Records that the process is about to exit. Clients without a request get their response now.
     pub fn set_exiting(&self) {
         self.exiting.send_replace(true);
     }
 
-    /// Changes of whether the process is about to exit.
+    /// Subscribes to changes of whether the process is about to exit.
     pub fn subscribe_exiting(&self) -> watch::Receiver<bool> {
         self.exiting.subscribe()
     }
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -1,5 +1,5 @@
-//! The runtime of the balancer: events go in, and the actions that come back are dispatched to the command queues of the
-//! requests, to timers and to the discovery watcher.
+//! The runtime of the balancer: passes events to the balancer and dispatches the resulting actions to the command
+//! queues of the requests, to timers and to the discovery watcher.
 //!
 //! All tasks of the process share one [`Runtime`] on one thread. Its state is never borrowed across an await.
 
@@ -33,17 +33,17 @@
 use std::time::Duration;
 use tokio::sync::{Notify, mpsc};
 
-/// Where lists are pushed: an agent that has not answered for so long is not waited for, and the list as last known
-/// is used.
+/// How long readiness waits for the agent's first answer where endpoint lists are pushed. After that the cached
+/// endpoint list is used.
 const PUSHED_LIST_WAIT: Duration = Duration::from_secs(1);
 
-/// The balancer, and the buffer for its actions.
+/// The balancer and a reusable buffer for its actions.
 struct BalancerState {
     balancer: Balancer,
     actions: Vec<Action>,
 }
 
-/// What is measured of the backends.
+/// Measurements of the backends.
 struct Measurements {
     latency: LatencyTracker,
     reports: ReportClassifier,
@@ -58,7 +58,7 @@
     }
 }
 
-/// The state that all tasks of the process share.
+/// The state shared by all tasks of the process.
 pub struct Runtime {
     clock: Clock,
     balancer: RefCell<BalancerState>,
@@ -66,20 +66,20 @@
     endpoints: RefCell<EndpointDirectory>,
     requests: Rc<RequestRegistry>,
     process_config: RefCell<Rc<ProcessConfig>>,
-    /// How far the life of the process has come.
+    /// The lifecycle state of the process.
     pub lifecycle: LifecycleState,
     /// The other processes of this balancer.
     pub peer_processes: PeerProcesses,
-    /// The descriptors that clients hold here.
+    /// Limits the descriptors held by clients of this process.
     pub connection_limit: Rc<ConnectionLimit>,
     /// Wakes the discovery watcher.
     pub poll_requested: Notify,
-    /// Wakes those who follow the endpoint list.
+    /// Notified when the endpoint list changes.
     pub endpoints_changed: Notify,
 }
 
 impl Runtime {
-    /// The runtime of a process that knows no endpoint yet.
+    /// Creates the runtime of a process with an empty endpoint list.
     pub fn new(process_config: ProcessConfig) -> Self {
         let config = &process_config.config;
         let balancer = BalancerState {
@@ -106,7 +106,7 @@
         self.process_config.borrow().clone()
     }
 
-    /// Brings another configuration into effect.
+    /// Applies a new configuration.
     pub fn apply_config(self: &Rc<Self>, process_config: ProcessConfig) {
         let config = process_config.config.clone();
         self.measurements.replace(Measurements::new(&config));
@@ -119,12 +119,12 @@
         self.clock.now()
     }
 
-    /// The instant of a time.
+    /// The instant at which the clock shows `time`.
     pub fn instant(&self, time: Time) -> tokio::time::Instant {
         self.clock.instant(time)
     }
 
-    /// Passes an event to the balancer and dispatches the actions that it answers with, in their order.
+    /// Passes an event to the balancer and dispatches the resulting actions in order.
     pub fn handle_event(self: &Rc<Self>, event: Event) {
         let mut state = self.balancer.borrow_mut();
         let BalancerState { balancer, actions } = &mut *state;
@@ -166,27 +166,28 @@
         });
     }
 
-    /// The number of descriptors that this process may hold.
+    /// The number of descriptors that this process may hold: the limit of the balancer, less those of its other
+    /// processes.
     pub fn descriptor_limit(&self) -> usize {
         let limit = self.process_config().max_descriptors;
         limit.saturating_sub(self.peer_processes.descriptors())
     }
 
-    /// Whether endpoint lists are pushed by an agent.
+    /// Whether an agent pushes endpoint lists.
     pub fn has_pushed_discovery(&self) -> bool {
         self.process_config().config.discovery_mode == DiscoveryMode::Pushed
     }
 
-    /// Whether requests can be decided: an endpoint is listed, and where lists are pushed the agent has answered or has
-    /// had its time to.
+    /// Whether requests can be decided: an endpoint is listed and, where lists are pushed, the agent has answered or
+    /// `PUSHED_LIST_WAIT` has passed.
     pub fn is_ready(&self) -> bool {
-        let list_received = self.lifecycle.has_discovery_answered()
+        let list_settled = self.lifecycle.has_discovery_answered()
             || !self.has_pushed_discovery()
             || self.clock.uptime() >= PUSHED_LIST_WAIT;
-        list_received && !self.endpoints.borrow().is_empty()
+        list_settled && !self.endpoints.borrow().is_empty()
     }
 
-    /// Registers a request; `None` if its id is in use.
+    /// Registers a request. Returns `None` if its id is in use.
     pub fn register_request(
         &self,
         id: RequestId,
@@ -199,12 +200,12 @@
         self.requests.mark_established(id);
     }
 
-    /// Requests whose connection is established.
+    /// The requests whose connection is established.
     pub fn established_requests(&self) -> Vec<RequestId> {
         self.requests.established()
     }
 
-    /// Requests that wait for their response.
+    /// The requests that wait for their response.
     pub fn pending_requests(&self) -> Vec<RequestId> {
         self.requests.pending()
     }
--- a/src/runtime/peer_processes.rs
+++ b/src/runtime/peer_processes.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, watch};
 
-/// Links to the other processes, and what is known of them.
+/// The links to the other processes, their descriptor count and the successor.
 pub struct PeerProcesses {
     links: RefCell<Vec<mpsc::Sender<Frame>>>,
     descriptors: Cell<usize>,
@@ -24,43 +24,43 @@
 }
 
 impl PeerProcesses {
-    /// Adds a process: broadcast frames go into its queue from here on.
+    /// Adds a process, which receives all later broadcast frames through its queue.
     pub fn add(&self, link: mpsc::Sender<Frame>) {
         self.links.borrow_mut().push(link);
     }
 
-    /// Sends a frame to all other processes. One whose queue is full or closed is dropped.
+    /// Sends a frame to all other processes. A process whose queue is full or closed is removed.
     pub fn broadcast(&self, frame: impl Fn() -> Frame) {
         let mut links = self.links.borrow_mut();
         links.retain(|link| link.try_send(frame()).is_ok());
     }
 
-    /// The descriptors that another process of this balancer holds.
+    /// The number of descriptors that another process of this balancer holds.
     pub fn descriptors(&self) -> usize {
         self.descriptors.get()
     }
 
-    /// Sets the descriptors that another process of this balancer holds.
+    /// Sets the number of descriptors that another process of this balancer holds.
     pub fn set_descriptors(&self, descriptors: usize) {
         self.descriptors.set(descriptors);
     }
 
-    /// The process that takes over the established connections once this one shuts down.
+    /// The successor: the process that takes over the established connections when this process shuts down.
     pub fn successor(&self) -> Option<Rc<ConnectionSender>> {
         self.successor.borrow().clone()
     }
 
-    /// Whether there is such a process.
+    /// Whether there is a successor.
     pub fn has_successor(&self) -> bool {
         self.successor.borrow().is_some()
     }
 
-    /// Sets the process that takes over.
+    /// Sets or clears the successor.
     pub fn set_successor(&self, successor: Option<Rc<ConnectionSender>>) {
         self.successor.send_replace(successor);
     }
 
-    /// Waits until there is a process that takes over.
+    /// Waits until there is a successor.
     pub async fn wait_for_successor(&self) -> Rc<ConnectionSender> {
         let mut successor = self.successor.subscribe();
         match successor.wait_for(Option::is_some).await.as_deref() {
--- a/src/runtime/request_registry.rs
+++ b/src/runtime/request_registry.rs
@@ -1,4 +1,4 @@
-//! The requests of this process, each with the queue of its commands.
+//! The requests served by this process, each with its command queue.
 
 use crate::api::{RequestId, ServerId, Time};
 use std::cell::RefCell;
@@ -6,14 +6,14 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// What the task of a request is to do.
+/// A command for the task that serves a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Command {
     /// Start an attempt at this server, with this deadline.
     StartAttempt(ServerId, Time),
-    /// Send the local response that rejects the request, with a Retry-After in milliseconds (0: none).
+    /// Reject the request with a local response that carries a Retry-After in milliseconds (0: none).
     Reject(u64),
-    /// Send the local response that fails the request.
+    /// Fail the request with a local response.
     Fail,
     /// Cancel the attempt with this number.
     CancelAttempt(u32),
@@ -28,7 +28,7 @@
     established: bool,
 }
 
-/// The requests that are served by this process.
+/// Registry of the requests served by this process.
 #[derive(Default)]
 pub struct RequestRegistry {
     requests: RefCell<HashMap<RequestId, RegisteredRequest>>,
@@ -47,7 +47,7 @@
 }
 
 impl RequestRegistry {
-    /// Registers a request; `None` if the id is in use.
+    /// Registers a request. Returns `None` if the id is in use.
     pub fn register(
         self: &Rc<Self>,
         id: RequestId,
@@ -79,12 +79,12 @@
         }
     }
 
-    /// Requests whose connection is established.
+    /// The requests whose connection is established.
     pub fn established(&self) -> Vec<RequestId> {
         self.ids(true)
     }
 
-    /// Requests that wait for their response.
+    /// The requests that wait for their response.
     pub fn pending(&self) -> Vec<RequestId> {
         self.ids(false)
     }
@@ -97,7 +97,7 @@
         matching.map(|(id, _)| *id).collect()
     }
 
-    /// Queues a command; one for a request that has just ended is void.
+    /// Queues a command for a request. A command for a request that has just ended is dropped.
     pub fn send_command(&self, id: RequestId, command: Command) {
         if let Some(request) = self.requests.borrow().get(&id) {
             let _ = request.commands.send(command);
--- a/src/runtime/snapshot.rs
+++ b/src/runtime/snapshot.rs
@@ -1,4 +1,4 @@
-//! The state of the process as a snapshot for its successor, and back.
+//! Takes a snapshot of the process for its successor, and restores the predecessor's snapshot.
 
 use super::Runtime;
 use crate::api::{Event, UpdateKind};
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 impl Runtime {
-    /// The state from which a successor continues.
+    /// Takes a snapshot of the state from which a successor continues.
     pub fn snapshot(&self) -> Snapshot {
         let endpoints = self.endpoints.borrow();
         let balancer = &self.balancer.borrow().balancer;
@@ -20,11 +20,12 @@
         }
     }
 
-    /// Continues from the balancer and the endpoint list of the predecessor.
+    /// Restores the balancer and the endpoint list of the predecessor. If the balancer cannot be decoded, the current
+    /// one is kept.
     pub fn restore(self: &Rc<Self>, snapshot: Snapshot) {
         match postcard::from_bytes(&snapshot.balancer) {
             Ok(balancer) => self.balancer.borrow_mut().balancer = balancer,
-            Err(error) => tracing::warn!(%error, "unreadable balancer state of the predecessor"),
+            Err(error) => tracing::warn!(%error, "cannot decode the predecessor's balancer state"),
         }
         self.handle_event(Event::ConfigChanged(self.process_config().config.clone()));
         self.update_endpoints(UpdateKind::Full, snapshot.into_endpoint_list());
