--- a/src/invariants.rs
+++ b/src/invariants.rs
@@ -1,4 +1,4 @@
-//! Checks of invariants, and counters of unusual events. A broken invariant stops a debug build and is counted in a
+//! Invariant checks, and counters of unusual events. A violated invariant panics in a debug build and is counted in a
 //! release build.
 
 use std::cell::RefCell;
@@ -8,8 +8,8 @@
     static COUNTERS: RefCell<BTreeMap<&'static str, u64>> = const { RefCell::new(BTreeMap::new()) };
 }
 
-/// Checks an invariant; returns whether it holds. Where it does not, a debug build panics, and a release build counts it
-/// under its description.
+/// Checks an invariant and returns whether it holds. If it does not, a debug build panics and a release build counts
+/// the violation under the description.
 pub fn holds(invariant: bool, description: &'static str) -> bool {
     debug_assert!(invariant, "{description}");
     if !invariant {
@@ -18,8 +18,8 @@
     invariant
 }
 
-/// Counts an event that others may cause, such as malformed input. Logged when the count is a power of two, so that the
-/// log stays readable under a flood.
+/// Counts an event that other parties may cause, such as malformed input. The event is logged when the count is a power
+/// of two, so that the log stays readable under a flood.
 pub fn count(counter: &'static str) {
     let count = COUNTERS.with_borrow_mut(|counters| {
         let count = counters.entry(counter).or_default();
@@ -31,7 +31,7 @@
     }
 }
 
-/// Logs all counters, at the end of the process.
+/// Logs all counters. Called when the process exits.
 pub fn log_counters() {
     COUNTERS.with_borrow(|counters| {
         for (counter, count) in counters {
--- a/src/transfer/connection.rs
+++ b/src/transfer/connection.rs
@@ -1,4 +1,4 @@
-//! A client connection as another process continues it. The descriptors travel beside it.
+//! The state that another process needs to continue a client connection. The descriptors are sent alongside it.
 
 use crate::api::{Request, ServerId};
 use serde::{Deserialize, Serialize};
@@ -8,8 +8,8 @@
 pub enum TransferredConnection {
     /// An established connection, with the descriptors of the client and of the backend.
     Established(EstablishedConnection),
-    /// A client that has not completed its request line, with its descriptor: the bytes received so far, and the
-    /// seconds left to receive the rest.
+    /// A client that has not completed its request line, with the client's descriptor: the bytes received so far, and
+    /// the seconds left to receive the rest.
     AwaitingRequest(Vec<u8>, f64),
 }
 
@@ -18,26 +18,27 @@
 pub struct EstablishedConnection {
     /// The client's request.
     pub request: Request,
-    /// The server that serves it.
+    /// The server that the connection is established at.
     pub server: ServerId,
-    /// Number of the attempt that established it.
+    /// Number of the attempt that established the connection.
     pub attempt: u32,
     /// Bytes read from the client and not yet written to the backend.
     pub to_backend: Vec<u8>,
     /// Bytes read from the backend and not yet written to the client.
     pub to_client: Vec<u8>,
-    /// For each line that the backend has not answered yet: seconds since it was sent.
+    /// For each line without a reply from the backend: seconds since the line was sent, oldest first.
     pub unanswered_ages: Vec<f64>,
-    /// Seconds since the backend was last heard.
+    /// Seconds since the backend last sent anything, or since it was sent a line while it owed no reply, whichever is
+    /// shorter.
     pub backend_silent_for: f64,
-    /// Lines read from the client and not yet written completely.
+    /// Number of lines read from the client and not yet written completely.
     pub unsent_lines: usize,
-    /// Whether the backend has reported a figure on this connection.
+    /// Whether the backend has sent a `LOAD` report on this connection.
     pub has_reported: bool,
 }
 
 impl EstablishedConnection {
-    /// A connection that has just been established, with nothing in its buffers.
+    /// Creates the state of a connection that has just been established, with empty buffers.
     pub fn new(request: Request, server: ServerId, attempt: u32) -> Self {
         Self {
             request,
--- a/src/transfer/mod.rs
+++ b/src/transfer/mod.rs
@@ -1,8 +1,8 @@
-//! What one process of a balancer sends to another during a hot restart: its state, its client connections and updates
-//! of the endpoint list.
+//! The payloads that one process of a balancer sends to another during a hot restart: its state, its client connections
+//! and updates of the endpoint list.
 //!
-//! All of it is encoded with postcard, which knows fields by their place and enum variants by their number: the order
-//! and the types of fields are part of the format between versions.
+//! All payloads are encoded with postcard, which identifies fields by position and enum variants by number. The order
+//! and the types of the fields are part of the format between versions.
 
 pub mod connection;
 pub mod sender;
@@ -15,7 +15,7 @@
 use crate::discovery::endpoint_list::EndpointList;
 use spanspur_hot_restart::frame::Frame;
 
-/// The frame that notifies another process of an update of the endpoint list.
+/// Returns the frame that notifies another process of an update of the endpoint list.
 pub fn list_update_frame(list: &EndpointList) -> Frame {
     Frame::EndpointList(postcard::to_stdvec(list).unwrap_or_default())
 }
--- a/src/transfer/sender.rs
+++ b/src/transfer/sender.rs
@@ -9,17 +9,17 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// The link to the successor, over which connections are transferred.
+/// Transfers connections over the link to the successor.
 pub struct ConnectionSender {
     link: Sender,
-    /// Connections that are sent and not acknowledged, by their number.
+    /// Connections that are sent and not yet acknowledged, by number.
     unacknowledged: RefCell<HashMap<u64, oneshot::Sender<bool>>>,
     next_number: Cell<u64>,
     closed: Cell<bool>,
 }
 
 impl ConnectionSender {
-    /// Sends over this link.
+    /// Creates a sender for this link.
     pub fn new(link: Sender) -> Rc<Self> {
         Rc::new(Self {
             link,
@@ -34,8 +34,9 @@
         &self.link
     }
 
-    /// Transfers a connection; `true` if the successor has taken it over, else it stays with this process. Waits for
-    /// the acknowledgement or for the end of the link. Must not be dropped before it completes.
+    /// Transfers a connection. Returns `true` if the successor has taken it over, else the connection stays with this
+    /// process. Waits for the acknowledgement or the end of the link. The future must not be dropped before it
+    /// completes.
     pub async fn transfer(
         &self,
         connection: TransferredConnection,
@@ -62,19 +63,20 @@
         acknowledged.await.unwrap_or(false)
     }
 
-    /// Descriptors of the connections in transit: the successor counts them as its own.
+    /// Upper bound of the number of descriptors of the connections in transit. The successor counts them as its own.
     pub fn descriptors_in_transit(&self) -> usize {
         self.unacknowledged.borrow().len() * MAX_DESCRIPTORS
     }
 
-    /// Handles the successor's acknowledgement of a connection: whether it has taken it over.
+    /// Handles the successor's acknowledgement of a connection. `taken_over` tells whether the successor has taken the
+    /// connection over.
     pub fn acknowledge(&self, number: u64, taken_over: bool) {
         if let Some(waiting) = self.unacknowledged.borrow_mut().remove(&number) {
             let _ = waiting.send(taken_over);
         }
     }
 
-    /// Ends all transfers: what is not acknowledged stays with this process.
+    /// Ends all transfers. Connections that are not acknowledged stay with this process.
     pub fn close(&self) {
         self.closed.set(true);
         self.unacknowledged.borrow_mut().clear();
