--- a/tests/connection_limit.rs
+++ b/tests/connection_limit.rs
@@ -1,11 +1,11 @@
-//! Who gets descriptors when they run out, and who gives them up.
+//! Permits for descriptors, eviction of idle clients when the descriptors run out, and the descriptors for lingering.
 
 use spanspur::runtime::connection_limit::{ConnectionLimit, ConnectionPermit};
 use std::pin::pin;
 use std::rc::Rc;
 use std::task::{Context, Waker};
 
-/// Descriptors of a process in which clients may hold four: 40 are reserved.
+/// Descriptor limit of a process whose clients may hold four descriptors: 40 are reserved.
 const PROCESS_LIMIT: usize = 44;
 
 fn is_evicted(permit: &mut ConnectionPermit) -> bool {
@@ -19,7 +19,7 @@
     let permits = std::iter::repeat_with(|| limit.acquire_for_client(PROCESS_LIMIT));
     permits
         .take(4)
-        .map(|permit| permit.expect("free"))
+        .map(|permit| permit.expect("a descriptor is available"))
         .collect()
 }
 
@@ -37,8 +37,12 @@
 #[test]
 fn a_client_in_service_is_not_evicted() {
     let limit = Rc::new(ConnectionLimit::default());
-    let mut first = limit.acquire_for_client(PROCESS_LIMIT).expect("free");
-    let mut second = limit.acquire_for_client(PROCESS_LIMIT).expect("free");
+    let mut first = limit
+        .acquire_for_client(PROCESS_LIMIT)
+        .expect("a descriptor is available");
+    let mut second = limit
+        .acquire_for_client(PROCESS_LIMIT)
+        .expect("a descriptor is available");
     assert!(first.acquire_for_service(PROCESS_LIMIT));
     assert!(second.acquire_for_service(PROCESS_LIMIT));
     assert_eq!(limit.held(), 4);
@@ -47,7 +51,7 @@
 }
 
 #[test]
-fn descriptors_come_back_with_the_end_of_service_and_of_the_client() {
+fn descriptors_are_released_at_the_end_of_service_and_of_the_client() {
     let limit = Rc::new(ConnectionLimit::default());
     let mut client = limit.admit_in_service();
     assert_eq!(limit.held(), 2);
@@ -58,7 +62,7 @@
 }
 
 #[test]
-fn transferred_clients_are_admitted_past_the_limit() {
+fn transferred_clients_are_admitted_regardless_of_the_limit() {
     let limit = Rc::new(ConnectionLimit::default());
     let idle = fill(&limit);
     let transferred = [limit.admit_idle(), limit.admit_in_service()];
@@ -68,7 +72,7 @@
 }
 
 #[test]
-fn eight_rejected_clients_linger_at_a_time() {
+fn at_most_eight_rejected_clients_linger_at_a_time() {
     let limit = ConnectionLimit::default();
     let mut lingering: Vec<_> = (0..8).map(|_| limit.acquire_for_lingering()).collect();
     assert!(lingering.iter().all(Option::is_some));
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -1,4 +1,4 @@
-//! Memory of the balancer: bytes for each established connection, and none for finished requests.
+//! Memory of the balancer: limited per established connection, and released when requests end.
 
 mod common;
 use common::*;
@@ -6,43 +6,47 @@
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-struct Counting;
+struct CountingAllocator;
 
-static LIVE: AtomicUsize = AtomicUsize::new(0);
+static LIVE_BYTES: AtomicUsize = AtomicUsize::new(0);
 
-// SAFETY: every call goes to the system's allocator unchanged; only sizes are counted beside it.
-unsafe impl GlobalAlloc for Counting {
+// SAFETY: every call is forwarded unchanged to the system allocator; only the sizes are counted in addition.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        LIVE.fetch_add(layout.size(), Ordering::Relaxed);
+        LIVE_BYTES.fetch_add(layout.size(), Ordering::Relaxed);
         unsafe { System.alloc(layout) }
     }
     unsafe fn dealloc(&self, at: *mut u8, layout: Layout) {
-        LIVE.fetch_sub(layout.size(), Ordering::Relaxed);
+        LIVE_BYTES.fetch_sub(layout.size(), Ordering::Relaxed);
         unsafe { System.dealloc(at, layout) }
     }
 }
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 #[test]
-fn memory_is_bounded_for_each_established_connection_and_freed_with_each_request() {
+fn memory_is_bounded_per_established_connection_and_released_when_requests_end() {
     let mut node = Node::new(config());
     let list: Vec<Endpoint> = (0..20).map(server).collect();
     node.list(0.0, UpdateKind::Full, &list);
-    let before = LIVE.load(Ordering::Relaxed);
+    let before = LIVE_BYTES.load(Ordering::Relaxed);
     let count = 10_000;
     let mut open = Vec::with_capacity(count);
-    let own = LIVE.load(Ordering::Relaxed) - before;
+    let test_bytes = LIVE_BYTES.load(Ordering::Relaxed) - before;
     for _ in 0..count {
         let id = node.next_id();
         let to = node.ask(1.0, Request::new(id, 0, 3.0)).expect("a server");
         node.give(1.1, Event::Established { id, server: to });
         open.push((id, to));
     }
-    let each = (LIVE.load(Ordering::Relaxed) - before - own) / count;
-    assert!(each < 600, "{each} bytes for each established connection");
-    // Half end by an outcome, half by their client; then a thousand that were never established, queued ones among them.
+    let per_connection = (LIVE_BYTES.load(Ordering::Relaxed) - before - test_bytes) / count;
+    assert!(
+        per_connection < 600,
+        "{per_connection} bytes per established connection"
+    );
+    // Half of the connections end with an outcome, half by a disconnect of the client. A thousand requests follow that
+    // are never established, some of them queued.
     for (i, (id, server)) in open.iter().copied().enumerate() {
         let ended = AttemptEnded {
             id,
@@ -71,10 +75,10 @@
         node.give(now, Event::ClientDisconnected(id));
     }
     node.give(20.0, Event::Timer(2));
-    let left = LIVE.load(Ordering::Relaxed).saturating_sub(before);
-    // The queue and the trees keep some spare capacity; nothing grows with the requests served.
+    let left = LIVE_BYTES.load(Ordering::Relaxed).saturating_sub(before);
+    // The queue and the trees keep some spare capacity, but nothing grows with the number of requests served.
     assert!(
         left < 20_000,
-        "{left} bytes are left after {count} requests"
+        "{left} bytes are left allocated after {count} requests"
     );
 }
