--- a/tests/transfer.rs
+++ b/tests/transfer.rs
@@ -1,8 +1,9 @@
-//! The payloads of a hot restart (`src/transfer`) in their bytes: the older and the newer process may be of different builds.
+//! The encoding of the hot restart payloads (`src/transfer`): the predecessor and the successor may be different
+//! builds.
 //!
-//! The fixtures `tests/fixtures/hot_restart/*.bin` hold whole frames. They were written by the tree at 71566bd
-//! (`WRITE_FIXTURES=1` writes them anew); rewriting them hides a change of the wire. The mirrors below are the form
-//! of the wire, kept apart from the types of the code: places and types of fields, not names.
+//! The fixtures `tests/fixtures/hot_restart/*.bin` hold complete frames, written at commit 71566bd. `WRITE_FIXTURES=1`
+//! rewrites them, which hides a change of the format. The mirror types below define the format independently of the
+//! crate's types: the order and the types of the fields, not their names.
 
 use serde::{Deserialize, Serialize};
 use spanspur::Balancer;
@@ -21,19 +22,21 @@
         .join(name)
 }
 
-/// Holds a frame to its fixture, and returns it as read from there.
-fn kept(name: &str, frame: &Frame, descriptors: usize) -> Frame {
+/// Checks that a frame encodes to its fixture, and returns the frame decoded from the fixture.
+fn assert_matches_fixture(name: &str, frame: &Frame, descriptors: usize) -> Frame {
     let path = fixture(&format!("hot_restart/{name}.bin"));
-    let written = encode(frame, descriptors).expect("in bounds");
+    let encoded = encode(frame, descriptors).expect("the frame is within the limits");
     if std::env::var("WRITE_FIXTURES").is_ok_and(|value| value == "1") {
-        std::fs::write(&path, &written).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
+        std::fs::write(&path, &encoded).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
     }
-    let kept = std::fs::read(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
-    assert_eq!(written, kept, "{name}");
-    let decoded = decode(&kept).expect("a frame").expect("a whole one");
+    let expected = std::fs::read(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
+    assert_eq!(encoded, expected, "{name}");
+    let decoded = decode(&expected)
+        .expect("a valid frame")
+        .expect("a complete frame");
     assert_eq!(
         (decoded.descriptors, decoded.length),
-        (descriptors, kept.len()),
+        (descriptors, expected.len()),
         "{name}"
     );
     decoded.frame
@@ -66,7 +69,7 @@
     has_reported: bool,
 }
 
-/// `TransferredConnection` in its order of variants.
+/// A transferred connection, with the variants in the order of `TransferredConnection`.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 enum TransferredConnectionMirror {
     Established(EstablishedConnectionMirror),
@@ -119,33 +122,36 @@
     }
 }
 
-/// Reads the payload of a frame as the code does, writes it again and returns both.
-fn through<T: Serialize + for<'a> Deserialize<'a>>(payload: &[u8]) -> (T, Vec<u8>) {
-    let read: T = postcard::from_bytes(payload).expect("a payload");
-    let written = postcard::to_stdvec(&read).expect("written");
-    (read, written)
+/// Decodes the payload of a frame as a type of the crate, and returns the value and its encoding.
+fn decode_and_encode<T: Serialize + for<'a> Deserialize<'a>>(payload: &[u8]) -> (T, Vec<u8>) {
+    let decoded: T = postcard::from_bytes(payload).expect("a valid payload");
+    let encoded = postcard::to_stdvec(&decoded).expect("the payload is encoded");
+    (decoded, encoded)
 }
 
-/// The payload of a connection through the code's own types, held to its fixture and to its mirror.
-fn connection(
+/// Checks that a connection has the same encoding as its mirror and as its fixture. Returns the connection decoded from
+/// the fixture.
+fn assert_connection_matches_fixture(
     name: &str,
     mirror: &TransferredConnectionMirror,
     descriptors: usize,
 ) -> TransferredConnection {
-    let bytes = postcard::to_stdvec(mirror).expect("written");
-    let (_, written) = through::<TransferredConnection>(&bytes);
-    assert_eq!(written, bytes, "{name}: not the form of the mirror");
-    let sent = Frame::Connection {
+    let bytes = postcard::to_stdvec(mirror).expect("the mirror is encoded");
+    let (_, encoded) = decode_and_encode::<TransferredConnection>(&bytes);
+    assert_eq!(encoded, bytes, "{name}: differs from the mirror");
+    let frame = Frame::Connection {
         number: 9,
-        payload: written,
+        payload: encoded,
     };
-    let Frame::Connection { number: 9, payload } = kept(name, &sent, descriptors) else {
-        panic!("{name}: another frame");
+    let Frame::Connection { number: 9, payload } =
+        assert_matches_fixture(name, &frame, descriptors)
+    else {
+        panic!("{name}: unexpected frame");
     };
-    let (read, again) = through::<TransferredConnection>(&payload);
-    assert_eq!(again, payload, "{name}: written again");
+    let (connection, encoded) = decode_and_encode::<TransferredConnection>(&payload);
+    assert_eq!(encoded, payload, "{name}: encoded again");
     assert_eq!(postcard::from_bytes(&payload).as_ref(), Ok(mirror));
-    read
+    connection
 }
 
 fn listed_endpoints() -> Vec<ListedEndpoint> {
@@ -157,7 +163,7 @@
         started_at,
         cell: 3,
     };
-    let address = |text: &str| text.parse().expect("an address");
+    let address = |text: &str| text.parse().expect("a valid address");
     vec![
         ListedEndpoint {
             endpoint: endpoint("s-1", EndpointState::Ready, 0.0),
@@ -174,8 +180,8 @@
     ]
 }
 
-fn assert_listed_endpoints(read: &[ListedEndpoint]) {
-    let form = |listed: &ListedEndpoint| {
+fn assert_listed_endpoints(endpoints: &[ListedEndpoint]) {
+    let fields = |listed: &ListedEndpoint| {
         let Endpoint {
             id,
             zone,
@@ -186,16 +192,18 @@
         } = listed.endpoint;
         (id, zone, state, weight, started_at, cell, listed.address)
     };
-    let read: Vec<_> = read.iter().map(form).collect();
-    let want: Vec<_> = listed_endpoints().iter().map(form).collect();
-    assert_eq!(read, want);
+    let actual: Vec<_> = endpoints.iter().map(fields).collect();
+    let expected: Vec<_> = listed_endpoints().iter().map(fields).collect();
+    assert_eq!(actual, expected);
 }
 
 #[test]
-fn an_established_connection_has_the_bytes_of_its_fixture() {
+fn the_encoding_of_an_established_connection_matches_its_fixture() {
     let mirror = TransferredConnectionMirror::Established(established());
-    let TransferredConnection::Established(transferred) = connection("standing", &mirror, 2) else {
-        panic!("another kind of connection");
+    let TransferredConnection::Established(transferred) =
+        assert_connection_matches_fixture("standing", &mirror, 2)
+    else {
+        panic!("unexpected kind of connection");
     };
     let Request {
         id,
@@ -221,7 +229,7 @@
         (1234.5678, Some(0.25), true, false)
     );
     assert_eq!(transferred.server, ServerId::of("s-4"));
-    connection(
+    assert_connection_matches_fixture(
         "standing_bare",
         &TransferredConnectionMirror::Established(without_data()),
         2,
@@ -229,62 +237,68 @@
 }
 
 #[test]
-fn a_connection_awaiting_its_request_has_the_bytes_of_its_fixture() {
-    let said = b"REQ 00000000000000aa half".to_vec();
-    let mirror = TransferredConnectionMirror::AwaitingRequest(said.clone(), 1.75);
-    let TransferredConnection::AwaitingRequest(read, left) = connection("reading", &mirror, 1)
+fn the_encoding_of_a_connection_awaiting_its_request_matches_its_fixture() {
+    let sent = b"REQ 00000000000000aa half".to_vec();
+    let mirror = TransferredConnectionMirror::AwaitingRequest(sent.clone(), 1.75);
+    let TransferredConnection::AwaitingRequest(received, time_left) =
+        assert_connection_matches_fixture("reading", &mirror, 1)
     else {
-        panic!("another kind of connection");
+        panic!("unexpected kind of connection");
     };
-    assert_eq!((read, left), (said, 1.75));
+    assert_eq!((received, time_left), (sent, 1.75));
 }
 
 #[test]
-fn a_snapshot_with_a_real_balancer_has_the_bytes_of_its_fixture() {
-    let snapshot = std::fs::read(fixture("balancer_snapshot.bin")).expect("the snapshot's fixture");
+fn the_encoding_of_a_snapshot_with_a_real_balancer_matches_its_fixture() {
+    let balancer_bytes =
+        std::fs::read(fixture("balancer_snapshot.bin")).expect("the fixture exists");
     let mut maintenance = MaintenanceSet::default();
     maintenance.record_listed(ServerId::of("s-1").0);
     maintenance
         .detach("s-1", ServerId::of("s-1").0, 1_764_750_000.125)
-        .expect("listed");
-    let known = Snapshot {
-        discovery: "10.9.8.7:8500".parse().expect("an address"),
+        .expect("the server is listed");
+    let expected = Snapshot {
+        discovery: "10.9.8.7:8500".parse().expect("a valid address"),
         revision: 1 << 40,
         endpoints: listed_endpoints(),
-        balancer: snapshot.clone(),
+        balancer: balancer_bytes.clone(),
         maintenance: maintenance.to_text(),
         draining: true,
     };
-    let payload = postcard::to_stdvec(&known).expect("written");
-    let sent = Frame::State {
+    let payload = postcard::to_stdvec(&expected).expect("the snapshot is encoded");
+    let frame = Frame::State {
         version: VERSION,
         snapshot: payload,
     };
     let Frame::State {
         version: VERSION,
         snapshot: payload,
-    } = kept("state_known", &sent, 0)
+    } = assert_matches_fixture("state_known", &frame, 0)
     else {
-        panic!("another frame");
+        panic!("unexpected frame");
     };
-    let (read, again) = through::<Snapshot>(&payload);
-    assert_eq!(again, payload, "written again");
+    let (snapshot, encoded) = decode_and_encode::<Snapshot>(&payload);
+    assert_eq!(encoded, payload, "encoded again");
+    assert_eq!(
+        (snapshot.discovery, snapshot.revision, snapshot.draining),
+        (expected.discovery, 1 << 40, true)
+    );
+    assert_listed_endpoints(&snapshot.endpoints);
+    assert_eq!(snapshot.balancer, balancer_bytes);
+    let (_, encoded_balancer) = decode_and_encode::<Balancer>(&snapshot.balancer);
     assert_eq!(
-        (read.discovery, read.revision, read.draining),
-        (known.discovery, 1 << 40, true)
+        encoded_balancer, balancer_bytes,
+        "the balancer encoded again"
     );
-    assert_listed_endpoints(&read.endpoints);
-    assert_eq!(read.balancer, snapshot);
-    let (_, balancer) = through::<Balancer>(&read.balancer);
-    assert_eq!(balancer, snapshot, "the snapshot written again");
-    let taken_out = MaintenanceSet::parse(read.maintenance.as_bytes()).expect("a whole file");
-    assert_eq!(taken_out.names().collect::<Vec<_>>(), ["s-1"]);
-    let list = read.into_endpoint_list();
+    let maintenance =
+        MaintenanceSet::parse(snapshot.maintenance.as_bytes()).expect("a complete file");
+    assert_eq!(maintenance.names().collect::<Vec<_>>(), ["s-1"]);
+    let list = snapshot.into_endpoint_list();
     assert_eq!((list.revision, list.complete), (1 << 40, true));
 }
 
 #[test]
-fn a_list_update_has_the_bytes_of_its_fixture() {
+fn the_encoding_of_a_list_update_matches_its_fixture() {
     for (name, complete, unusable) in [
         ("list_complete", true, None),
         ("list_changes", false, Some("'nowhere' of s-9".to_owned())),
@@ -295,33 +309,35 @@
             endpoints: listed_endpoints(),
             unusable: unusable.clone(),
         };
-        let Frame::EndpointList(payload) = kept(name, &list_update_frame(&list), 0) else {
-            panic!("{name}: another frame");
+        let Frame::EndpointList(payload) =
+            assert_matches_fixture(name, &list_update_frame(&list), 0)
+        else {
+            panic!("{name}: unexpected frame");
         };
-        let (read, again) = through::<EndpointList>(&payload);
-        assert_eq!(again, payload, "{name}: written again");
+        let (decoded, encoded) = decode_and_encode::<EndpointList>(&payload);
+        assert_eq!(encoded, payload, "{name}: encoded again");
         assert_eq!(
-            (read.revision, read.complete, read.unusable),
+            (decoded.revision, decoded.complete, decoded.unusable),
             (4711, complete, unusable)
         );
-        assert_listed_endpoints(&read.endpoints);
+        assert_listed_endpoints(&decoded.endpoints);
     }
 }
 
-/// Two fields of one type could change places without a change of the form.
+/// Swapping two fields of the same type changes no bytes, so the comparison with the fixtures would not detect it.
 #[test]
-fn each_field_of_an_established_connection_is_read_from_its_own_place() {
-    let bytes = std::fs::read(fixture("hot_restart/standing.bin")).expect("the fixture");
-    let whole = decode(&bytes).expect("a frame");
+fn each_field_of_an_established_connection_is_decoded_from_its_own_position() {
+    let bytes = std::fs::read(fixture("hot_restart/standing.bin")).expect("the fixture exists");
+    let decoded = decode(&bytes).expect("a valid frame");
     let Some(DecodedFrame {
         frame: Frame::Connection { payload, .. },
         ..
-    }) = whole
+    }) = decoded
     else {
-        panic!("another frame: {whole:?}");
+        panic!("unexpected frame: {decoded:?}");
     };
     let Ok(TransferredConnection::Established(connection)) = postcard::from_bytes(&payload) else {
-        panic!("another kind of connection");
+        panic!("unexpected kind of connection");
     };
     let EstablishedConnection {
         request,
