--- a/tests/sockets/endings.rs
+++ b/tests/sockets/endings.rs
@@ -1,5 +1,5 @@
-//! What is still owed at the instant in which something ends: each crossing is forced by a scripted peer.
-//! `docs/design/endings.md` tables them.
+//! Races between the end of a connection, an attempt or the process and events that arrive at the same time. Scripted
+//! peers force each race. `docs/design/endings.md` lists them.
 
 use crate::peers::*;
 use socket2::{Domain, Socket, Type};
@@ -7,36 +7,37 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// A class of which no second attempt may run.
-const ONCE: (&str, &str) = (r#""semantics":"free""#, r#""semantics":"single_shot""#);
-/// Its clients wait longer than a process that leaves may.
-const PATIENT: (&str, &str) = (r#""hardLimit":2.0"#, r#""hardLimit":9.0"#);
+/// Replacement of settings: a request of the class must not run twice, so no retry follows an attempt that may have
+/// run.
+const SINGLE_SHOT: (&str, &str) = (r#""semantics":"free""#, r#""semantics":"single_shot""#);
+/// Replacement of settings: the clients may wait longer than a process may take to shut down.
+const LONG_HARD_LIMIT: (&str, &str) = (r#""hardLimit":2.0"#, r#""hardLimit":9.0"#);
 
-/// Whether a client is answered as failed, refused, or not at all.
-fn answer(client: &mut Peer) -> String {
-    let answer = client.line();
-    let word = answer.split([' ', '\r']).next();
+/// Returns the first word of a client's response; empty if the connection ends without one.
+fn response_word(client: &mut Peer) -> String {
+    let response = client.line();
+    let word = response.split([' ', '\r']).next();
     word.unwrap_or("").to_owned()
 }
 
 #[test]
-fn a_resting_client_hears_busy_at_its_end_and_a_request_read_after_that_is_not_sent_on() {
+fn an_idle_client_gets_busy_at_its_timeout_and_a_later_request_is_not_forwarded() {
     let (discovery, backend) = (Discovery::new(), Backend::new("s-1"));
     let balancer = Balancer::start(&discovery, &[backend.entry("SERVING")]);
-    let mut rests = balancer.connect();
+    let mut idle = balancer.connect();
     assert_eq!(
-        (answer(&mut rests), rests.line()),
+        (response_word(&mut idle), idle.line()),
         ("BUSY".into(), String::new())
     );
-    // Its first line crosses the end of the connection: the balancer has shut its side by now.
-    rests.say("OPEN 00000000000000a1 7f3a c=live,d=2000\r\n");
+    // The client's first line arrives after the balancer has shut down its side.
+    idle.say("OPEN 00000000000000a1 7f3a c=live,d=2000\r\n");
     assert!(backend.is_left_alone(Duration::from_millis(300)));
-    // The connection was read to its end: nothing was left over that would have reset it.
-    assert!(rests.stream().write(b"x").is_ok());
+    // The balancer has read all bytes: unread ones would have reset the connection.
+    assert!(idle.stream().write(b"x").is_ok());
 }
 
 #[test]
-fn a_front_that_asked_is_not_told_no_when_its_connection_ends() {
+fn a_front_proxy_that_has_probed_gets_no_busy_when_its_connection_times_out() {
     let (discovery, backend) = (Discovery::new(), Backend::new("s-1"));
     let balancer = Balancer::start(&discovery, &[backend.entry("SERVING")]);
     let mut front = balancer.connect();
@@ -48,45 +49,50 @@
 }
 
 #[test]
-fn an_exit_answers_who_rests_and_who_waits_by_what_may_have_run() {
+fn at_exit_idle_clients_get_busy_and_pending_ones_a_response_by_class_semantics() {
     let backend = Backend::new("s-1");
-    // A single attempt has all the time of its client.
-    let one = (r#""maxAttempts":3"#, r#""maxAttempts":1"#);
-    for (other, wanted) in [
-        (vec![PATIENT, one], "BUSY"),
-        (vec![PATIENT, one, ONCE], "ERR"),
+    // With a single attempt, its timeout is the whole wait of the client.
+    let one_attempt = (r#""maxAttempts":3"#, r#""maxAttempts":1"#);
+    for (replacements, expected) in [
+        (vec![LONG_HARD_LIMIT, one_attempt], "BUSY"),
+        (vec![LONG_HARD_LIMIT, one_attempt, SINGLE_SHOT], "ERR"),
     ] {
         let entry = [backend.entry("SERVING")];
-        let balancer = Balancer::start_as(no_discovery(), &entry, &other);
-        // The backend has the request and says nothing: it may run yet.
-        let mut waits = balancer.open(0xb1, 8000);
+        let balancer = Balancer::start_as(no_discovery(), &entry, &replacements);
+        // The backend has received the request and does not respond: the request may still run.
+        let mut pending = balancer.open(0xb1, 8000);
         let (_server, _) = backend.accept();
         balancer.signal("-TERM");
-        // Comes late and rests: its own time is not over when the process has to go.
+        // This client connects late and stays idle: its timeout has not expired when the process has to exit.
         std::thread::sleep(Duration::from_millis(1500));
-        let mut rests = balancer.connect();
-        assert_eq!(answer(&mut waits), wanted);
-        assert_eq!(answer(&mut rests), "BUSY");
-        assert_eq!((waits.line(), rests.line()), (String::new(), String::new()));
-        // They have not ended their sides: an exit over a last word of theirs would reset what they were told.
+        let mut idle = balancer.connect();
+        assert_eq!(response_word(&mut pending), expected);
+        assert_eq!(response_word(&mut idle), "BUSY");
+        assert_eq!(
+            (pending.line(), idle.line()),
+            (String::new(), String::new())
+        );
+        // The clients have not closed their sides: if they sent more and the process exited, the reset could take the
+        // responses with it.
         wait_until(|| {
             balancer
                 .log()
                 .contains("waiting for answered clients to close")
         });
-        drop((waits, rests));
+        drop((pending, idle));
         assert_eq!(balancer.exit(), Some(0));
     }
 }
 
 #[test]
-fn one_that_comes_in_the_last_instant_before_an_exit_is_served() {
+fn a_client_that_connects_just_before_the_exit_is_served() {
     let (discovery, backend) = (Discovery::new(), obliging("s-1"));
     for n in 0..8 {
         let balancer =
             Balancer::start_as(discovery.address, &[backend.entry("SERVING")], &[UNHURRIED]);
         balancer.signal("-TERM");
-        // Its looks for what is left fall due while it is stopped: they and the client come at once.
+        // While the process is stopped, its next check for remaining clients falls due: after it continues, the check
+        // and the client's connection are pending at the same time.
         std::thread::sleep(Duration::from_millis(400));
         let mut late = balancer.at_once(|| {
             std::thread::sleep(Duration::from_millis(100));
@@ -99,20 +105,20 @@
     }
 }
 
-/// Whether the kernel has the end of the connection from `remote` at the socket of `local`: /proc/net/tcp shows it in
-/// the state CLOSE_WAIT, or no more if it was reset.
+/// Whether the kernel has received the end of the connection from `remote` at the socket of `local`: /proc/net/tcp
+/// shows the socket in the state CLOSE_WAIT, or no longer shows it if the connection was reset.
 fn has_received_end(local: SocketAddr, remote: SocketAddr) -> bool {
     const CLOSE_WAIT: &str = "08";
-    let form = |address: SocketAddr| match address {
+    let encode = |address: SocketAddr| match address {
         SocketAddr::V4(address) => format!(
             "{:08X}:{:04X}",
             u32::from_ne_bytes(address.ip().octets()),
             address.port()
         ),
-        SocketAddr::V6(address) => panic!("{address}: the stories run on IPv4"),
+        SocketAddr::V6(address) => panic!("{address}: the tests run on IPv4"),
     };
-    let (local, remote) = (form(local), form(remote));
-    let table = std::fs::read_to_string("/proc/net/tcp").expect("the kernel's table");
+    let (local, remote) = (encode(local), encode(remote));
+    let table = std::fs::read_to_string("/proc/net/tcp").expect("/proc/net/tcp is readable");
     let mut states = table.lines().filter_map(|line| {
         let columns: Vec<&str> = line.split_whitespace().collect();
         (columns.get(1..3)? == [&local, &remote]).then(|| columns[3].to_owned())
@@ -121,10 +127,14 @@
 }
 
 #[test]
-fn no_further_attempt_begins_for_a_client_that_left_as_the_one_before_ended() {
+fn no_retry_starts_for_a_client_that_disconnects_as_the_attempt_fails() {
     let (discovery, one, two) = (Discovery::new(), Backend::new("s-1"), Backend::new("s-2"));
-    let fleet = [one.entry("SERVING"), two.entry("SERVING")];
-    let balancer = Balancer::start_as(discovery.address, &fleet, &[LATE, UNHURRIED]);
+    let entries = [one.entry("SERVING"), two.entry("SERVING")];
+    let balancer = Balancer::start_as(
+        discovery.address,
+        &entries,
+        &[LONG_CONNECT_TIMEOUT, UNHURRIED],
+    );
     for n in 0..20 {
         let client = balancer.open(0xd00 + n, 2000);
         let (mut server, _) = next_of(&[&one, &two]);
@@ -132,10 +142,10 @@
             server.say("BUSY\r\n");
             let address = client.stream().local_addr().expect("connected");
             drop(client);
-            // On a busy machine the end of the connection may arrive later than the process goes on.
+            // On a busy machine the process could otherwise continue before the end of the connection arrives.
             wait_until(|| has_received_end(balancer.address(), address));
         });
-        // Let go, whichever way, and nobody else asked.
+        // The attempt's connection is closed or reset, and no other attempt is made.
         assert!(["", "reset"].contains(&server.line().as_str()));
         for backend in [&one, &two] {
             assert!(
@@ -146,175 +156,190 @@
     }
 }
 
-/// A backend to which connections come up late: its queue is full until the story empties it.
-struct Slow {
+/// A backend that accepts connections late: its accept queue is full until the test drains it.
+struct SlowBackend {
     listener: TcpListener,
     queue: Vec<TcpStream>,
-    at: SocketAddr,
+    address: SocketAddr,
 }
 
-impl Slow {
+impl SlowBackend {
     fn new() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-        let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
-        socket.bind(&any.into()).expect("a port");
-        // The shortest queue there is holds one.
+        let any_port: SocketAddr = "127.0.0.1:0".parse().expect("an address");
+        socket.bind(&any_port.into()).expect("a port");
+        // The shortest possible queue holds one connection.
         socket.listen(0).expect("listens");
         let listener: TcpListener = socket.into();
-        let at = listener.local_addr().expect("bound");
-        let queue = vec![TcpStream::connect(at).expect("queued")];
+        let address = listener.local_addr().expect("bound");
+        let queue = vec![TcpStream::connect(address).expect("queued")];
         Self {
             listener,
             queue,
-            at,
+            address,
         }
     }
 
     fn entry(&self, phase: &str) -> String {
-        Backend::new("s-1").entry_at(phase, self.at)
+        Backend::new("s-1").entry_at(phase, self.address)
     }
 
-    /// Somebody is connecting here, and is not through.
-    fn is_waited_for(&self) -> bool {
-        let port = format!(":{:04X}", self.at.port());
+    /// Whether a connection to this backend is pending (in the state SYN_SENT).
+    fn has_connecting_peer(&self) -> bool {
+        const SYN_SENT: &str = "02";
+        let port = format!(":{:04X}", self.address.port());
         let table = std::fs::read_to_string("/proc/net/tcp").unwrap_or_default();
         table.lines().any(|line| {
-            let words: Vec<&str> = line.split_whitespace().collect();
-            words.len() > 3 && words[2].ends_with(&port) && words[3] == "02"
+            let columns: Vec<&str> = line.split_whitespace().collect();
+            columns.len() > 3 && columns[2].ends_with(&port) && columns[3] == SYN_SENT
         })
     }
 
-    /// Empties the queue: what waits comes up with its next try, within a second. Says what it sends.
-    fn hears(&mut self) -> String {
-        drop(self.listener.accept().expect("the first of the queue"));
+    /// Drains the queue, so that a pending connection is established by its next retransmission, within a second.
+    /// Returns the bytes received on it.
+    fn drain_queue_and_read(&mut self) -> String {
+        drop(self.listener.accept().expect("the queued connection"));
         self.queue.clear();
         self.listener.set_nonblocking(true).expect("settable");
-        let mut said = String::new();
+        let mut received = String::new();
         let end = Instant::now() + Duration::from_millis(1500);
         while Instant::now() < end {
             if let Ok((mut late, _)) = self.listener.accept() {
                 late.set_nonblocking(false).expect("settable");
-                let span = Some(Duration::from_millis(500));
-                late.set_read_timeout(span).expect("settable");
-                let _ = late.read_to_string(&mut said);
+                let timeout = Some(Duration::from_millis(500));
+                late.set_read_timeout(timeout).expect("settable");
+                let _ = late.read_to_string(&mut received);
             }
             std::thread::sleep(Duration::from_millis(10));
         }
-        said
+        received
     }
 }
 
-/// Connecting takes longer than anything else here.
-const LATE: (&str, &str) = (r#""connectTimeout":0.25"#, r#""connectTimeout":4.0"#);
+/// Replacement of settings: the connect timeout is longer than any other timeout of these tests.
+const LONG_CONNECT_TIMEOUT: (&str, &str) = (r#""connectTimeout":0.25"#, r#""connectTimeout":4.0"#);
 
 #[test]
-fn an_attempt_that_connects_is_given_up_when_its_client_leaves() {
-    let mut slow = Slow::new();
-    // A single attempt has all the time of its client, which is 2 s.
-    let one = (r#""maxAttempts":3"#, r#""maxAttempts":1"#);
-    let balancer = Balancer::start_as(no_discovery(), &[slow.entry("SERVING")], &[LATE, one]);
+fn a_connecting_attempt_is_abandoned_when_its_client_disconnects() {
+    let mut slow = SlowBackend::new();
+    // With a single attempt, its timeout is the whole wait of the client, 2 s.
+    let one_attempt = (r#""maxAttempts":3"#, r#""maxAttempts":1"#);
+    let balancer = Balancer::start_as(
+        no_discovery(),
+        &[slow.entry("SERVING")],
+        &[LONG_CONNECT_TIMEOUT, one_attempt],
+    );
     let client = balancer.open(0xe1, 2000);
-    wait_until(|| slow.is_waited_for());
-    let left = Instant::now();
+    wait_until(|| slow.has_connecting_peer());
+    let disconnected_at = Instant::now();
     drop(client);
-    wait_until(|| !slow.is_waited_for());
+    wait_until(|| !slow.has_connecting_peer());
     assert!(
-        left.elapsed() < Duration::from_secs(1),
+        disconnected_at.elapsed() < Duration::from_secs(1),
         "{:?}",
-        left.elapsed()
+        disconnected_at.elapsed()
     );
-    assert_eq!(slow.hears(), "");
+    assert_eq!(slow.drain_queue_and_read(), "");
 }
 
 #[test]
-fn nothing_is_sent_where_a_drain_was_told_while_the_attempt_connected() {
-    let (mut slow, discovery) = (Slow::new(), Backend::new("d-1"));
-    // A single attempt has all the time of its client.
-    let one = (r#""maxAttempts":3"#, r#""maxAttempts":1"#);
-    let balancer = Balancer::start_as(discovery.at(), &[slow.entry("SERVING")], &[LATE, one]);
+fn no_request_is_sent_to_a_server_listed_as_draining_while_the_attempt_connects() {
+    let (mut slow, discovery) = (SlowBackend::new(), Backend::new("d-1"));
+    // With a single attempt, its timeout is the whole wait of the client.
+    let one_attempt = (r#""maxAttempts":3"#, r#""maxAttempts":1"#);
+    let balancer = Balancer::start_as(
+        discovery.at(),
+        &[slow.entry("SERVING")],
+        &[LONG_CONNECT_TIMEOUT, one_attempt],
+    );
     let (mut watch, _) = discovery.call();
     let mut client = balancer.open(0xe2, 2000);
-    wait_until(|| slow.is_waited_for());
+    wait_until(|| slow.has_connecting_peer());
     watch.say(&http(&list(2, false, &[slow.entry("DRAINING")])));
     discovery.next_call(&mut watch);
-    assert!(slow.is_waited_for());
-    assert_eq!(slow.hears(), "");
-    assert_eq!(answer(&mut client), "BUSY");
+    assert!(slow.has_connecting_peer());
+    assert_eq!(slow.drain_queue_and_read(), "");
+    assert_eq!(response_word(&mut client), "BUSY");
 }
 
 #[test]
-fn nothing_is_sent_to_a_server_taken_out_while_the_attempt_connected() {
-    let mut slow = Slow::new();
-    let one = (r#""maxAttempts":3"#, r#""maxAttempts":1"#);
-    let balancer = Balancer::start_as(no_discovery(), &[slow.entry("SERVING")], &[LATE, one]);
+fn no_request_is_sent_to_a_server_detached_while_the_attempt_connects() {
+    let mut slow = SlowBackend::new();
+    let one_attempt = (r#""maxAttempts":3"#, r#""maxAttempts":1"#);
+    let balancer = Balancer::start_as(
+        no_discovery(),
+        &[slow.entry("SERVING")],
+        &[LONG_CONNECT_TIMEOUT, one_attempt],
+    );
     let mut client = balancer.open(0xe3, 2000);
-    wait_until(|| slow.is_waited_for());
+    wait_until(|| slow.has_connecting_peer());
     assert_eq!(balancer.call("/_stream-servers/detach", "s-1").0, 200);
-    assert!(slow.is_waited_for());
-    assert_eq!(slow.hears(), "");
-    assert_eq!(answer(&mut client), "BUSY");
+    assert!(slow.has_connecting_peer());
+    assert_eq!(slow.drain_queue_and_read(), "");
+    assert_eq!(response_word(&mut client), "BUSY");
 }
 
 #[test]
-fn one_that_waits_for_room_and_leaves_is_never_sent_on() {
+fn a_queued_client_that_disconnects_is_never_forwarded() {
     let backend = Backend::new("s-1");
     let discovery = Backend::new("d-1");
     let balancer = Balancer::begin_as(discovery.at(), &[backend.entry("DRAINING")], &[UNHURRIED]);
     let (mut watch, _) = discovery.call();
     let client = balancer.open(0xf1, 2000);
-    // It waits: nobody may be asked. It leaves, and there is room, in the same instant.
+    // The client is queued, as no server accepts requests. It disconnects at the same moment as a server becomes ready.
     balancer.wait_for_requests(1);
     balancer.at_once(|| {
         drop(client);
         watch.say(&http(&list(2, false, &[backend.entry("SERVING")])));
     });
     assert!(backend.hears_no_line(Duration::from_millis(500)));
-    // There was room: the next client is sent on.
+    // The server was ready: the next client is forwarded.
     let _next = balancer.open(0xf2, 2000);
     assert!(backend.accept().1.starts_with("OPEN 00000000000000f2 "));
 }
 
 #[test]
-fn a_move_comes_between_whole_lines_and_never_after_a_last_word() {
+fn a_move_line_comes_between_complete_lines_and_never_after_an_announced_end() {
     let (discovery, backend) = (Discovery::new(), Backend::new("s-1"));
     let balancer = Balancer::start(&discovery, &[backend.entry("SERVING")]);
     let (mut client, mut server) = balancer.standing(0x11, &backend);
-    let (mut served, mut server_of_it) = balancer.standing(0x12, &backend);
+    let (mut ending_client, mut ending_server) = balancer.standing(0x12, &backend);
     server.say("R 1\r\nHAL");
     assert_eq!(client.line(), "R 1\r\n");
-    server_of_it.say("BYE\r\n");
-    assert_eq!(served.line(), "BYE\r\n");
-    // Half a line of the client's is not sent on either.
+    ending_server.say("BYE\r\n");
+    assert_eq!(ending_client.line(), "BYE\r\n");
+    // An incomplete line of the client is not forwarded either.
     client.say("M 1\r\nM ");
     assert_eq!(server.line(), "M 1\r\n");
     balancer.signal("-TERM");
-    // A late word of the platform's changes nothing any more.
+    // A reload after the shutdown has begun has no effect.
     balancer.signal("-HUP");
     assert_eq!(
         (client.line(), client.line()),
         ("MOVE\r\n".into(), String::new())
     );
     assert_eq!(server.line(), "");
-    // Its backend has said its last word, and may take its time to end: nothing of ours follows.
-    assert_eq!(rest(served), "");
-    drop(server_of_it);
+    // The backend has announced the end and has not closed yet: the balancer adds no line of its own.
+    assert_eq!(rest(ending_client), "");
+    drop(ending_server);
     drop(client);
     assert_eq!(balancer.exit(), Some(0));
 }
 
 #[test]
-fn a_client_that_gives_way_with_words_unread_still_hears_its_answer() {
+fn an_evicted_client_with_unread_bytes_still_receives_its_response() {
     let (discovery, backend) = (Discovery::new(), Backend::new("s-1"));
     let balancer = Balancer::start(&discovery, &[backend.entry("SERVING")]);
     let mut crowd: Vec<Peer> = (0..200).map(|_| balancer.connect()).collect();
-    // All of it is there when the balancer looks: half a line of the first ones, and the crowd that they give way to.
+    // When the balancer continues, it has both the incomplete lines of the first clients and the connections of the new
+    // clients, for which the first ones are evicted.
     let more: Vec<Peer> = balancer.at_once(|| {
         crowd.iter_mut().for_each(|client| client.say("OPEN 0000"));
         (0..100).map(|_| balancer.connect()).collect()
     });
     for client in &mut crowd[..60] {
         assert_eq!(
-            (answer(client), client.line()),
+            (response_word(client), client.line()),
             ("BUSY".into(), String::new())
         );
     }
@@ -322,35 +347,39 @@
 }
 
 #[test]
-fn a_client_that_finds_no_room_hears_it_whatever_it_has_said_already() {
+fn a_client_rejected_for_lack_of_descriptors_gets_busy_whatever_it_has_sent() {
     let (discovery, backend) = (Discovery::new(), obliging("s-1"));
     let balancer = Balancer::start_as(discovery.address, &[backend.entry("SERVING")], &[UNHURRIED]);
-    let mut standing = Vec::new();
-    // Each takes two of its 256 descriptors; some are left for what is no client's.
+    let mut established = Vec::new();
+    // Each client takes two of the 256 descriptors of the process; some are reserved for other uses.
     let last = loop {
-        let mut client = balancer.open(0x800 + standing.len() as u64, 1000);
+        let mut client = balancer.open(0x800 + established.len() as u64, 1000);
         match client.line().as_str() {
-            "UP r1\r\n" => standing.push(client),
+            "UP r1\r\n" => established.push(client),
             other => break other.to_owned(),
         }
     };
     assert_eq!(last, "BUSY\r\n");
-    assert!((100..128).contains(&standing.len()), "{}", standing.len());
-    // Their lines are there by the time they are accepted, and they are more than the balancer waits for.
-    let away: Vec<Peer> =
+    assert!(
+        (100..128).contains(&established.len()),
+        "{}",
+        established.len()
+    );
+    // The clients' lines have arrived by the time the clients are accepted, and there are more clients than may linger.
+    let rejected: Vec<Peer> =
         balancer.at_once(|| (0..24).map(|n| balancer.open(0x900 + n, 1000)).collect());
-    for mut client in away {
+    for mut client in rejected {
         assert_eq!(
-            (answer(&mut client), client.line()),
+            (response_word(&mut client), client.line()),
             ("BUSY".into(), String::new())
         );
     }
 }
 
 #[test]
-fn answers_cut_off_endless_doubled_or_garbled_never_reach_a_client() {
+fn truncated_endless_doubled_or_garbled_responses_never_reach_a_client() {
     let endless = "U".repeat(9000);
-    let odd = [
+    let invalid = [
         "UP",
         "UP r1",
         "BUSY\r\nUP r1\r\n",
@@ -359,77 +388,83 @@
         &endless,
         "",
     ];
-    for text in odd {
+    for text in invalid {
         let (discovery, backend) = (Discovery::new(), Backend::new("s-1"));
         let balancer = Balancer::start(&discovery, &[backend.entry("SERVING")]);
         let client = balancer.open(0x301, 700);
         let (server, _) = backend.accept();
         server.stream().write_all(text.as_bytes()).expect("sent");
-        // What has no end is given up at its length, the others at the end of the connection.
+        // The endless response fails at the length limit, the others at the end of the connection.
         if text.len() < 9000 {
             server.stream().shutdown(Shutdown::Both).expect("open");
         }
-        let said = rest(client);
-        let answers = ["BUSY\r\n", "ERR\r\n"];
-        assert!(answers.contains(&said.as_str()), "{text:.20}: {said}");
+        let received = rest(client);
+        let expected = ["BUSY\r\n", "ERR\r\n"];
+        assert!(
+            expected.contains(&received.as_str()),
+            "{text:.20}: {received}"
+        );
     }
 }
 
 #[test]
-fn floods_cost_their_own_connection_and_hold_nobody_up() {
+fn floods_end_their_own_connection_and_do_not_delay_other_clients() {
     let (discovery, backend) = (Discovery::new(), obliging("s-1"));
     let balancer = Balancer::start_as(discovery.address, &[backend.entry("SERVING")], &[UNHURRIED]);
     let flood = vec![b'x'; 1 << 20];
-    let at = balancer.address();
+    let address = balancer.address();
     std::thread::scope(|scope| {
         for _ in 0..4 {
             scope.spawn(|| {
-                let mut client = TcpStream::connect(at).expect("accepted");
+                let mut client = TcpStream::connect(address).expect("accepted");
                 client
                     .set_read_timeout(Some(Duration::from_secs(6)))
                     .expect("settable");
-                // 60 MB, or until the balancer has had enough.
-                let began = Instant::now();
+                // 60 MB, or until the balancer closes the connection.
+                let started = Instant::now();
                 for _ in 0..60 {
                     if client.write_all(&flood).is_err() {
                         break;
                     }
                 }
-                let mut said = Vec::new();
-                let _ = client.read_to_end(&mut said);
-                assert!(said.is_empty() || said == b"ERR\r\n", "{said:?}");
+                let mut received = Vec::new();
+                let _ = client.read_to_end(&mut received);
+                assert!(
+                    received.is_empty() || received == b"ERR\r\n",
+                    "{received:?}"
+                );
                 assert!(
-                    began.elapsed() < Duration::from_secs(6),
+                    started.elapsed() < Duration::from_secs(6),
                     "{:?}",
-                    began.elapsed()
+                    started.elapsed()
                 );
             });
         }
         for n in 0..20 {
-            let asked = Instant::now();
+            let started = Instant::now();
             let mut client = balancer.open(0x500 + n, 1000);
             assert_eq!(client.line(), "UP r1\r\n");
             assert!(
-                asked.elapsed() < Duration::from_millis(500),
+                started.elapsed() < Duration::from_millis(500),
                 "{:?}",
-                asked.elapsed()
+                started.elapsed()
             );
         }
     });
 }
 
 #[test]
-fn idle_clients_leave_descriptors_for_discovery_attempts_and_the_staff() {
+fn idle_clients_leave_descriptors_for_discovery_attempts_and_admin_calls() {
     let (discovery, backend) = (Backend::new("d-1"), obliging("s-1"));
     let balancer = Balancer::start_as(discovery.at(), &[backend.entry("SERVING")], &[UNHURRIED]);
-    // Discovery is down: its call breaks, and so do those that follow while the crowd comes.
+    // Discovery is down: the calls to it fail while the idle clients connect.
     drop(discovery.call());
-    let crowd: Vec<Peer> = (0..400).map(|_| balancer.connect()).collect();
+    let idle: Vec<Peer> = (0..400).map(|_| balancer.connect()).collect();
     drop(discovery.call());
     let (mut watch, call) = discovery.call();
     assert!(call.contains("since=1&"), "{call}");
     assert_eq!(balancer.call("/_ready", "").0, 200);
-    let standing: Vec<Peer> = (0..40)
+    let established: Vec<Peer> = (0..40)
         .map(|n| {
             let mut client = balancer.open(0x600 + n, 1000);
             assert_eq!(client.line(), "UP r1\r\n");
@@ -438,32 +473,33 @@
         .collect();
     watch.say(&http(&list(2, false, &[backend.entry("DRAINING")])));
     discovery.next_call(&mut watch);
-    drop((crowd, standing));
+    drop((idle, established));
 }
 
 #[test]
-fn a_repeat_that_could_arrive_after_its_window_is_not_sent() {
+fn a_retry_that_could_arrive_after_the_repeat_window_is_not_sent() {
     let (one, two) = (Backend::new("s-1"), Backend::new("s-2"));
-    let fleet = [one.entry("SERVING"), two.entry("SERVING")];
-    let keyed = (
+    let entries = [one.entry("SERVING"), two.entry("SERVING")];
+    let guarded = (
         r#""semantics":"free""#,
         r#""semantics":"guarded","group":"all","repeatWindow":0.6"#,
     );
-    let balancer = Balancer::start_as(no_discovery(), &fleet, &[keyed]);
-    for (pause, repeats) in [(0, true), (450, false)] {
+    let balancer = Balancer::start_as(no_discovery(), &entries, &[guarded]);
+    for (pause, is_retried) in [(0, true), (450, false)] {
         let mut client = balancer.open(0x700 + pause, 1800);
         let (mut server, _) = next_of(&[&one, &two]);
-        // A connection to the next one may take 0.25 s: begun after 0.45 s, the repeat could arrive after 0.7 s.
+        // Connecting to the next server may take 0.25 s: a retry that starts after 0.45 s could arrive after 0.7 s,
+        // past the window of 0.6 s.
         std::thread::sleep(Duration::from_millis(pause));
         server.say("?\r\n");
-        if repeats {
+        if is_retried {
             let (mut server, _) = next_of(&[&one, &two]);
             server.say("UP r1\r\n");
             assert_eq!(client.line(), "UP r1\r\n");
             // Both are clear again.
             std::thread::sleep(Duration::from_millis(700));
         } else {
-            assert_eq!(answer(&mut client), "BUSY");
+            assert_eq!(response_word(&mut client), "BUSY");
             assert!(one.hears_no_line(Duration::from_millis(50)));
             assert!(two.hears_no_line(Duration::from_millis(50)));
         }
