--- a/tests/sockets/service.rs
+++ b/tests/sockets/service.rs
@@ -1,4 +1,4 @@
-//! Stories of day-to-day service: the staff's calls, servers taken out, a balancer that is emptied.
+//! Day-to-day operation: admin calls, servers under maintenance, draining a balancer and inherited listening sockets.
 
 use crate::peers::*;
 use std::io::Write;
@@ -10,7 +10,7 @@
 const ATTACH: &str = "/_stream-servers/attach";
 
 #[test]
-fn a_server_taken_out_gets_nothing_whatever_the_list_says_until_one_call_back() {
+fn a_detached_server_gets_no_request_whatever_the_list_says_until_it_is_attached() {
     let (discovery, backend) = (Discovery::new(), Backend::new("s-1"));
     let balancer = Balancer::start(&discovery, &[backend.entry("SERVING")]);
     let (mut client, mut server) = balancer.standing(0xd1, &backend);
@@ -18,28 +18,28 @@
     assert_eq!(balancer.call(ATTACH, "s-9").0, 404);
     assert_eq!(balancer.call(DETACH, "s-1\n").0, 200);
     assert_eq!(balancer.call(DETACH, "s-1").0, 200);
-    let refused = |id| {
+    let assert_rejected = |id| {
         assert!(balancer.open(id, 400).line().starts_with("BUSY"));
         assert!(backend.is_left_alone(Duration::from_millis(50)));
     };
-    refused(0xd2);
-    // The list goes on naming it, drops it, and names it again.
+    assert_rejected(0xd2);
+    // The list still contains the server, then drops it, then contains it again.
     discovery.tell(2, true, &[backend.entry("SERVING")]);
     discovery.wait_for_calls(2);
-    refused(0xd3);
+    assert_rejected(0xd3);
     discovery.tell(3, true, &[]);
     discovery.tell(4, true, &[backend.entry("SERVING")]);
     discovery.wait_for_calls(4);
-    refused(0xd4);
-    // Put back while no list names it, and taken out once more.
+    assert_rejected(0xd4);
+    // The server is attached while no list contains it, and detached again.
     discovery.tell(5, true, &[]);
     discovery.wait_for_calls(5);
     assert_eq!(balancer.call(ATTACH, "s-1").0, 200);
     assert_eq!(balancer.call(DETACH, "s-1").0, 200);
     discovery.tell(6, true, &[backend.entry("SERVING")]);
     discovery.wait_for_calls(6);
-    refused(0xd6);
-    // What stands there may go on until the server ends it.
+    assert_rejected(0xd6);
+    // The connection established there continues until the server ends it.
     client.say("M 1\r\n");
     assert_eq!(server.line(), "M 1\r\n");
     assert_eq!(balancer.call(ATTACH, "s-1").0, 200);
@@ -48,14 +48,14 @@
 }
 
 #[test]
-fn a_retry_does_not_go_to_a_server_taken_out_while_the_attempt_before_was_out() {
+fn a_retry_does_not_go_to_a_server_detached_during_the_previous_attempt() {
     let (discovery, one, two) = (Discovery::new(), Backend::new("s-1"), Backend::new("s-2"));
-    let fleet = [one.entry("SERVING"), two.entry("SERVING")];
-    let balancer = Balancer::start(&discovery, &fleet);
+    let entries = [one.entry("SERVING"), two.entry("SERVING")];
+    let balancer = Balancer::start(&discovery, &entries);
     let mut client = balancer.open(0xc1, 1500);
     let (mut server, _) = next_of(&[&one, &two]);
-    let at = server.stream().local_addr().expect("bound");
-    let (asked, other) = if one.at() == at {
+    let address = server.stream().local_addr().expect("bound");
+    let (chosen, other) = if one.at() == address {
         (&one, &two)
     } else {
         (&two, &one)
@@ -64,17 +64,19 @@
     server.say("BUSY\r\n");
     assert!(client.line().starts_with("BUSY"));
     assert!(other.is_left_alone(Duration::from_millis(50)));
-    // The file is there before the yes: one killed in between has it out as well, and a second call is a yes.
-    assert_eq!(balancer.call(DETACH, asked.id).0, 200);
-    let kept = std::fs::read(balancer.folder().path.join("spanspur-n0.outs")).expect("the file");
-    let kept = spanspur_admin::maintenance::MaintenanceSet::parse(&kept).expect("whole");
-    assert_eq!(kept.names().count(), 2);
+    // The file is written before the call succeeds. A process killed in between restarts with the server detached, and
+    // a second call succeeds.
+    assert_eq!(balancer.call(DETACH, chosen.id).0, 200);
+    let file = std::fs::read(balancer.folder().path.join("spanspur-n0.outs")).expect("the file");
+    let maintenance =
+        spanspur_admin::maintenance::MaintenanceSet::parse(&file).expect("a complete file");
+    assert_eq!(maintenance.names().count(), 2);
 }
 
 #[test]
-fn what_is_out_outlives_a_kill_and_a_torn_file_is_set_aside() {
+fn maintenance_survives_a_kill_and_a_truncated_file_is_set_aside() {
     let (discovery, one, two) = (Discovery::new(), Backend::new("s-1"), Backend::new("s-2"));
-    let known = [one.entry("SERVING"), two.entry("SERVING")];
+    let entries = [one.entry("SERVING"), two.entry("SERVING")];
     let [address, operator] = free_ports();
     let folder = std::sync::Arc::new(Folder::new(address));
     let start = || {
@@ -84,7 +86,7 @@
             operator,
             None,
             discovery.address,
-            &known,
+            &entries,
         );
         wait_until(|| std::net::TcpStream::connect(operator).is_ok());
         assert_eq!(balancer.call("/_ready", "").0, 200);
@@ -94,7 +96,7 @@
     assert_eq!(balancer.call(DETACH, "s-1").0, 200);
     balancer.kill();
     let balancer = start();
-    // All stay open: a backend that ends several of its connections is left alone for a while.
+    // All connections stay open: a backend that ends several of its connections gets no requests for a while.
     let mut open = Vec::new();
     for id in 0xe0..0xe8 {
         let (client, mut server) = (balancer.open(id, 2000), two.accept().0);
@@ -104,8 +106,8 @@
     assert!(one.is_left_alone(Duration::from_millis(50)));
     balancer.kill();
     let file = folder.path.join("spanspur-n0.outs");
-    let whole = std::fs::read(&file).expect("the file");
-    std::fs::write(&file, &whole[..whole.len() / 2]).expect("written");
+    let complete = std::fs::read(&file).expect("the file");
+    std::fs::write(&file, &complete[..complete.len() / 2]).expect("written");
     let balancer = start();
     assert!(
         balancer
@@ -115,17 +117,17 @@
         balancer.log()
     );
     assert!(folder.path.join("spanspur-n0.outs.bad").exists());
-    // It starts, and what it held is lost: the staff is told by the log.
+    // The process starts without the servers under maintenance, and the log tells the operator.
     assert_eq!(balancer.call(DETACH, "s-2").0, 200);
     let (_client, mut server) = (balancer.open(0xe9, 2000), one.accept().0);
     server.say("UP r1\r\n");
 }
 
 #[test]
-fn calls_are_answered_in_a_crowd_and_among_callers_that_finish_nothing() {
+fn admin_calls_are_answered_despite_many_idle_clients_and_stalled_callers() {
     let (discovery, backend) = (Discovery::new(), Backend::new("s-1"));
     let balancer = Balancer::start(&discovery, &[backend.entry("SERVING")]);
-    let crowd: Vec<Peer> = (0..300).map(|_| balancer.connect()).collect();
+    let idle: Vec<Peer> = (0..300).map(|_| balancer.connect()).collect();
     let stalled: Vec<Peer> = (0..20)
         .map(|n| {
             let mut caller = balancer.caller();
@@ -142,14 +144,14 @@
         "{:?}",
         start.elapsed()
     );
-    drop((crowd, stalled));
-    let bad = [
+    drop((idle, stalled));
+    let invalid = [
         ("GET / HTTP/1.1\r\n\r\n", 404),
         ("GET /_lameduck/on HTTP/1.1\r\n\r\n", 405),
         ("POST /_stream-servers/detach HTTP/1.1\r\n\r\n", 411),
         ("nonsense\r\n\r\n", 400),
     ];
-    for (text, status) in bad {
+    for (text, status) in invalid {
         assert_eq!(balancer.call_raw(text).0, status, "{text}");
     }
     let mut front = balancer.connect();
@@ -158,23 +160,23 @@
 }
 
 #[test]
-fn an_emptied_balancer_says_no_moves_all_in_time_and_serves_again() {
+fn a_draining_balancer_refuses_probes_migrates_all_clients_in_time_and_recovers() {
     let (discovery, backend) = (Discovery::new(), Backend::new("s-1"));
     let balancer = Balancer::start(&discovery, &[backend.entry("SERVING")]);
     let (mut client, _server) = balancer.standing(0xf1, &backend);
-    // The front has asked before, on the same connection.
+    // The front proxy has probed before, on the same connection.
     let mut front = balancer.connect();
-    let ask = |front: &mut Peer| {
+    let probe = |front: &mut Peer| {
         front.say("PING\r\n");
         front.line()
     };
-    assert_eq!(ask(&mut front), "PONG\r\n");
-    let told = Instant::now();
+    assert_eq!(probe(&mut front), "PONG\r\n");
+    let drain_started = Instant::now();
     assert_eq!(balancer.call("/_lameduck/on", "").0, 200);
     assert_eq!(balancer.call("/_lameduck/on", "").0, 200);
-    assert_ne!(ask(&mut front), "PONG\r\n");
+    assert_ne!(probe(&mut front), "PONG\r\n");
     assert_eq!(balancer.call("/_ready", "").0, 503);
-    // Who comes all the same is served, and moved.
+    // A client that connects nevertheless is served and then migrated.
     let (mut late, _late_server) = balancer.standing(0xf2, &backend);
     for client in [&mut client, &mut late] {
         assert_eq!(
@@ -183,14 +185,14 @@
         );
     }
     assert!(
-        told.elapsed() < Duration::from_secs(4),
+        drain_started.elapsed() < Duration::from_secs(4),
         "{:?}",
-        told.elapsed()
+        drain_started.elapsed()
     );
     assert_eq!(balancer.call("/_lameduck/off", "").0, 200);
-    assert_eq!(ask(&mut front), "PONG\r\n");
+    assert_eq!(probe(&mut front), "PONG\r\n");
     assert_eq!(balancer.call("/_ready", "").0, 200);
-    // On, off and on again; then the process is told to stop as well.
+    // Draining mode is set, cleared and set again; then the process is also asked to stop.
     let (mut client, _server) = balancer.standing(0xf3, &backend);
     for call in ["/_lameduck/on", "/_lameduck/off", "/_lameduck/on"] {
         assert_eq!(balancer.call(call, "").0, 200);
@@ -202,13 +204,13 @@
 }
 
 #[test]
-fn a_descriptor_that_is_no_listening_socket_is_named() {
+fn the_error_names_an_inherited_descriptor_that_is_not_a_listening_socket() {
     let (discovery, [address, operator]) = (Discovery::new(), free_ports());
     let folder = std::sync::Arc::new(Folder::new(address));
-    let held = TcpListener::bind(address).expect("free");
+    let listener = TcpListener::bind(address).expect("the address is free");
     let connected = std::net::TcpStream::connect(address).expect("accepted");
     let file = std::fs::File::open("/dev/null").expect("a file");
-    let wrong = [
+    let unusable = [
         (
             OwnedFd::from(connected),
             "descriptor 4 is a socket that does not listen",
@@ -218,52 +220,52 @@
             "descriptor 4 is not a socket: /dev/null",
         ),
     ];
-    for (fd, what) in wrong {
-        let held = TcpListener::from(fd);
+    for (fd, error) in unusable {
+        let inherited = TcpListener::from(fd);
         let start = (folder.clone(), address, operator);
         let process = Balancer::begin(
             start.0,
             start.1,
             start.2,
-            Some(&held),
+            Some(&inherited),
             discovery.address,
             &[],
         );
         assert_eq!(process.exit(), Some(1));
         let log = std::fs::read_to_string(folder.path.join("log")).expect("a log");
         assert!(
-            log.contains(&format!("BALANCER_ACCEPT_FD: {what}")),
+            log.contains(&format!("BALANCER_ACCEPT_FD: {error}")),
             "{log}"
         );
     }
-    drop(held);
-    // A number that nothing is open under, and one that is none.
-    for (fd, what) in [
+    drop(listener);
+    // A descriptor that is not open, and a value that is not a number.
+    for (fd, error) in [
         ("9", "descriptor 9 is not open"),
         ("x", "not the number of a descriptor"),
     ] {
-        let ended = std::process::Command::new(env!("CARGO_BIN_EXE_spanspur"))
+        let output = std::process::Command::new(env!("CARGO_BIN_EXE_spanspur"))
             .env("BALANCER_CONFIG", folder.path.join("config.json"))
             .env("BALANCER_ACCEPT_FD", fd)
             .output()
             .expect("it starts");
-        let log = String::from_utf8_lossy(&ended.stderr);
-        assert!(!ended.status.success() && log.contains(what), "{log}");
+        let log = String::from_utf8_lossy(&output.stderr);
+        assert!(!output.status.success() && log.contains(error), "{log}");
     }
 }
 
 #[test]
-fn clients_come_to_the_socket_that_the_platform_holds() {
+fn clients_are_accepted_on_the_inherited_listening_socket() {
     let (discovery, backend) = (Discovery::new(), Backend::new("s-1"));
     let [address, operator] = free_ports();
-    let held = TcpListener::bind(address).expect("free");
+    let inherited = TcpListener::bind(address).expect("the address is free");
     let folder = std::sync::Arc::new(Folder::new(address));
     let entry = backend.entry("SERVING");
     let balancer = Balancer::begin(
         folder,
         address,
         operator,
-        Some(&held),
+        Some(&inherited),
         discovery.address,
         &[entry],
     );
@@ -274,7 +276,7 @@
     assert_eq!(client.line(), "MOVE\r\n");
     drop(client);
     assert_eq!(balancer.exit(), Some(0));
-    // The socket is the platform's: it goes on listening.
+    // The socket outlives the process: the test holds it open, so it still listens.
     let mut waiting = std::net::TcpStream::connect(address).expect("listens");
     waiting.write_all(b"PING\r\n").expect("queued");
 }
