--- a/src/bin/spanspur-simulator-adapter.rs
+++ b/src/bin/spanspur-simulator-adapter.rs
@@ -1,4 +1,4 @@
-//! The simulator's adapter: batches on standard input, replies on standard output.
+//! The simulator's adapter: reads batches from standard input and writes replies to standard output.
 
 use spanspur::protocol::simulator;
 use std::io::{self, BufWriter};
--- a/src/protocol/simulator/adapter.rs
+++ b/src/protocol/simulator/adapter.rs
@@ -1,32 +1,32 @@
-//! The adapter of one process: the simulated instances, each with its balancer, and what they share.
+//! The simulated instances, each with its balancer, and the endpoint lists that they share.
 
 use super::error::{BatchError, EventError};
-use super::event::{endpoint, translate};
+use super::event::{endpoint_from_entry, translate};
 use super::raw::{Batch, Raw, Reply, Step};
-use super::step::step;
+use super::step::step_for_action;
 use crate::Balancer;
 use crate::api::{Action, Endpoint, ServerId, Time};
 use crate::config::{BalancerSettings, non_negative, required_field};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// Numbers of endpoint lists run from 0 to this.
+/// The largest number of an endpoint list; the smallest is 0.
 const MAX_SLOT: u64 = 15;
 
-/// One instance of the simulation: its balancer, and the class names that its settings gave.
+/// A simulated instance: its balancer, and the class names from its settings.
 pub(super) struct Instance {
     balancer: Balancer,
     pub class_names: Vec<String>,
 }
 
-/// The endpoint lists under their numbers, and the names behind server ids.
+/// The endpoint lists by number, and the names of servers by id.
 #[derive(Default)]
 pub(super) struct Endpoints {
     pub lists: BTreeMap<u64, Arc<[Endpoint]>>,
     pub names: HashMap<ServerId, Arc<str>>,
 }
 
-/// Balancers driven over the simulator's protocol.
+/// Handles the simulator's batches with one balancer for each simulated instance.
 #[derive(Default)]
 pub struct SimulatorAdapter {
     instances: BTreeMap<u64, Instance>,
@@ -36,19 +36,19 @@
 }
 
 impl SimulatorAdapter {
-    /// Handles one line and returns the reply's line, its end included.
+    /// Handles one line and returns the reply, including its line ending.
     ///
     /// # Errors
-    /// If the line is not a batch, or at the first of its events that cannot be handled.
+    /// If the line is not a batch, or for the first event that cannot be handled.
     pub fn handle_batch(&mut self, line: &str) -> Result<Vec<u8>, BatchError> {
         let batch: Batch = serde_json::from_str(line).map_err(BatchError::Malformed)?;
         let now = non_negative(batch.wall, "wall")?;
         self.steps.clear();
-        for (place, raw) in batch.happened.into_iter().enumerate() {
+        for (index, raw) in batch.happened.into_iter().enumerate() {
             let kind = raw.kind.0.clone();
             self.handle_event(now, raw)
                 .map_err(|source| BatchError::Event {
-                    number: place + 1,
+                    number: index + 1,
                     kind: kind.into_owned(),
                     source,
                 })?;
@@ -91,12 +91,13 @@
         }
         self.instances.insert(who, instance);
         for action in self.actions.drain(..) {
-            self.steps.push(step(who, action, &self.endpoints.names)?);
+            self.steps
+                .push(step_for_action(who, action, &self.endpoints.names)?);
         }
         Ok(())
     }
 
-    /// Takes the instance with this number out; the caller puts it back if it goes on.
+    /// Removes the instance with this number; the caller inserts it again if the instance continues to run.
     fn remove_instance(&mut self, who: Option<u64>) -> Result<(u64, Instance), EventError> {
         let who = required_field(who, "who")?;
         match self.instances.remove(&who) {
@@ -118,13 +119,16 @@
         let entries = required_field(raw.members_list, "membersList")?;
         let list = entries
             .iter()
-            .map(|entry| endpoint(self.server_id(&entry.host)?, entry))
+            .map(|entry| endpoint_from_entry(self.server_id(&entry.host)?, entry))
             .collect::<Result<_, _>>()?;
         self.lists.insert(slot, list);
         Ok(())
     }
 
-    /// The id of the server with this name, which is remembered. Two names with one hash cannot be told apart.
+    /// The id of the server with this name. Remembers the name, which the steps use.
+    ///
+    /// # Errors
+    /// If another name has the same hash: the two servers could not be distinguished.
     pub fn server_id(&mut self, name: &str) -> Result<ServerId, EventError> {
         let id = ServerId::of(name);
         let known = self.names.entry(id).or_insert_with(|| name.into());
--- a/src/protocol/simulator/error.rs
+++ b/src/protocol/simulator/error.rs
@@ -1,54 +1,54 @@
-//! Errors of the simulator's protocol. Their texts end a run and name the message, event and field at fault.
+//! Errors of the simulator's protocol. An error ends the run; its text names the invalid message, event and field.
 
 use crate::config::{FieldError, SettingsError};
 use std::io;
 use thiserror::Error;
 
-/// A run that ended early.
+/// A run that ended with an error.
 #[derive(Debug, Error)]
 #[error("message {message}: {source}")]
 pub struct SimulatorError {
-    /// The number of the message (the line) at fault, from 1 on.
+    /// The number of the message (the line), from 1 on.
     pub message: usize,
-    /// What is wrong with it.
+    /// Why the message cannot be served.
     pub source: ServeError,
 }
 
 /// A message that cannot be served.
 #[derive(Debug, Error)]
 pub enum ServeError {
-    /// The input fails.
-    #[error("unreadable: {0}")]
+    /// The input cannot be read.
+    #[error("cannot read the line: {0}")]
     Unreadable(#[source] io::Error),
     /// The batch cannot be handled.
     #[error(transparent)]
     Batch(#[from] BatchError),
-    /// The output fails.
-    #[error("cannot reply: {0}")]
+    /// The output cannot be written.
+    #[error("cannot write the reply: {0}")]
     CannotReply(#[source] io::Error),
 }
 
 /// A batch that cannot be handled.
 #[derive(Debug, Error)]
 pub enum BatchError {
-    /// The line is not a batch in JSON.
+    /// The line is not a JSON batch.
     #[error("not a batch: {0}")]
     Malformed(#[source] serde_json::Error),
-    /// A field of the batch itself is not allowed.
+    /// A field of the batch itself is out of range.
     #[error(transparent)]
     Field(#[from] FieldError),
     /// An event cannot be handled.
     #[error("event {number} ({kind}): {source}")]
     Event {
-        /// The event's number in the batch, from 1 on.
+        /// The number of the event in the batch, from 1 on.
         number: usize,
-        /// The event's kind, as the wire names it.
+        /// The kind of the event, as named on the wire.
         kind: String,
-        /// What is wrong with it.
+        /// Why the event cannot be handled.
         source: EventError,
     },
-    /// The reply cannot be written as JSON.
-    #[error("cannot write the reply: {0}")]
+    /// The reply cannot be serialized as JSON.
+    #[error("cannot serialize the reply: {0}")]
     CannotSerialize(#[source] serde_json::Error),
 }
 
@@ -58,43 +58,43 @@
     /// A field is missing or out of range.
     #[error(transparent)]
     Field(#[from] FieldError),
-    /// The settings of an instance are not allowed.
+    /// The settings of an instance are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The kind of event is not known.
+    /// The kind of the event is unknown.
     #[error("event kind '{kind}' is unknown")]
     UnknownKind {
-        /// The kind, as the wire names it.
+        /// The kind, as named on the wire.
         kind: String,
     },
     /// No instance has this number.
     #[error("instance {instance} is unknown")]
     UnknownInstance {
-        /// The instance's number.
+        /// The number of the instance.
         instance: u64,
     },
-    /// An id of a request is not 16 lower-case hexadecimal digits.
+    /// A request id is not 16 lower-case hexadecimal digits.
     #[error("field 'ref' is '{value}', not 16 hex digits")]
     InvalidRequestId {
-        /// The field's text.
+        /// The value of the field.
         value: String,
     },
-    /// The outcome of an attempt is not known.
+    /// The outcome of an attempt is unknown.
     #[error("field 'status' is '{value}', which is no outcome")]
     UnknownOutcome {
-        /// The field's text.
+        /// The value of the field.
         value: String,
     },
-    /// The class of a request is not among the instance's.
+    /// The instance has no such class.
     #[error("class '{class}' does not exist")]
     UnknownClass {
-        /// The class's name.
+        /// The name of the class.
         class: String,
     },
-    /// The state of an endpoint is not known.
+    /// The state of an endpoint is unknown.
     #[error("host '{host}': readiness {readiness} is unknown")]
     UnknownReadiness {
-        /// The endpoint's name.
+        /// The name of the endpoint.
         host: String,
         /// The value of `readiness`.
         readiness: u64,
@@ -102,24 +102,24 @@
     /// The number of an endpoint list is too large.
     #[error("field 'slot' is {slot}, over {max}")]
     SlotOutOfRange {
-        /// The list's number.
+        /// The number of the list.
         slot: u64,
-        /// The largest number of a list.
+        /// The largest number that a list may have.
         max: u64,
     },
-    /// An endpoint list is used before it was defined.
+    /// An endpoint list is used that has not been defined.
     #[error("list {slot} was never defined")]
     UndefinedList {
-        /// The list's number.
+        /// The number of the list.
         slot: u64,
     },
-    /// The kind of an update of the endpoints is not known.
+    /// The kind of an endpoint update is unknown.
     #[error("field 'mode' is {mode}, which is no kind of list")]
     UnknownUpdateKind {
         /// The value of `mode`.
         mode: u64,
     },
-    /// The kind of a report is not known.
+    /// The kind of a report is unknown.
     #[error("field 'topic' is {topic}, which is no news")]
     UnknownTopic {
         /// The value of `topic`.
@@ -131,18 +131,18 @@
         /// The value of `tag`.
         tag: u64,
     },
-    /// The payload of a peer's message is not base64.
+    /// The payload of a peer message is not base64.
     #[error("field 'payload': {0}")]
     InvalidPayload(#[source] base64::DecodeError),
-    /// Two endpoints have names with one hash, so that their ids are alike.
-    #[error("hosts '{known}' and '{name}' have one hash")]
+    /// The names of two endpoints have the same hash, so their ids are equal.
+    #[error("hosts '{known}' and '{name}' have the same hash")]
     HashCollision {
-        /// The endpoint that was named first.
+        /// The name that occurred first.
         known: String,
-        /// The other one.
+        /// The other name.
         name: String,
     },
-    /// The balancer names an endpoint that no event has named.
-    #[error("a server without an address")]
+    /// An action refers to a server that no event has named.
+    #[error("an action refers to a server whose host is unknown")]
     UnnamedServer,
 }
--- a/src/protocol/simulator/event.rs
+++ b/src/protocol/simulator/event.rs
@@ -1,10 +1,10 @@
-//! From the wire's events to [`Event`]s.
+//! Translates the events of the wire to [`Event`]s.
 
 use super::adapter::{Endpoints, Instance};
 use super::error::EventError;
 use super::raw::{Entry, Raw, Text};
 use crate::api::{
-    AttemptEnded, Endpoint, EndpointState, Event, Key, Outcome, Request, RequestId, ServerId, Time,
+    AttemptEnded, Endpoint, EndpointState, Event, Key, Outcome, Request, RequestId, ServerId,
     UpdateKind,
 };
 use crate::config::{FieldError, non_negative, required_field};
@@ -36,7 +36,7 @@
     pub const LATENCY: u64 = 2;
 }
 
-/// The event of an instance; `None` for one that is checked and has no meaning for the balancer.
+/// Translates an event of an instance; `None` for an event that is validated only and has no effect on the balancer.
 pub(super) fn translate(
     mut raw: Raw,
     instance: &Instance,
@@ -63,7 +63,7 @@
         "cancelledByClient" => Event::ClientDisconnected(request_id(raw.id)?),
         "fired" => Event::Timer(timer_token(raw.tag)?),
         "probed" => {
-            check_probe(raw, endpoints)?;
+            validate_probe(raw, endpoints)?;
             return Ok(None);
         }
         "memo" => Event::PeerMessage(peer_message(raw)?),
@@ -77,7 +77,7 @@
 }
 
 /// The endpoint that an entry of a list describes.
-pub(super) fn endpoint(id: ServerId, entry: &Entry) -> Result<Endpoint, EventError> {
+pub(super) fn endpoint_from_entry(id: ServerId, entry: &Entry) -> Result<Endpoint, EventError> {
     Ok(Endpoint {
         id,
         zone: zone_id(entry.hall.as_deref()),
@@ -122,23 +122,23 @@
 
 fn request(raw: &Raw, id: RequestId, instance: &Instance) -> Result<Request, EventError> {
     let options = raw.opts.unwrap_or(0);
-    let has = |bit: u64| options & bit != 0;
+    let has_option = |bit: u64| options & bit != 0;
     Ok(Request {
         id,
         class: class_index(raw, instance)?,
         key: raw.partition_key.as_ref().map(|key| Key::of(&key.0)),
         group: raw.team_id.as_ref().map(|group| Key::of(&group.0)),
-        deadline: required_time(raw.due, "due")?,
-        load_hint: raw.cost.filter(|_| has(option_bits::LOAD_HINT)),
-        mid_flow: has(option_bits::MID_FLOW),
-        is_reconnect: has(option_bits::RECONNECT),
+        deadline: required_number(raw.due, "due")?,
+        load_hint: raw.cost.filter(|_| has_option(option_bits::LOAD_HINT)),
+        mid_flow: has_option(option_bits::MID_FLOW),
+        is_reconnect: has_option(option_bits::RECONNECT),
     })
 }
 
 fn class_index(raw: &Raw, instance: &Instance) -> Result<usize, EventError> {
     let class = &required_field(raw.class.as_ref(), "class")?.0;
-    let place = instance.class_names.iter().position(|name| name == class);
-    place.ok_or_else(|| EventError::UnknownClass {
+    let index = instance.class_names.iter().position(|name| name == class);
+    index.ok_or_else(|| EventError::UnknownClass {
         class: class.to_string(),
     })
 }
@@ -146,7 +146,7 @@
 fn established(raw: Raw, endpoints: &mut Endpoints) -> Result<Event, EventError> {
     let server = server_id(&raw, endpoints)?;
     required_field(raw.shot, "shot")?;
-    required_time(raw.time_taken, "timeTaken")?;
+    required_number(raw.time_taken, "timeTaken")?;
     Ok(Event::Established {
         id: request_id(raw.id)?,
         server,
@@ -154,7 +154,7 @@
 }
 
 fn attempt_ended(raw: Raw, endpoints: &mut Endpoints) -> Result<AttemptEnded, EventError> {
-    required_time(raw.time_taken, "timeTaken")?;
+    required_number(raw.time_taken, "timeTaken")?;
     Ok(AttemptEnded {
         server: server_id(&raw, endpoints)?,
         id: request_id(raw.id)?,
@@ -168,7 +168,7 @@
     let server = server_id(&raw, endpoints)?;
     let id = request_id(raw.id)?;
     required_field(raw.shot, "shot")?;
-    let level = required_time(raw.level, "level")?;
+    let level = required_number(raw.level, "level")?;
     match required_field(raw.topic, "topic")? {
         topics::LOAD => Ok(Event::LoadReport { id, load: level }),
         topics::LATENCY => Ok(Event::LatencyReport {
@@ -187,11 +187,11 @@
     Ok(tag)
 }
 
-/// The balancer sends no health checks over this protocol: the answer to one is checked only.
-fn check_probe(raw: Raw, endpoints: &mut Endpoints) -> Result<(), EventError> {
+/// Validates the result of a health check. It has no effect: the balancer sends no health checks over this protocol.
+fn validate_probe(raw: Raw, endpoints: &mut Endpoints) -> Result<(), EventError> {
     server_id(&raw, endpoints)?;
     outcome(raw.status)?;
-    required_time(raw.time_taken, "timeTaken")?;
+    required_number(raw.time_taken, "timeTaken")?;
     Ok(())
 }
 
@@ -231,7 +231,7 @@
     }
 }
 
-/// A time or figure that has to be there, finite and not negative.
-fn required_time(value: Option<f64>, field: &'static str) -> Result<Time, FieldError> {
+/// A required number, finite and not negative.
+fn required_number(value: Option<f64>, field: &'static str) -> Result<f64, FieldError> {
     non_negative(required_field(value, field)?, field)
 }
--- a/src/protocol/simulator/mod.rs
+++ b/src/protocol/simulator/mod.rs
@@ -1,7 +1,7 @@
-//! The simulator's protocol: one JSON batch of events a line, one line of steps in reply.
+//! The simulator's protocol: each input line is a JSON batch of events, each output line the steps in reply.
 //!
-//! `raw` holds the names of the wire, `event` and `step` map them to and from the terms of [`crate::api`], and
-//! [`SimulatorAdapter`] keeps the balancers. A message that cannot be read ends the run with a [`SimulatorError`].
+//! `raw` has the types of the wire, `event` and `step` translate them to and from those of [`crate::api`], and
+//! [`SimulatorAdapter`] holds the balancers. An invalid message ends the run with a [`SimulatorError`].
 
 mod adapter;
 mod error;
@@ -17,16 +17,16 @@
 /// Serves batches until the end of the input.
 ///
 /// # Errors
-/// The first message that cannot be read, handled or answered, by its number from 1 on.
+/// For the first message that cannot be read, handled or answered.
 pub fn serve(input: impl BufRead, mut output: impl Write) -> Result<(), SimulatorError> {
     let mut adapter = SimulatorAdapter::default();
-    for (place, line) in input.lines().enumerate() {
+    for (index, line) in input.lines().enumerate() {
         let served = line
             .map_err(ServeError::Unreadable)
             .and_then(|line| Ok(adapter.handle_batch(&line)?))
             .and_then(|reply| write_reply(&mut output, &reply).map_err(ServeError::CannotReply));
         served.map_err(|source| SimulatorError {
-            message: place + 1,
+            message: index + 1,
             source,
         })?;
     }
--- a/src/protocol/simulator/raw.rs
+++ b/src/protocol/simulator/raw.rs
@@ -1,7 +1,7 @@
 //! The messages as written on the wire.
 //!
-//! serde puts the names of these structs into its messages ("expected struct Batch"), which end a run: the names stay.
-//! Strings are borrowed from the line wherever they contain no escapes.
+//! Do not rename these structs: serde puts their names into its error texts ("expected struct Batch"), which end a run.
+//! Strings without escapes are borrowed from the line.
 
 use crate::config::raw::Settings;
 use serde::{Deserialize, Serialize};
@@ -22,7 +22,7 @@
 #[derive(Deserialize)]
 pub(super) struct Text<'a>(#[serde(borrow)] pub Cow<'a, str>);
 
-/// Any event: the fields of all kinds, each absent or null where it does not apply.
+/// An event of any kind. Fields that do not apply to its kind are absent or null.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct Raw<'a> {
@@ -41,7 +41,7 @@
     #[serde(borrow)]
     pub class: Option<Text<'a>>,
     #[serde(borrow)]
-    #[expect(dead_code, reason = "its type is checked, nothing uses it")]
+    #[expect(dead_code, reason = "only its type is checked")]
     pub owner: Option<Owner<'a>>,
     #[serde(borrow)]
     pub partition_key: Option<Text<'a>>,
@@ -59,7 +59,7 @@
     #[serde(borrow)]
     pub status: Option<Text<'a>>,
     pub settled: Option<bool>,
-    #[expect(dead_code, reason = "its type is checked, nothing uses it")]
+    #[expect(dead_code, reason = "only its type is checked")]
     pub load: Option<BTreeMap<String, f64>>,
     pub tag: Option<u64>,
     pub sender: Option<u32>,
@@ -67,10 +67,10 @@
     pub payload: Option<Text<'a>>,
 }
 
-/// A tenant: its name, or 0 where there is none.
+/// A tenant: its name, or 0 if there is none.
 #[derive(Deserialize)]
 #[serde(untagged)]
-#[expect(dead_code, reason = "its type is checked, nothing uses it")]
+#[expect(dead_code, reason = "only its type is checked")]
 pub(super) enum Owner<'a> {
     #[serde(borrow)]
     Name(Text<'a>),
@@ -96,7 +96,7 @@
     pub steps: &'a [Step],
 }
 
-/// An action, as the wire names it.
+/// An action, as named on the wire.
 #[derive(Serialize)]
 #[serde(
     tag = "kind",
--- a/src/protocol/simulator/step.rs
+++ b/src/protocol/simulator/step.rs
@@ -1,4 +1,4 @@
-//! From [`Action`]s to the wire's steps.
+//! Translates [`Action`]s to the steps of the wire.
 
 use super::error::EventError;
 use super::raw::Step;
@@ -6,8 +6,8 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// The step that tells instance `who` to carry out the action.
-pub(super) fn step(
+/// The step with which instance `who` carries out the action.
+pub(super) fn step_for_action(
     who: u64,
     action: Action,
     names: &HashMap<ServerId, Arc<str>>,
--- a/tests/simulator_protocol.rs
+++ b/tests/simulator_protocol.rs
@@ -1,4 +1,4 @@
-//! The simulator's protocol, driven over the standard input and output of the built adapter.
+//! The simulator's protocol, over the standard input and output of the adapter process.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -8,7 +8,7 @@
 const CACHED: &str = r#"{"kind":"registry","who":3,"mode":2,"gen":1,"slot":0}"#;
 const ASK: &str = r#"{"kind":"ask","who":3,"ref":"00000000000000aa","class":"c","owner":null,"partitionKey":"k","due":9.5,"cost":0.1,"teamId":"g","opts":1,"extra":[1]}"#;
 
-fn run(lines: &[String]) -> Output {
+fn run_adapter(lines: &[String]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_spanspur-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -31,7 +31,7 @@
 
 /// The run must fail with one line that names message `number` and contains `expected`.
 fn assert_rejected(lines: &[String], number: usize, expected: &str) {
-    let output = run(lines);
+    let output = run_adapter(lines);
     let error = String::from_utf8_lossy(&output.stderr);
     assert!(!output.status.success(), "accepted: {lines:?}");
     assert_eq!(error.lines().count(), 1, "{error}");
@@ -43,7 +43,7 @@
 
 #[test]
 fn a_request_starts_an_attempt_and_the_end_of_input_is_a_clean_exit() {
-    let output = run(&[
+    let output = run_adapter(&[
         batch(1, &[]),
         batch(2, &[SPAWN, LIST, CACHED]),
         batch(3, &[ASK]),
@@ -59,21 +59,25 @@
         replies[..2],
         [r#"{"n":1,"steps":[]}"#, r#"{"n":2,"steps":[]}"#]
     );
-    let want = r#"{"n":3,"steps":[{"kind":"relay","who":3,"ref":"00000000000000aa","host":"10.0.0.1:80","until":9.1}]}"#;
-    assert_eq!(replies[2..], [want]);
-    let empty = run(&[batch(1, &[])]);
+    let expected = r#"{"n":3,"steps":[{"kind":"relay","who":3,"ref":"00000000000000aa","host":"10.0.0.1:80","until":9.1}]}"#;
+    assert_eq!(replies[2..], [expected]);
+    let empty = run_adapter(&[batch(1, &[])]);
     assert_eq!(empty.status.code(), Some(0));
 }
 
 #[test]
 fn unusual_but_valid_values_are_accepted() {
-    let zero = SPAWN.replace(
+    let zero_limits = SPAWN.replace(
         r#""limits":{"maxAttempts":3}"#,
         r#""limits":{"maxAttempts":0},"rules":{"warmUp":0,"fall":0},"domain":null,"zones":[]"#,
     );
-    let bare = r#"{"kind":"ask","who":3,"ref":"00000000000000ab","class":"c","due":9.5,"opts":0}"#;
-    let zeroed = LIST.replace(r#""size":1"#, r#""size":0"#);
-    let output = run(&[batch(1, &[&zero, &zeroed, CACHED, bare])]);
+    let minimal_request =
+        r#"{"kind":"ask","who":3,"ref":"00000000000000ab","class":"c","due":9.5,"opts":0}"#;
+    let zero_weight = LIST.replace(r#""size":1"#, r#""size":0"#);
+    let output = run_adapter(&[batch(
+        1,
+        &[&zero_limits, &zero_weight, CACHED, minimal_request],
+    )]);
     assert!(
         output.status.success(),
         "{}",
@@ -87,12 +91,12 @@
 
 #[test]
 fn malformed_input_ends_the_run_with_one_line_that_names_the_message() {
-    let up = batch(1, &[SPAWN, LIST, CACHED]);
-    let after = |event: String| vec![up.clone(), batch(2, &[&event])];
+    let setup = batch(1, &[SPAWN, LIST, CACHED]);
+    let after = |event: String| vec![setup.clone(), batch(2, &[&event])];
     assert_rejected(&["nonsense".into()], 1, "not a batch");
-    assert_rejected(&[up.clone(), "{}".into()], 2, "wall");
+    assert_rejected(&[setup.clone(), "{}".into()], 2, "wall");
     assert_rejected(
-        &[up.clone(), r#"{"wall":-1,"n":2,"happened":[]}"#.into()],
+        &[setup.clone(), r#"{"wall":-1,"n":2,"happened":[]}"#.into()],
         2,
         "'wall'",
     );
@@ -184,7 +188,7 @@
 #[test]
 fn an_instance_can_be_spawned_again_after_its_exit() {
     let exit = r#"{"kind":"exit","who":3}"#;
-    let output = run(&[batch(
+    let output = run_adapter(&[batch(
         1,
         &[SPAWN, LIST, CACHED, ASK, exit, SPAWN, CACHED, ASK],
     )]);
--- a/tests/wire_errors.rs
+++ b/tests/wire_errors.rs
@@ -1,7 +1,7 @@
-//! What the simulator's wire says of messages that it cannot read, to the letter.
+//! The exact error texts of the simulator's protocol for invalid messages.
 //!
-//! `tests/fixtures/wire_errors.txt` was written by the tree at 71566bd; rewriting it (`WRITE_FIXTURES=1`) hides a
-//! change of a text.
+//! `tests/fixtures/wire_errors.txt` was written at commit 71566bd; rewriting it (`WRITE_FIXTURES=1`) hides a change of a
+//! text.
 
 #[path = "common/fixture.rs"]
 mod fixture;
@@ -20,8 +20,8 @@
         {"hall": "a", "readiness": 1, "host": "10.0.0.1:80", "size": 1, "cameUp": null, "pod": 0}]})
 }
 
-/// One good event of each kind that an instance takes.
-fn good() -> Vec<Value> {
+/// A valid event of each kind.
+fn valid_events() -> Vec<Value> {
     let id = "00000000000000aa";
     vec![
         spawn(),
@@ -41,8 +41,8 @@
     ]
 }
 
-/// Values that a field of the good events does not take.
-fn bad_values() -> Vec<(&'static str, Value)> {
+/// Invalid values of the fields of the valid events, by field.
+fn invalid_values() -> Vec<(&'static str, Value)> {
     vec![
         ("who", json!(4)),
         ("who", json!("three")),
@@ -99,10 +99,10 @@
     json!({"wall": 8.5, "n": 1, "happened": events}).to_string()
 }
 
-/// What is said of this line after a first one that is in order; empty if it is accepted.
-fn error(line: &str) -> String {
-    let ready = batch(&[spawn(), list()]);
-    let input = format!("{ready}\n{line}\n");
+/// The error text for this line after a valid first one; empty if the line is accepted.
+fn error_text(line: &str) -> String {
+    let valid = batch(&[spawn(), list()]);
+    let input = format!("{valid}\n{line}\n");
     serve(input.as_bytes(), Vec::new())
         .err()
         .map(|error| error.to_string())
@@ -110,30 +110,30 @@
 }
 
 #[test]
-fn each_bad_message_is_refused_with_the_text_of_the_fixture() {
+fn each_invalid_message_is_rejected_with_the_error_text_of_the_fixture() {
     let mut text = String::new();
-    let mut refused = 0;
-    let mut line = |what: &str, message: &str| {
-        let error = error(message);
-        refused += usize::from(!error.is_empty());
+    let mut rejected = 0;
+    let mut add_line = |name: &str, message: &str| {
+        let error = error_text(message);
+        rejected += usize::from(!error.is_empty());
         let error = if error.is_empty() { "accepted" } else { &error };
-        let _ = writeln!(text, "{what} => {error}");
+        let _ = writeln!(text, "{name} => {error}");
     };
-    for event in good() {
+    for event in valid_events() {
         let kind = event["kind"].as_str().expect("a kind").to_owned();
-        line(&kind, &batch(std::slice::from_ref(&event)));
+        add_line(&kind, &batch(std::slice::from_ref(&event)));
         for field in event.as_object().expect("an object").keys() {
             let mut without = event.clone();
             without.as_object_mut().expect("an object").remove(field);
-            line(&format!("{kind} without {field}"), &batch(&[without]));
+            add_line(&format!("{kind} without {field}"), &batch(&[without]));
         }
-        for (field, value) in bad_values() {
+        for (field, value) in invalid_values() {
             if event.get(field).is_none() {
                 continue;
             }
             let mut with = event.clone();
             with[field] = value.clone();
-            line(&format!("{kind} {field} {value}"), &batch(&[with]));
+            add_line(&format!("{kind} {field} {value}"), &batch(&[with]));
         }
     }
     for message in [
@@ -150,10 +150,13 @@
         r#"{"wall":1,"n":2,"happened":[{"kind":"dance","who":3}]}"#,
         r#"{"wall":1,"n":2,"happened":[{"kind":7}]}"#,
     ] {
-        line(message, message);
+        add_line(message, message);
     }
     let second = batch(&[list(), json!({"kind": "exit", "who": 9})]);
-    line("the second event of a message", &second);
-    assert!(refused > 100, "{refused} refusals: too few to say anything");
+    add_line("the second event of a message", &second);
+    assert!(
+        rejected > 100,
+        "{rejected} rejected messages: too few for a meaningful test"
+    );
     fixture::assert_text("wire_errors.txt", &text);
 }
