--- a/src/config/field.rs
+++ b/src/config/field.rs
@@ -1,13 +1,13 @@
-//! Checks of single fields, shared by the settings and the simulator's protocol.
+//! Validation of single fields, shared by the settings and the simulator's protocol.
 
 use super::FieldError;
 
-/// The value of a field that has to be there.
+/// The value of a required field.
 pub(crate) fn required_field<T>(value: Option<T>, field: &'static str) -> Result<T, FieldError> {
     value.ok_or(FieldError::Missing { field })
 }
 
-/// A number that has to be finite and not negative.
+/// Checks that a number is finite and not negative.
 pub(crate) fn non_negative(value: f64, field: &'static str) -> Result<f64, FieldError> {
     if value.is_finite() && value >= 0.0 {
         return Ok(value);
@@ -15,7 +15,7 @@
     Err(FieldError::OutOfRange { field, value })
 }
 
-/// A number that has to be finite and not negative, or `default` where it is absent.
+/// Checks that a number is finite and not negative; `default` if it is absent.
 pub(super) fn non_negative_or(
     value: Option<f64>,
     default: f64,
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,7 +1,7 @@
 //! Configuration: the file that `BALANCER_CONFIG` names and the `BALANCER_*` variables, validated and with defaults.
 //!
-//! `raw` holds the names of the file, `settings` and `process` map them once to validated values, and each
-//! [`ConfigError`] names the key at fault. The simulator's protocol shares the settings of the balancer.
+//! `raw` has the types of the file, `settings` and `process` convert them to validated values, and each [`ConfigError`]
+//! names the invalid key. The simulator's protocol shares the settings of the balancer.
 
 mod error;
 mod field;
--- a/src/config/process.rs
+++ b/src/config/process.rs
@@ -1,4 +1,4 @@
-//! The configuration of the process: its file, with the environment's variables before or behind it.
+//! The configuration of the process: its file and the environment variables, with their order of precedence.
 
 use super::raw::{RawNode, Settings};
 use super::settings::max_client_wait;
@@ -7,58 +7,58 @@
 use crate::discovery::endpoint_list::EndpointList;
 use std::net::SocketAddr;
 
-/// The variable that names the file.
+/// The environment variable with the path of the file.
 const CONFIG_VARIABLE: &str = "BALANCER_CONFIG";
-/// The variable that holds the number of an inherited listening socket.
+/// The environment variable with the file descriptor of an inherited listening socket.
 const ACCEPT_FD_VARIABLE: &str = "BALANCER_ACCEPT_FD";
-/// The limit on file descriptors where none is configured.
+/// The default limit on file descriptors.
 const DEFAULT_MAX_DESCRIPTORS: usize = 1024;
-/// Descriptors up to this one are the standard streams.
+/// The descriptors from 0 to this one are the standard streams.
 const LAST_STANDARD_STREAM: i32 = 2;
-const HEXADECIMAL: u32 = 16;
+const HEX_RADIX: u32 = 16;
 
 /// Why the file is read.
 #[derive(Clone, Copy, PartialEq)]
 pub enum LoadReason {
     /// The process starts: the environment overrides the file.
     Start,
-    /// SIGHUP: the environment cannot have changed since the start, so the file's discovery overrides it.
+    /// SIGHUP: the environment is still that of the start, so the file's `discovery` overrides `BALANCER_DISCOVERY`.
     Reload,
 }
 
 /// The validated configuration of a balancer process.
 pub struct ProcessConfig {
-    /// The process's name, the same after a restart.
+    /// The name of the process, which stays the same across restarts.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which clients connect.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// Where the admin server listens; no admin server if `None`.
+    /// The address of the admin server; `None` if there is no admin server.
     pub admin_address: Option<SocketAddr>,
-    /// The descriptor of a listening socket inherited from the platform (socket activation).
+    /// The file descriptor of a listening socket inherited from the service manager (socket activation).
     pub accept_fd: Option<i32>,
-    /// The seed of the random numbers.
+    /// The seed of the random number generator.
     pub seed: u64,
-    /// The most file descriptors that the process may hold.
+    /// The maximum number of file descriptors that the process may hold.
     pub max_descriptors: usize,
-    /// The endpoint list as last known, used until discovery answers.
+    /// The cached endpoint list, used until discovery answers.
     pub cached_endpoints: EndpointList,
     /// The settings of the balancer.
     pub config: BalancerConfig,
-    /// The names of the request classes, by place.
+    /// The names of the request classes, by index.
     pub class_names: Vec<String>,
-    /// The longest time that a client waits for its answer, in seconds.
+    /// The longest time that a client waits for a response, in seconds.
     pub max_client_wait: Time,
-    /// Connections belong to groups, each of which is placed together.
+    /// Whether connections belong to groups. Those of a group are placed together.
     pub groups_enabled: bool,
 }
 
 impl ProcessConfig {
-    /// Reads the file that `BALANCER_CONFIG` names, and the other variables where set.
+    /// Loads the file that `BALANCER_CONFIG` names, and applies the other environment variables that are set.
     ///
     /// # Errors
-    /// See [`ProcessConfig::parse`]; also if the variable is not set or the file cannot be read.
+    /// If `BALANCER_CONFIG` is not set or the file cannot be read; also see [`ProcessConfig::parse`].
     pub fn from_env(reason: LoadReason) -> Result<Self, ConfigError> {
         let variable = |name: &str| std::env::var(name).ok().filter(|text| !text.is_empty());
         let path = required_key(variable(CONFIG_VARIABLE), CONFIG_VARIABLE)?;
@@ -68,10 +68,10 @@
         }
     }
 
-    /// Reads the file's text; `variable` looks up a variable of the environment.
+    /// Parses the text of the file; `variable` looks up an environment variable.
     ///
     /// # Errors
-    /// The first key that is missing, malformed or not allowed.
+    /// For the first key that is missing, malformed or invalid.
     pub fn parse(
         text: &[u8],
         reason: LoadReason,
@@ -114,11 +114,11 @@
         })
     }
 
-    /// Takes the place of `running` at a reload. Listening addresses keep their running values until a restart; the
-    /// seed and the cached endpoints matter at the start only.
+    /// The configuration that replaces `running` at a reload. The listening addresses keep their running values until a
+    /// restart; the seed and the cached endpoints are used only at the start.
     ///
     /// # Errors
-    /// If a class was removed or moved: open connections keep the place of their class.
+    /// If a class was removed or reordered: open connections refer to their class by its index.
     pub fn replace(mut self, running: &Self) -> Result<Self, ConfigError> {
         if !self.class_names.starts_with(&running.class_names) {
             return Err(ConfigError::ClassesChanged);
@@ -162,7 +162,7 @@
 }
 
 fn parse_seed(value: String) -> Result<u64, ConfigError> {
-    match u64::from_str_radix(&value, HEXADECIMAL) {
+    match u64::from_str_radix(&value, HEX_RADIX) {
         Ok(seed) => Ok(seed),
         Err(source) => Err(ConfigError::InvalidSeed { value, source }),
     }
--- a/src/config/raw.rs
+++ b/src/config/raw.rs
@@ -1,7 +1,7 @@
-//! The configuration as written: the names of the file and of the simulator's protocol, unchecked.
+//! The configuration as written in the file and in the simulator's protocol, not validated.
 //!
-//! serde puts the names of these structs into its messages ("expected struct Rules"). Operators and scripts read
-//! those messages, so the names stay as they are.
+//! Do not rename these structs: serde puts their names into its error texts ("expected struct Rules"), which operators
+//! and scripts rely on.
 
 use serde::Deserialize;
 
@@ -18,7 +18,7 @@
     pub settings: Option<serde_json::Value>,
 }
 
-/// `limits` of the file: resources of the process.
+/// `limits` of the file: resource limits of the process.
 #[derive(Deserialize)]
 pub(crate) struct RawLimits {
     pub sockets: Option<usize>,
@@ -50,12 +50,12 @@
     pub repeat_window: Option<f64>,
 }
 
-/// `settings.domain`: what the balanced service offers.
+/// `settings.domain`: features of the balanced service.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 pub(crate) struct Domain {
     pub groups: Option<bool>,
-    /// By the place of the class.
+    /// By the index of the class.
     pub message_aim: Option<Vec<Option<f64>>>,
     pub tells_delay: Option<bool>,
 }
@@ -69,17 +69,17 @@
     pub max_attempts: Option<u32>,
     pub max_retry_after: Option<f64>,
     pub retry_after: Option<bool>,
-    /// Its type is checked; nothing uses it.
+    /// Not used; only its type is checked.
     pub may_tell: Option<bool>,
 }
 
-/// `settings.rules`: times and shares that the balancer keeps to.
+/// `settings.rules`: times, shares and multiples that the balancer applies.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 pub(crate) struct Rules {
     pub ask_within: Option<f64>,
     pub cold_from: Option<f64>,
-    /// Its type is checked; nothing uses it.
+    /// Not used; only its type is checked.
     pub drain_grace: Option<f64>,
     pub fall: Option<f64>,
     pub fall_multiple: Option<f64>,
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of the balancer, mapped from the file's names to the terms of [`crate::api`].
+//! The settings of the balancer, converted from the file to [`BalancerConfig`].
 
 use super::field::{non_negative, non_negative_or};
 use super::raw::{Limits, RawClass, Settings};
@@ -8,24 +8,24 @@
 };
 use crate::discovery::zone::zone_id;
 
-/// The longest wait of a client whose class gives none, in seconds.
+/// The default for the longest wait of a client, in seconds.
 const DEFAULT_MAX_CLIENT_WAIT: Time = 2.0;
-/// How long a connection to an endpoint may take to open, in seconds.
+/// The default timeout for connecting to an endpoint, in seconds.
 const DEFAULT_CONNECT_TIMEOUT: Time = 0.25;
-/// The longest time between polls of discovery while nothing is pushed, in seconds.
+/// The default for the longest time between polls of discovery while nothing is pushed, in seconds.
 const DEFAULT_DISCOVERY_BACKOFF_BASE: Time = 10.0;
-/// The share of its capacity that a cold endpoint has at least.
+/// The default share of its capacity that a cold endpoint has at least.
 const DEFAULT_COLD_CAPACITY_SHARE: f64 = 1.0;
-/// The multiple of its present capacity above which a cold endpoint is overloaded.
+/// The default multiple of its present capacity above which a cold endpoint is overloaded.
 const DEFAULT_OVERLOAD_MULTIPLE: f64 = 1.0;
-/// How long an endpoint withstands that, in seconds.
+/// The default time for which a cold endpoint withstands such an overload, in seconds.
 const DEFAULT_OVERLOAD_WINDOW: Time = 1.0;
 
 /// Validated settings of the balancer.
 pub(crate) struct BalancerSettings {
-    /// The configuration of the balancer, which refers to a class by its place.
+    /// The configuration of the balancer, which refers to a class by its index.
     pub balancer: BalancerConfig,
-    /// The names of the classes, by place.
+    /// The names of the classes, by index.
     pub class_names: Vec<String>,
 }
 
@@ -82,7 +82,7 @@
     }
 }
 
-/// The longest time that a client of any class waits for its answer, in seconds.
+/// The longest time that a client of any class waits for a response, in seconds.
 pub(super) fn max_client_wait(settings: &Settings) -> Result<Time, FieldError> {
     let mut longest = 0.0;
     for class in settings.classes.iter().flatten() {
@@ -92,16 +92,16 @@
     Ok(longest)
 }
 
-/// The classes in the order of the settings, each with the message objective at its place.
+/// The classes in the order of the settings, each with the message objective of the same index.
 fn request_classes(
     classes: &[RawClass],
     message_objectives: &[Option<f64>],
 ) -> Result<Vec<RequestClass>, SettingsError> {
-    let message_objective = |place: usize| message_objectives.get(place).copied().flatten();
+    let message_objective = |index: usize| message_objectives.get(index).copied().flatten();
     classes
         .iter()
         .enumerate()
-        .map(|(place, class)| request_class(class, message_objective(place)))
+        .map(|(index, class)| request_class(class, message_objective(index)))
         .collect()
 }
 
@@ -158,7 +158,7 @@
     }
 }
 
-/// The longest Retry-After that clients accept, in seconds; `None` where they take none.
+/// The longest Retry-After that clients accept, in seconds; `None` if they do not support it.
 fn max_retry_after(limits: &Limits) -> Result<Option<Time>, FieldError> {
     match limits.retry_after {
         Some(true) => non_negative_or(limits.max_retry_after, 0.0, "maxRetryAfter").map(Some),
--- a/src/discovery/http.rs
+++ b/src/discovery/http.rs
@@ -6,40 +6,40 @@
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
-/// The longest head of a response, in bytes.
+/// The maximum length of a status line, of the headers, and of a line in a chunked body, in bytes.
 const MAX_HEAD: u64 = 16 * 1024;
-/// The longest body of a response, in bytes.
+/// The maximum length of a response body, in bytes.
 const MAX_BODY: u64 = 4 * 1024 * 1024;
 
 /// Why a request failed.
 #[derive(Debug, Error)]
 pub enum HttpError {
-    /// The connection failed or ended.
+    /// The connection failed or was closed.
     #[error(transparent)]
     Connection(#[from] io::Error),
-    /// The first line is no HTTP/1 status line.
-    #[error("no status")]
+    /// The first line is not an HTTP/1 status line.
+    #[error("invalid status line")]
     InvalidStatusLine,
-    /// A header is no name and value.
-    #[error("a header has no colon")]
+    /// A header is not a name and a value.
+    #[error("header without a colon")]
     InvalidHeader,
-    /// The length of the body is invalid or over the limit.
-    #[error("the length is no number, or too large")]
+    /// `Content-Length` is not a number or is over the limit.
+    #[error("invalid or too large Content-Length")]
     InvalidLength,
     /// A line is not UTF-8.
-    #[error("a line is not text")]
+    #[error("line is not UTF-8")]
     LineNotText,
-    /// A line has no end within the limit.
-    #[error("a line is cut off or too long")]
+    /// A line does not end within the limit or before the connection is closed.
+    #[error("line is truncated or too long")]
     LineTooLong,
     /// A chunk does not begin with its size.
-    #[error("a chunk has no size")]
+    #[error("chunk without a valid size")]
     InvalidChunkSize,
     /// A chunk does not end after its size.
-    #[error("a chunk is longer than its size")]
+    #[error("chunk is longer than its size")]
     ChunkTooLong,
-    /// The chunks together are over the limit.
-    #[error("the body is too large")]
+    /// The chunks add up to more than the limit.
+    #[error("chunked body is too large")]
     BodyTooLarge,
 }
 
@@ -52,9 +52,9 @@
 
 /// A response.
 pub struct Response {
-    /// Its status.
+    /// The status code.
     pub status: u16,
-    /// Its body.
+    /// The body.
     pub body: Vec<u8>,
 }
 
@@ -64,7 +64,7 @@
     keeps_alive: bool,
 }
 
-/// What the headers of a response say about its body and its connection.
+/// The headers that describe the body and the connection.
 struct Headers {
     content_length: Option<u64>,
     chunked: bool,
@@ -72,7 +72,7 @@
 }
 
 impl Connection {
-    /// Connects.
+    /// Opens a connection.
     ///
     /// # Errors
     /// If the host cannot be reached.
@@ -86,19 +86,19 @@
         })
     }
 
-    /// Whether the host keeps the connection open after the last response.
+    /// Whether the connection can be used for another request.
     pub fn is_reusable(&self) -> bool {
         self.reusable
     }
 
-    /// Whether nothing has arrived since the last response: neither unrequested bytes nor the end of the connection.
+    /// Whether nothing was received since the last response: neither unexpected bytes nor the end of the connection.
     pub fn is_idle(&self) -> bool {
         let read = self.stream.get_ref().try_read(&mut [0]);
-        let nothing = read.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock);
-        self.stream.buffer().is_empty() && nothing
+        let would_block = read.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock);
+        self.stream.buffer().is_empty() && would_block
     }
 
-    /// Sends a GET and reads the response. After an error the connection is of no use.
+    /// Sends a GET request and reads the response. After an error the connection cannot be used again.
     ///
     /// # Errors
     /// If the connection fails, or the response is not HTTP/1 within the limits.
@@ -110,14 +110,14 @@
             keeps_alive,
         } = self.read_status_line().await?;
         let headers = self.read_headers(keeps_alive).await?;
-        let delimited = headers.chunked || headers.content_length.is_some();
+        let has_length = headers.chunked || headers.content_length.is_some();
         let body = match headers.content_length {
             _ if headers.chunked => self.read_chunks().await?,
             Some(length) => self.read_exactly(length).await?,
             None if has_no_body(status) => Vec::new(),
             None => self.read_to_end().await?,
         };
-        self.reusable = headers.keeps_alive && (delimited || has_no_body(status));
+        self.reusable = headers.keeps_alive && (has_length || has_no_body(status));
         Ok(Response { status, body })
     }
 
@@ -197,7 +197,7 @@
                 return Err(HttpError::BodyTooLarge);
             }
             body.extend(self.read_exactly(size).await?);
-            // After the data, or after the last chunk and its trailers, there is an empty line.
+            // The data of a chunk, and the trailers after the last chunk, end with an empty line.
             while !self.read_line(MAX_HEAD).await?.is_empty() {
                 if size > 0 {
                     return Err(HttpError::ChunkTooLong);
@@ -228,7 +228,7 @@
     }
 }
 
-/// Whether a response with this status has no body, whatever its headers say.
+/// Whether a response with this status never has a body, regardless of its headers.
 fn has_no_body(status: u16) -> bool {
     matches!(status, 204 | 304)
 }
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Service discovery: the list of endpoints, the watcher that keeps it current, and its HTTP client.
+//! Service discovery: the endpoint list, the watcher that keeps it current, and its HTTP client.
 
 pub mod endpoint_list;
 pub mod http;
--- a/src/discovery/watcher.rs
+++ b/src/discovery/watcher.rs
@@ -1,4 +1,4 @@
-//! Watches the endpoint list at discovery, poll by poll on one kept-alive connection.
+//! Watches the endpoint list at discovery: long polls, one after another on a kept-alive connection.
 
 use crate::api::Event;
 use crate::cluster::SharedEndpointList;
@@ -15,22 +15,25 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// How long discovery may hold a poll until the list changes. A discovery that falls silent is noticed only after this,
-/// and meanwhile servers drain unnoticed. A watch that continues costs discovery nothing, however often it polls.
+/// How long discovery may hold a poll until the list changes. If discovery stops responding, this is noticed only after
+/// this time, and until then servers drain unnoticed. A watch that continues costs discovery nothing, however often it
+/// polls.
 const LONG_POLL_WAIT: Duration = Duration::from_secs(2);
-/// A poll without a response this long after its wait has failed: a discovery that is cut off gives no sign. An update
-/// has to be noticed within 6 s, and where all watches fail at once discovery may reject the next poll or two: half of
-/// that time is for further polls.
+/// A poll without a response this long after its wait has failed: a partition from discovery gives no other signal. An
+/// update has to be noticed within 6 s. If all watches fail at once, discovery may reject the next poll or two, so wait
+/// and timeout together take half of that time and leave the rest for further polls.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1000);
-/// A poll for the full list queues at discovery, which serves one at a time, and all balancers send one after a reload:
-/// a poll that is given up loses its place and lengthens the queue. Half of those 6 s.
+/// Timeout of a poll for the full list. Discovery queues these polls and serves one at a time, and after a reload all
+/// balancers send one: an abandoned poll loses its place in the queue and makes the queue longer. Half of the 6 s
+/// within which an update has to be noticed.
 const FULL_LIST_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time to connect to discovery.
+/// Timeout for connecting to discovery.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause between polls, so that a discovery that always responds at once does not keep this process busy; far below the
-/// 200 ms after which discovery ends a watch.
+/// Pause between polls, so that a discovery that always responds at once does not keep this process busy. The pause is
+/// far below the 200 ms after which discovery ends a watch.
 const POLL_PAUSE: Duration = Duration::from_millis(10);
-/// Pause before an agent that pushes lists is polled again: its lists count as known whether they are watched or not.
+/// Pause before an agent that pushes lists is polled again after a failure: its lists count as known whether or not
+/// they are watched.
 const AGENT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 /// Why a watch ended.
@@ -45,10 +48,10 @@
     /// The request failed.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// The response has another status than 200.
-    #[error("status {0}")]
+    /// The status of the response is not 200.
+    #[error("unexpected status {0}")]
     Status(u16),
-    /// The body is no endpoint list.
+    /// The body is not an endpoint list.
     #[error(transparent)]
     InvalidList(#[from] EndpointListError),
     /// The list must not be applied.
@@ -56,32 +59,32 @@
     Implausible(#[from] ImplausibleList),
 }
 
-/// Why a list is taken for a fault of discovery.
+/// Why a list is treated as a fault of discovery.
 #[derive(Debug, Error)]
 enum ImplausibleList {
     /// A delta in response to a poll for the full list.
-    #[error("changes where the whole list was asked for")]
+    #[error("delta received where the full list was requested")]
     DeltaForFullList,
-    /// A revision before the last one.
-    #[error("a list older than the last one")]
+    /// A revision older than the last one.
+    #[error("list is older than the last one")]
     Outdated,
     /// A full list without endpoints, while some are known.
-    #[error("a list that names nobody")]
+    #[error("full list without endpoints")]
     Empty,
 }
 
-/// A poll at discovery.
+/// A poll of discovery.
 struct Poll {
     path: String,
     timeout: Duration,
 }
 
-/// Watches whenever the balancer requests it, until the watch fails; when to watch again is the balancer's decision.
-/// Where lists are pushed the balancer never requests it: the agent, which pushes to those who watch, is watched
-/// all the time.
+/// Watches whenever the balancer requests a poll, until a poll fails; the balancer decides when to watch again. With
+/// pushed discovery the balancer requests no polls: the agent pushes lists to its watchers, so it is watched all the
+/// time.
 ///
-/// `revision` is the revision to continue from, `None` to begin with the full list. `shared_list` is what other
-/// instances watch for this one.
+/// `revision` is the revision to continue from, `None` to begin with the full list. `shared_list` is the list that
+/// other instances share with this one.
 pub async fn run(
     runtime: Rc<Runtime>,
     mut discovery: watch::Receiver<SocketAddr>,
@@ -107,22 +110,23 @@
     runtime: Rc<Runtime>,
     /// The address of discovery, or of the agent that pushes lists.
     address: SocketAddr,
-    /// Revision of the last list; `None` to poll for the full list.
+    /// The revision of the last list; `None` to poll for the full list.
     revision: Option<u64>,
     shared_list: Option<Rc<SharedEndpointList>>,
 }
 
 impl Watcher {
-    /// Watches, also at a changed address and after another instance has watched, until discovery fails.
+    /// Watches until discovery fails. Continues when the address changes, and after it has followed another instance's
+    /// list.
     async fn watch_until_failure(&mut self, discovery: &mut watch::Receiver<SocketAddr>) {
         let shared_list = self.shared_list.clone();
         loop {
             self.set_address(*discovery.borrow_and_update());
             let error = tokio::select! {
                 biased;
-                // The running poll is abandoned at once: its discovery may be silent or outdated.
+                // Abandons the running poll at once: the previous discovery may be unresponsive or outdated.
                 Ok(()) = discovery.changed() => continue,
-                // Another instance watches for this one: its list is used until it is outdated.
+                // Another instance watches discovery and shares its list, which is used until it is stale.
                 () = wait_for_shared_list(shared_list.as_deref()) => {
                     self.follow_shared_list().await;
                     continue;
@@ -138,7 +142,7 @@
         }
     }
 
-    /// Another discovery counts its revisions in its own way: it is polled for the full list first.
+    /// Revisions of different discovery services are not comparable, so a new one is polled for the full list first.
     fn set_address(&mut self, address: SocketAddr) {
         if std::mem::replace(&mut self.address, address) == address {
             return;
@@ -149,7 +153,7 @@
         }
     }
 
-    /// Waits while another instance's list is current; continues from its revision then.
+    /// Waits until the list of another instance is stale, to continue from its revision.
     async fn follow_shared_list(&mut self) {
         tracing::info!("discovery polling suspended: list confirmed by another instance");
         let revision = match &self.shared_list {
@@ -165,12 +169,13 @@
         if let Some(shared_list) = &self.shared_list {
             shared_list.record_discovery_failure();
         }
-        // A request from before was met by the poll that has failed: the backoff from here on is the balancer's.
+        // Clears a poll request that is still pending: the poll that has failed served it, and the balancer decides on
+        // the backoff before the next one.
         pin!(self.runtime.poll_requested.notified()).enable();
         self.runtime.handle_event(Event::DiscoveryFailed);
     }
 
-    /// Polls and applies list after list, until a poll fails.
+    /// Polls and applies lists until a poll fails.
     async fn watch(&mut self) -> WatchError {
         let mut connection = None;
         loop {
@@ -206,16 +211,17 @@
         let pushed = self.runtime.has_pushed_discovery();
         let Some(revision) = self.revision else {
             let path = "/api/targets".to_owned();
-            // An agent serves one client, so there is no queue.
+            // An agent serves a single client, so there is no queue.
             let timeout = match pushed {
                 true => RESPONSE_TIMEOUT,
                 false => FULL_LIST_TIMEOUT,
             };
             return Poll { path, timeout };
         };
-        // An agent's list counts as known from the start of the process: its first response is not waited for.
-        let at_once = pushed && !self.runtime.lifecycle.has_discovery_answered();
-        let wait = if at_once {
+        // An agent's list counts as known from the start of the process, so polls do not wait for a change until the
+        // agent has responded once.
+        let respond_at_once = pushed && !self.runtime.lifecycle.has_discovery_answered();
+        let wait = if respond_at_once {
             Duration::ZERO
         } else {
             LONG_POLL_WAIT
@@ -227,8 +233,8 @@
         }
     }
 
-    /// A list that goes back, or is empty, may be a fault of discovery: the last good one stays, and the full list is
-    /// polled for. What comes in full then is believed.
+    /// An older or empty list may be a fault of discovery: the last good one is kept, and the full list is polled for.
+    /// The full list is then accepted as it is.
     fn validate(&self, list: &EndpointList) -> Result<(), ImplausibleList> {
         let empty = list.complete && list.endpoints.is_empty();
         match self.revision {
@@ -239,7 +245,7 @@
         }
     }
 
-    /// Applies a list, and passes it on to other instances and to the other processes of this balancer.
+    /// Applies a list, and sends it to other instances and to the other processes of this balancer.
     fn apply(&mut self, list: EndpointList) {
         tracing::debug!(
             revision = list.revision,
@@ -259,7 +265,7 @@
     }
 }
 
-/// Waits until another instance's list makes a watch of our own needless.
+/// Waits until another instance confirms the shared list, so that this instance need not watch discovery.
 async fn wait_for_shared_list(shared_list: Option<&SharedEndpointList>) {
     match shared_list {
         Some(shared_list) => shared_list.wait_until_confirmed().await,
@@ -267,7 +273,7 @@
     }
 }
 
-/// Sends a GET, on the kept connection if there is one.
+/// Sends a GET request, on the kept-alive connection if there is one.
 async fn get(
     kept: &mut Option<Connection>,
     address: SocketAddr,
--- a/src/protocol/client/line_reader.rs
+++ b/src/protocol/client/line_reader.rs
@@ -21,8 +21,8 @@
     Io(#[from] io::Error),
 }
 
-/// Reads lines from a stream and buffers the bytes that follow them. Its methods are cancel safe: no bytes are lost when
-/// a future is dropped at an await point.
+/// Reads lines from a stream and buffers the bytes that follow them. Its methods are cancel safe: no bytes are lost
+/// when a future is dropped at an await point.
 #[derive(Default)]
 pub struct LineReader {
     buffer: Vec<u8>,
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -1,4 +1,4 @@
-//! The process configuration: defaults, precedence of the environment, and errors that name the key at fault.
+//! The process configuration: defaults, precedence of the environment, and errors that name the invalid key.
 
 use spanspur::config::{ConfigError, LoadReason, ProcessConfig};
 
@@ -29,8 +29,8 @@
 }
 
 #[test]
-fn each_error_names_the_key_at_fault() {
-    let faults = [
+fn each_error_names_the_invalid_key() {
+    let invalid = [
         ("127.0.0.1:8000", "nowhere", "'listen' is 'nowhere'"),
         (r#""discovery""#, r#""discover""#, "'discovery' is missing"),
         ("8c1f30d27a5be964", "seven", "'seed' is 'seven'"),
@@ -53,7 +53,7 @@
         ("10.0", r#""soon""#, "'settings': invalid type"),
         ("{\n", "", "BALANCER_CONFIG"),
     ];
-    for (original, replacement, expected) in faults {
+    for (original, replacement, expected) in invalid {
         assert!(EXAMPLE.contains(original), "{original}");
         let error = parse(&EXAMPLE.replacen(original, replacement, 1))
             .err()
--- a/tests/config_errors.rs
+++ b/tests/config_errors.rs
@@ -1,7 +1,7 @@
-//! The error texts of a balancer's file, to the letter: the staff reads them, and scripts look for them.
+//! The exact error texts of the process configuration, which operators read and scripts search for.
 //!
-//! `tests/fixtures/config_errors.txt` was written by the tree at 71566bd; rewriting it (`WRITE_FIXTURES=1`) hides a
-//! change of a text.
+//! `tests/fixtures/config_errors.txt` was written at commit 71566bd; rewriting it (`WRITE_FIXTURES=1`) hides a change
+//! of a text.
 
 #[path = "common/fixture.rs"]
 mod fixture;
@@ -12,17 +12,17 @@
 use std::fmt::Write as _;
 use std::process::Command;
 
-const WHOLE: &str = include_str!("../examples/config.json");
+const EXAMPLE: &str = include_str!("../examples/config.json");
 
-fn whole() -> Value {
-    serde_json::from_str(WHOLE).expect("the example")
+fn example() -> Value {
+    serde_json::from_str(EXAMPLE).expect("the example")
 }
 
-/// The example with this value in the place of a JSON pointer; without that place where it is `None`.
-fn with(pointer: &str, value: Option<Value>) -> String {
-    let mut config = whole();
+/// The example with this value at a JSON pointer, or without that key if the value is `None`.
+fn example_with(pointer: &str, value: Option<Value>) -> String {
+    let mut config = example();
     let (parent, key) = pointer.rsplit_once('/').expect("a pointer");
-    let parent = config.pointer_mut(parent).expect("a place");
+    let parent = config.pointer_mut(parent).expect("a parent");
     match (parent, value) {
         (Value::Object(map), Some(value)) => drop(map.insert(key.into(), value)),
         (Value::Object(map), None) => drop(map.remove(key)),
@@ -31,18 +31,22 @@
     config.to_string()
 }
 
-fn error(text: &[u8], when: LoadReason, var: impl Fn(&str) -> Option<String>) -> String {
-    ProcessConfig::parse(text, when, var)
+fn error_text(
+    text: &[u8],
+    reason: LoadReason,
+    variable: impl Fn(&str) -> Option<String>,
+) -> String {
+    ProcessConfig::parse(text, reason, variable)
         .err()
         .map(|error| error.to_string())
         .unwrap_or_default()
 }
 
-/// Values that no key takes, key by key.
-fn bad_values() -> Vec<(&'static str, Option<Value>)> {
+/// Invalid values, with the JSON pointer of their key; `None` leaves the key out.
+fn invalid_values() -> Vec<(&'static str, Option<Value>)> {
     let class = "/settings/classes/0";
-    assert!(whole().pointer(class).is_some());
-    let mut bad: Vec<(&'static str, Option<Value>)> = [
+    assert!(example().pointer(class).is_some());
+    let mut invalid: Vec<(&'static str, Option<Value>)> = [
         "/listen",
         "/discovery",
         "/seed",
@@ -58,7 +62,7 @@
     .into();
     for key in ["/listen", "/discovery", "/operator"] {
         for text in ["nowhere", "127.0.0.1", "localhost:80", ""] {
-            bad.push((key, Some(json!(text))));
+            invalid.push((key, Some(json!(text))));
         }
     }
     for key in [
@@ -71,8 +75,8 @@
         "/settings/rules/fall",
         "/settings/rules/fallMultiple",
     ] {
-        bad.push((key, Some(json!(-0.5))));
-        bad.push((key, Some(json!("soon"))));
+        invalid.push((key, Some(json!(-0.5))));
+        invalid.push((key, Some(json!("soon"))));
     }
     for (key, value) in [
         ("/name", json!(7)),
@@ -121,13 +125,13 @@
         ("/settings/rules/drainGrace", json!("soon")),
         ("/settings/rules", json!(3)),
     ] {
-        bad.push((key, Some(value)));
+        invalid.push((key, Some(value)));
     }
-    bad
+    invalid
 }
 
-/// Classes and limits that are at fault in more than one key.
-fn bad_settings() -> Vec<Value> {
+/// Invalid settings in which more than one key matters.
+fn invalid_settings() -> Vec<Value> {
     let class = |fields: Value| {
         let mut class = json!({"name": "c", "onTime": 0.5});
         let more = fields.as_object().expect("fields").clone();
@@ -148,26 +152,26 @@
 }
 
 #[test]
-fn each_fault_of_the_file_has_the_text_of_the_fixture() {
+fn each_invalid_configuration_gives_the_error_text_of_the_fixture() {
     let mut text = String::new();
-    let mut line = |what: &str, error: String| {
-        assert!(!error.is_empty(), "{what} was accepted");
-        assert!(!error.contains('\n'), "{what}: more than one line");
-        let _ = writeln!(text, "{what} => {error}");
+    let mut add_line = |name: &str, error: String| {
+        assert!(!error.is_empty(), "{name} was accepted");
+        assert!(!error.contains('\n'), "{name}: more than one line");
+        let _ = writeln!(text, "{name} => {error}");
     };
-    for (pointer, value) in bad_values() {
+    for (pointer, value) in invalid_values() {
         let shown = value.as_ref().map_or("left out".into(), Value::to_string);
-        let file = with(pointer, value);
-        line(
+        let file = example_with(pointer, value);
+        add_line(
             &format!("{pointer} {shown}"),
-            error(file.as_bytes(), LoadReason::Start, |_| None),
+            error_text(file.as_bytes(), LoadReason::Start, |_| None),
         );
     }
-    for settings in bad_settings() {
-        let file = with("/settings", Some(settings.clone()));
-        line(
+    for settings in invalid_settings() {
+        let file = example_with("/settings", Some(settings.clone()));
+        add_line(
             &settings.to_string(),
-            error(file.as_bytes(), LoadReason::Start, |_| None),
+            error_text(file.as_bytes(), LoadReason::Start, |_| None),
         );
     }
     for file in [
@@ -179,9 +183,9 @@
         b"{\"name\": \"\xff\"}",
     ] {
         let shown = String::from_utf8_lossy(file);
-        line(
+        add_line(
             &format!("file {shown}"),
-            error(file, LoadReason::Start, |_| None),
+            error_text(file, LoadReason::Start, |_| None),
         );
     }
     for (variable, value) in [
@@ -193,26 +197,29 @@
         ("BALANCER_ACCEPT_FD", "-1"),
     ] {
         let var = |key: &str| (key == variable).then(|| value.to_owned());
-        line(
+        add_line(
             &format!("{variable}={value}"),
-            error(WHOLE.as_bytes(), LoadReason::Start, var),
+            error_text(EXAMPLE.as_bytes(), LoadReason::Start, var),
         );
     }
     let var = |key: &str| (key == "BALANCER_DISCOVERY").then(|| "there".to_owned());
-    let bare = with("/discovery", None);
-    line(
+    let without_discovery = example_with("/discovery", None);
+    add_line(
         "at a reload, discovery left out, BALANCER_DISCOVERY=there",
-        error(bare.as_bytes(), LoadReason::Reload, var),
+        error_text(without_discovery.as_bytes(), LoadReason::Reload, var),
+    );
+    let reloaded = error_text(EXAMPLE.as_bytes(), LoadReason::Reload, var);
+    assert_eq!(
+        reloaded, "",
+        "at a reload the file's discovery has precedence"
     );
-    let reloaded = error(WHOLE.as_bytes(), LoadReason::Reload, var);
-    assert_eq!(reloaded, "", "at a reload the file's discovery goes first");
     fixture::assert_text("config_errors.txt", &text);
 }
 
 #[test]
-fn classes_that_are_taken_away_at_a_reload_are_refused_in_these_words() {
-    let read = |classes: Value| {
-        let file = with("/settings/classes", Some(classes));
+fn removing_or_reordering_classes_at_a_reload_is_rejected_with_the_exact_error_text() {
+    let reload = |classes: Value| {
+        let file = example_with("/settings/classes", Some(classes));
         ProcessConfig::parse(file.as_bytes(), LoadReason::Reload, |_| None)
             .unwrap_or_else(|e| panic!("{e}"))
     };
@@ -220,11 +227,11 @@
         json!({"name": "live", "onTime": 0.5}),
         json!({"name": "more", "onTime": 0.5}),
     );
-    let running = read(json!([live, more]));
-    assert!(read(json!([live, more, live])).replace(&running).is_ok());
+    let running = reload(json!([live, more]));
+    assert!(reload(json!([live, more, live])).replace(&running).is_ok());
     for classes in [json!([live]), json!([more, live])] {
         assert_eq!(
-            read(classes)
+            reload(classes)
                 .replace(&running)
                 .err()
                 .map(|error| error.to_string())
@@ -235,7 +242,7 @@
 }
 
 #[test]
-fn a_list_that_cannot_be_read_or_used_is_named_in_these_words() {
+fn an_invalid_endpoint_list_or_address_gives_the_exact_text() {
     let error = |text: &str| {
         EndpointList::parse(text.as_bytes())
             .err()
@@ -250,30 +257,30 @@
     assert_eq!(list.unusable.as_deref(), Some("'somewhere:80' of s-1"));
 }
 
-/// What `spanspur` says on its standard error with this environment and no other, and that it fails.
-fn said(arguments: &[&str], variables: &[(&str, &str)]) -> String {
+/// The standard error of `spanspur` with these environment variables only; asserts that it fails.
+fn failure_output(arguments: &[&str], variables: &[(&str, &str)]) -> String {
     let output = Command::new(env!("CARGO_BIN_EXE_spanspur"))
         .args(arguments)
         .env_clear()
         .envs(variables.iter().copied())
         .output()
-        .expect("it starts");
+        .expect("the process starts");
     assert!(!output.status.success(), "{arguments:?} was accepted");
     String::from_utf8(output.stderr).expect("text")
 }
 
 #[test]
-fn a_file_that_cannot_be_opened_is_named_in_these_words() {
+fn an_unreadable_file_gives_the_exact_error_text() {
     let missing = "tests/fixtures/there_is_no_such_file.json";
-    let os = "No such file or directory (os error 2)";
+    let os_error = "No such file or directory (os error 2)";
     assert_eq!(
-        said(&["check", "--config", missing], &[]),
-        format!("{missing}: {os}\n")
+        failure_output(&["check", "--config", missing], &[]),
+        format!("{missing}: {os_error}\n")
     );
-    let served = said(&["serve"], &[]);
-    let wanted = "key 'BALANCER_CONFIG' is missing";
-    assert!(served.contains(wanted), "{served}");
-    let served = said(&["serve"], &[("BALANCER_CONFIG", missing)]);
-    let wanted = format!("BALANCER_CONFIG: {missing}: {os}");
-    assert!(served.contains(&wanted), "{served}");
+    let output = failure_output(&["serve"], &[]);
+    let expected = "key 'BALANCER_CONFIG' is missing";
+    assert!(output.contains(expected), "{output}");
+    let output = failure_output(&["serve"], &[("BALANCER_CONFIG", missing)]);
+    let expected = format!("BALANCER_CONFIG: {missing}: {os_error}");
+    assert!(output.contains(&expected), "{output}");
 }
--- a/tests/endpoint_list.rs
+++ b/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list in discovery's form, and in the bytes that go to the successor process.
+//! The endpoint list in discovery's JSON format, and its encoding for the successor process.
 
 use spanspur::api::{Endpoint, EndpointState, ServerId};
 use spanspur::discovery::endpoint_list::{EndpointList, EndpointListError};
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn entries_are_mapped_and_those_without_a_usable_address_are_skipped() {
+fn entries_are_converted_and_those_with_an_invalid_address_are_skipped() {
     let list = parse(LIST).unwrap_or_else(|e| panic!("{e}"));
     assert_eq!((list.revision, list.complete), (7, false));
     assert_eq!(list.unusable.as_deref(), Some("'somewhere:80' of s-2"));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn an_error_tells_text_that_is_not_json_from_another_form() {
+fn invalid_json_and_a_missing_field_give_different_errors() {
     assert!(matches!(parse("{"), Err(EndpointListError::NotJson(_))));
     let error = parse("{}").err();
     assert!(matches!(error, Some(EndpointListError::Malformed(_))));
@@ -56,9 +56,10 @@
     );
 }
 
-/// postcard knows fields by their place: an earlier or later version of the program reads them in this order.
+/// postcard identifies fields by position, and the successor may be an earlier or later version of the program: their
+/// order must not change.
 #[test]
-fn the_bytes_for_the_successor_process_are_those_of_the_fields_in_order() {
+fn the_encoding_for_the_successor_has_the_fields_in_a_fixed_order() {
     let list = parse(LIST).unwrap_or_else(|e| panic!("{e}"));
     let endpoints: Vec<(Endpoint, SocketAddr)> = list
         .endpoints
--- a/tests/simulator_stream.rs
+++ b/tests/simulator_stream.rs
@@ -394,7 +394,9 @@
             12..=13 => {
                 let status = STATUSES[self.random.below(8) as usize];
                 let host = host(self.random.below(SERVERS));
-                self.push_event(json!({"kind": "probed", "who": who, "host": host, "status": status, "timeTaken": 0.02}));
+                self.push_event(
+                    json!({"kind": "probed", "who": who, "host": host, "status": status, "timeTaken": 0.02}),
+                );
             }
             14..=15 => {
                 let sender = self.random.below(instances);
--- a/tests/wire_errors.rs
+++ b/tests/wire_errors.rs
@@ -1,7 +1,7 @@
 //! The exact error texts of the simulator's protocol for invalid messages.
 //!
-//! `tests/fixtures/wire_errors.txt` was written at commit 71566bd; rewriting it (`WRITE_FIXTURES=1`) hides a change of a
-//! text.
+//! `tests/fixtures/wire_errors.txt` was written at commit 71566bd; rewriting it (`WRITE_FIXTURES=1`) hides a change of
+//! a text.
 
 #[path = "common/fixture.rs"]
 mod fixture;
