--- a/src/cli/changes.rs
+++ b/src/cli/changes.rs
@@ -1,20 +1,21 @@
-//! `changes`: the distribution of the endpoint list as one end of it sees it.
+//! `changes`: the distribution of the endpoint list as seen by a source or a follower.
 
 use super::CommandError;
 use super::query::Query;
-use super::table::{age, counter_table, fact_table, table};
+use super::table::{age, counter_table, property_table, table};
 use comfy_table::Table;
 use spanspur_cluster::distribution::{ChangesAnswer, ReplicationStatus};
 use spanspur_distribution::follower::FollowerStatus;
 use spanspur_distribution::source::{FollowerDelay, SourceStatus};
 
-/// Changes that the table shows; `--json` has all that are kept.
+/// The maximum number of changes in the table; `--json` has all that the source keeps.
 const MAX_SHOWN_CHANGES: usize = 20;
 
-/// Prints the state of the end as tables, or the answer as it came.
+/// Prints the status of the source or follower as tables, or the unchanged answer as JSON.
 pub(super) fn run(query: &Query) -> Result<(), CommandError> {
     let text = query.send("changes")?;
-    // A process without a distribution answers with an error, which is none to pass on as JSON.
+    // A process that takes no part in the distribution answers with an error object, which must not be printed as the
+    // status, not even with `--json`.
     let answer: ChangesAnswer =
         serde_json::from_str(&text).map_err(|source| CommandError::NoDistribution {
             answer: text.trim_end().to_owned(),
@@ -36,7 +37,7 @@
 }
 
 fn print_source(status: &SourceStatus, rate: u32) {
-    let facts = [
+    let properties = [
         ("name", status.name.clone()),
         ("entries", status.entries.to_string()),
         ("newest version", status.newest_version.to_string()),
@@ -48,10 +49,10 @@
         ("budget", format!("{rate} pieces a second")),
         ("spoken for", format!("{} ms ahead", status.backlog)),
     ];
-    println!("{}", fact_table("source", facts));
+    println!("{}", property_table("source", properties));
     println!("{}", change_table(status));
-    print_behind("lags", "by", status.lagging, &status.lagging_followers);
-    print_behind(
+    print_delayed_followers("lags", "by", status.lagging, &status.lagging_followers);
+    print_delayed_followers(
         "in the dark",
         "for",
         status.disconnected,
@@ -76,8 +77,8 @@
     table
 }
 
-/// Prints the followers that are behind, `listed` of `total`, under a header of `state` and `measure`.
-fn print_behind(state: &str, measure: &str, total: usize, listed: &[FollowerDelay]) {
+/// Prints the followers in a state; `listed` has those of all `total` that are most delayed.
+fn print_delayed_followers(state: &str, measure: &str, total: usize, listed: &[FollowerDelay]) {
     if total == 0 {
         return;
     }
@@ -96,14 +97,14 @@
 }
 
 fn print_follower(status: &FollowerStatus) {
-    let facts = [
+    let properties = [
         ("name", status.name.clone()),
         ("state", follower_state(status).to_owned()),
         ("age", age(status.data_age)),
         ("entries", status.entries.to_string()),
         ("newest version", status.newest_version.to_string()),
     ];
-    println!("{}", fact_table("follower", facts));
+    println!("{}", property_table("follower", properties));
     println!("{}", followed_source_table(status));
 }
 
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -5,18 +5,19 @@
 use clap::Args;
 use std::path::PathBuf;
 
-/// What to check.
+/// The options of `check`.
 #[derive(Args)]
 pub(super) struct Check {
-    /// The operator's file.
+    /// The file to check, an operator's file unless --config is given.
     file: PathBuf,
-    /// It is a balancer's configuration (as BALANCER_CONFIG names one) instead.
+    /// The file is a balancer's configuration, as named by BALANCER_CONFIG.
     #[arg(long)]
     config: bool,
 }
 
 impl Check {
-    /// Prints that the file is valid, or fails with all that is wrong with it.
+    /// Prints that the file has no fault, or fails: with all faults of an operator's file, or with the first error of a
+    /// balancer's configuration.
     pub fn run(&self) -> Result<(), CommandError> {
         let path = || self.file.clone();
         let text =
@@ -25,7 +26,7 @@
                 source,
             })?;
         if self.config {
-            // The file alone is checked: no variable of the environment counts.
+            // Only the file is checked, without environment variables.
             ProcessConfig::parse(text.as_bytes(), LoadReason::Start, |_| None).map_err(
                 |source| CommandError::InvalidConfig {
                     path: path(),
@@ -34,7 +35,7 @@
             )?;
         } else {
             spanspur_operator_config::parse(&text).map_err(|faults| {
-                CommandError::FaultyOperatorFile {
+                CommandError::InvalidOperatorFile {
                     path: path(),
                     faults,
                 }
--- a/src/cli/duties.rs
+++ b/src/cli/duties.rs
@@ -1,4 +1,4 @@
-//! `duties`: the leases as one instance sees them.
+//! `duties`: the leases as seen by one instance.
 
 use super::CommandError;
 use super::query::Query;
@@ -6,7 +6,7 @@
 use comfy_table::Table;
 use spanspur_cluster::control::{DutiesAnswer, DutyRow};
 
-/// Prints the duties as a table, or the answer as it came.
+/// Prints the duties as a table, or the unchanged answer as JSON.
 pub(super) fn run(query: &Query) -> Result<(), CommandError> {
     let text = query.send("duties")?;
     if query.json {
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -12,45 +12,45 @@
     /// A file cannot be read.
     #[error("{path}: {source}", path = path.display())]
     UnreadableFile {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
         /// Why it cannot be read.
         source: io::Error,
     },
-    /// A balancer's configuration is not valid.
+    /// A balancer's configuration is invalid.
     #[error("{path}: {source}", path = path.display())]
     InvalidConfig {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Why the configuration is invalid.
         source: ConfigError,
     },
-    /// The checked operator's file is not valid: a line for each fault.
+    /// The operator's file that was checked is invalid. The text has a line for each fault.
     #[error("{}", fault_lines(path, faults))]
-    FaultyOperatorFile {
-        /// The file.
+    InvalidOperatorFile {
+        /// The path of the file.
         path: PathBuf,
         /// All its faults.
         faults: Faults,
     },
-    /// The operator's file that should name the control socket is not valid.
+    /// The operator's file that should name the control socket is invalid.
     #[error(transparent)]
     UnusableOperatorFile(Faults),
     /// The operator's file names no control socket.
     #[error("the operator's file has no key 'control.socket'")]
     NoControlSocket,
-    /// The command line names no running process.
+    /// The command line has neither a control socket nor an operator's file.
     #[error("neither --socket nor --operator is given")]
-    NoProcessNamed,
+    NoSocketOption,
     /// The running process does not answer.
     #[error("{socket}: {source}: is the process running, with this socket?", socket = socket.display())]
     NoAnswer {
-        /// Its control socket.
+        /// The control socket of the process.
         socket: PathBuf,
-        /// Why there is no answer.
+        /// Why the process does not answer.
         source: io::Error,
     },
-    /// The answer of the running process has another form.
+    /// The answer of the running process cannot be parsed.
     #[error(transparent)]
     MalformedAnswer(serde_json::Error),
     /// The running process takes no part in the distribution of the endpoint list.
@@ -58,12 +58,12 @@
         "it neither distributes nor follows: its operator's file has no section 'distribute' or 'follow' ({answer})"
     )]
     NoDistribution {
-        /// What it answered.
+        /// The answer of the process.
         answer: String,
-        /// Why that is no status of the distribution.
+        /// Why the answer is not a status of the distribution.
         source: serde_json::Error,
     },
-    /// The schema of the operator's file cannot be written as JSON.
+    /// The schema of the operator's file cannot be serialized as JSON.
     #[error(transparent)]
     UnprintableSchema(serde_json::Error),
 }
--- a/src/cli/members.rs
+++ b/src/cli/members.rs
@@ -1,4 +1,4 @@
-//! `members`: the instances of the cluster as one of them sees them.
+//! `members`: the instances of the cluster as seen by one of them.
 
 use super::CommandError;
 use super::query::Query;
@@ -7,7 +7,7 @@
 use spanspur_cluster::control::MembersAnswer;
 use spanspur_cluster::node::Member;
 
-/// Prints the instances and the counters as tables, or the answer as it came.
+/// Prints the instances and the counters as tables, or the unchanged answer as JSON.
 pub(super) fn run(query: &Query) -> Result<(), CommandError> {
     let text = query.send("members")?;
     if query.json {
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -16,60 +16,60 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The variable that names the operator's file where `--operator` does not.
+/// The environment variable with the path of the operator's file, used if `--operator` is not given.
 const OPERATOR_VARIABLE: &str = "SPANSPUR_OPERATOR";
 
-/// A load balancer for long-lived connections, by weighted rendezvous hashing.
+/// A load balancer for long-lived connections, with weighted rendezvous hashing.
 ///
-/// Without a sub-command it serves. BALANCER_CONFIG names its configuration; RUST_LOG chooses what is logged.
+/// Without a sub-command it runs `serve`. BALANCER_CONFIG is the path of its configuration; RUST_LOG filters the log.
 #[derive(Parser)]
 #[command(
     version,
     after_help = "Start here: `spanspur check deploy/operator.json`, then \
-    `BALANCER_CONFIG=examples/config.json spanspur serve`. README tells the rest."
+    `BALANCER_CONFIG=examples/config.json spanspur serve`. See README for more."
 )]
 pub struct Cli {
     #[command(subcommand)]
     command: Option<Command>,
 }
 
-/// What to do.
+/// The sub-commands.
 #[derive(Subcommand)]
 enum Command {
     /// Balance connections (also the default without a sub-command).
     Serve(Serve),
-    /// Check an operator's file, or a balancer's configuration: every fault with its place; exit code 1 if any.
+    /// Check an operator's file or a balancer's configuration; print the errors and exit with code 1 if there are any.
     Check(Check),
     /// Print the JSON schema of the operator's file.
     Schema,
-    /// Who does which shared duty, when it was last done, and what was missed.
+    /// Show the shared duties: the holder of each, when it was last done, and the periods done and missed.
     Duties(Query),
-    /// Which instances are there, and what was dropped of what they sent.
+    /// Show the instances of the cluster and the counters of messages sent, received and dropped.
     Members(Query),
-    /// How the list of servers is distributed: at a control instance its followers, and since when each change is in
-    /// force; at a balancer that follows, its sources and how old what it has is.
+    /// Show the distribution of the endpoint list: at a control instance, its followers and when each change took
+    /// effect; at a balancer that follows, its sources and the age of its list.
     Changes(Query),
 }
 
-/// How to serve.
+/// The options of `serve`.
 #[derive(Args, Clone, Default)]
 pub struct Serve {
-    /// The operator's file, which switches parts on; all are off without it. Read again at SIGHUP.
+    /// The operator's file, which enables optional features; without it, all are off. Reloaded at SIGHUP.
     #[arg(long, value_name = "FILE", env = OPERATOR_VARIABLE)]
     pub operator: Option<PathBuf>,
 }
 
-/// What the command line asks for.
+/// The result of [`Cli::run`].
 pub enum Invocation {
-    /// A sub-command that has been carried out; the process ends with this code.
+    /// A sub-command has run; the process exits with this code.
     Finished(ExitCode),
-    /// To balance connections.
+    /// The process balances connections.
     Serve(Serve),
 }
 
 impl Cli {
-    /// Parses the command line and carries out its sub-command, unless that is to serve. Ends the process where the
-    /// command line cannot be parsed.
+    /// Parses the command line and runs its sub-command, except `serve`. Exits the process if the command line is
+    /// invalid.
     pub fn run() -> Invocation {
         let result = match Self::parse().command {
             None => return Invocation::Serve(Serve::from_env()),
@@ -91,7 +91,7 @@
 }
 
 impl Serve {
-    /// The options without the sub-command `serve`, whose variable counts all the same.
+    /// The options if the sub-command `serve` is omitted; its environment variable applies then too.
     fn from_env() -> Self {
         let operator = std::env::var_os(OPERATOR_VARIABLE).filter(|path| !path.is_empty());
         Self {
--- a/src/cli/query.rs
+++ b/src/cli/query.rs
@@ -5,16 +5,16 @@
 use spanspur_cluster::control::ask;
 use std::path::{Path, PathBuf};
 
-/// Whom to ask.
+/// The options of the sub-commands that query a running process.
 #[derive(Args)]
 pub(super) struct Query {
     /// The control socket of the running process.
     #[arg(long, value_name = "PATH", required_unless_present = "operator")]
     socket: Option<PathBuf>,
-    /// The operator's file of the running process, which names that socket.
+    /// The operator's file of the running process, which names the control socket.
     #[arg(long, value_name = "FILE", env = OPERATOR_VARIABLE)]
     operator: Option<PathBuf>,
-    /// Print JSON, for programs.
+    /// Print the answer as JSON instead of tables.
     #[arg(long)]
     pub json: bool,
 }
@@ -30,7 +30,7 @@
         match (&self.socket, &self.operator) {
             (Some(socket), _) => Ok(socket.clone()),
             (None, Some(file)) => configured_socket(file),
-            (None, None) => Err(CommandError::NoProcessNamed),
+            (None, None) => Err(CommandError::NoSocketOption),
         }
     }
 }
--- a/src/cli/table.rs
+++ b/src/cli/table.rs
@@ -1,4 +1,4 @@
-//! Tables for people.
+//! Text tables for the terminal.
 
 use comfy_table::{Table, presets};
 use std::collections::BTreeMap;
@@ -10,16 +10,19 @@
     table
 }
 
-/// A table of named facts; the header has its title.
-pub(super) fn fact_table<const FACTS: usize>(title: &str, facts: [(&str, String); FACTS]) -> Table {
+/// A table of names and values, with the title in the header.
+pub(super) fn property_table<const ROWS: usize>(
+    title: &str,
+    properties: [(&str, String); ROWS],
+) -> Table {
     let mut table = table([title, ""]);
-    for (name, fact) in facts {
-        table.add_row([name.to_owned(), fact]);
+    for (name, value) in properties {
+        table.add_row([name.to_owned(), value]);
     }
     table
 }
 
-/// The counters that have counted anything.
+/// A table of the counters that are not 0.
 pub(super) fn counter_table(counters: &BTreeMap<String, u64>) -> Table {
     let mut table = table(["counter", "so far"]);
     for (name, count) in counters.iter().filter(|(_, count)| **count > 0) {
@@ -28,7 +31,7 @@
     table
 }
 
-/// An age in milliseconds, if it is known.
+/// The text for an age in milliseconds, which may be unknown.
 pub(super) fn age(milliseconds: Option<u64>) -> String {
     milliseconds.map_or("nothing known yet".into(), |ms| format!("{ms} ms"))
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The balancer's program: reads the command line and the configuration, and serves until SIGTERM.
+//! The balancer program: reads the command line and the configuration, and serves until SIGTERM.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
