--- a/tests/common/fixture.rs
+++ b/tests/common/fixture.rs
@@ -1,41 +1,40 @@
-//! Golden fixtures: files in the repository that hold what the tree at 71566bd wrote.
+//! Golden fixtures: files in the repository with the output of the code at commit 71566bd.
 //!
-//! `WRITE_FIXTURES=1` writes them anew in place of comparing. Written by the tree at 71566bd; rewriting them hides a
-//! change of the wire.
+//! `WRITE_FIXTURES=1` writes them again instead of comparing, which hides a change of the output.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 use std::path::{Path, PathBuf};
 
-/// Where the fixture with this name is kept.
+/// The path of the fixture with this name.
 pub fn path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/fixtures")
         .join(name)
 }
 
-/// The kept bytes of a fixture; under `WRITE_FIXTURES=1` they are `written` from now on.
-pub fn load_or_write(name: &str, written: &[u8]) -> Vec<u8> {
+/// The bytes of a fixture. With `WRITE_FIXTURES=1`, writes `actual` to the fixture first.
+pub fn load_or_write(name: &str, actual: &[u8]) -> Vec<u8> {
     let path = path(name);
     if std::env::var("WRITE_FIXTURES").is_ok_and(|value| value == "1") {
-        std::fs::write(&path, written).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
+        std::fs::write(&path, actual).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
     }
     std::fs::read(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
-/// Holds a text to its fixture, line by line, so that a failure names the first line that differs.
-pub fn assert_text(name: &str, written: &str) {
-    let kept =
-        String::from_utf8(load_or_write(name, written.as_bytes())).expect("a fixture of text");
-    for (at, (kept, written)) in kept.lines().zip(written.lines()).enumerate() {
-        assert_eq!(written, kept, "{name}, line {}", at + 1);
+/// Asserts that a text equals its fixture; a failure names the first line that differs.
+pub fn assert_text(name: &str, actual: &str) {
+    let expected =
+        String::from_utf8(load_or_write(name, actual.as_bytes())).expect("a fixture of text");
+    for (index, (expected, actual)) in expected.lines().zip(actual.lines()).enumerate() {
+        assert_eq!(actual, expected, "{name}, line {}", index + 1);
     }
-    assert_eq!(written, kept, "{name}: more or fewer lines");
+    assert_eq!(actual, expected, "{name}: different number of lines");
 }
 
-/// Holds bytes to their fixture; a failure names the first byte that differs.
-pub fn assert_bytes(name: &str, written: &[u8]) {
-    let kept = load_or_write(name, written);
-    let first = kept.iter().zip(written).position(|(a, b)| a != b);
-    assert_eq!(first, None, "{name}: first byte that differs");
-    assert_eq!(written.len(), kept.len(), "{name}: length");
+/// Asserts that bytes equal their fixture; a failure names the first byte that differs.
+pub fn assert_bytes(name: &str, actual: &[u8]) {
+    let expected = load_or_write(name, actual);
+    let first_difference = expected.iter().zip(actual).position(|(a, b)| a != b);
+    assert_eq!(first_difference, None, "{name}: first byte that differs");
+    assert_eq!(actual.len(), expected.len(), "{name}: length");
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -4,16 +4,18 @@
 use spanspur::Balancer;
 use spanspur::api::*;
 
+/// A balancer without I/O: each test passes the time and the events, and checks the actions.
 pub struct TestBalancer {
     pub inner: Balancer,
     pub actions: Vec<Action>,
-    ids: u64,
+    last_id: u64,
 }
 
-/// Random numbers of a seed.
+/// A seeded linear congruential generator. The recorded fixtures depend on its sequence.
 pub struct Random(pub u64);
 
 impl Random {
+    /// A random number from 0 to `end`, exclusive.
     pub fn below(&mut self, end: u64) -> u64 {
         self.0 = self
             .0
@@ -23,6 +25,7 @@
     }
 }
 
+/// Settings with one class and a slow start.
 pub fn config() -> BalancerConfig {
     BalancerConfig {
         classes: vec![RequestClass::default()],
@@ -35,6 +38,7 @@
     }
 }
 
+/// A ready endpoint of weight 1 that started long ago.
 pub fn endpoint(number: u64) -> Endpoint {
     Endpoint {
         id: ServerId::of(&format!("10.0.0.{number}:80")),
@@ -47,6 +51,7 @@
 }
 
 impl TestBalancer {
+    /// A balancer with a fixed seed.
     pub fn new(config: BalancerConfig) -> Self {
         Self::with_seed(config, 7)
     }
@@ -55,7 +60,7 @@
         Self {
             inner: Balancer::new(config, seed),
             actions: Vec::new(),
-            ids: 0,
+            last_id: 0,
         }
     }
 
@@ -65,6 +70,7 @@
         std::mem::take(&mut self.actions)
     }
 
+    /// Passes an endpoint list or a delta to the balancer, and returns the actions.
     pub fn update_endpoints(
         &mut self,
         now: Time,
@@ -80,20 +86,21 @@
         )
     }
 
+    /// A request id that has not been used.
     pub fn next_id(&mut self) -> RequestId {
-        self.ids += 1;
-        RequestId(self.ids)
+        self.last_id += 1;
+        RequestId(self.last_id)
     }
 
-    /// Makes this request and returns the server of its attempt.
+    /// Starts a request and returns the server of its attempt, if one started.
     pub fn request(&mut self, now: Time, request: Request) -> Option<ServerId> {
         attempted_server(&self.handle(now, Event::Request(request)))
     }
 
-    /// Makes a request with a key, returns the server of its attempt and disconnects the client.
+    /// The server of the attempt for a request with this key. The client then disconnects.
     pub fn place(&mut self, now: Time, key: Key) -> Option<ServerId> {
         let id = self.next_id();
-        let to = self.request(
+        let server = self.request(
             now,
             Request {
                 key: Some(key),
@@ -101,10 +108,10 @@
             },
         );
         self.handle(now, Event::ClientDisconnected(id));
-        to
+        server
     }
 
-    /// Ends attempt `attempt` of a request, not final.
+    /// Ends attempt number `attempt` of a request with an outcome that is not final.
     pub fn end_attempt(
         &mut self,
         now: Time,
@@ -126,13 +133,13 @@
     }
 }
 
-/// The server of the only attempt among these actions.
+/// The server of the attempt that these actions start; at most one may start.
 pub fn attempted_server(actions: &[Action]) -> Option<ServerId> {
-    let mut sends = actions.iter().filter_map(|a| match a {
+    let mut servers = actions.iter().filter_map(|a| match a {
         Action::StartAttempt { server, .. } => Some(*server),
         _ => None,
     });
-    let first = sends.next();
-    assert_eq!(sends.next(), None, "two attempts at once");
+    let first = servers.next();
+    assert_eq!(servers.next(), None, "two attempts at once");
     first
 }
--- a/tests/common/wire_fixtures.rs
+++ b/tests/common/wire_fixtures.rs
@@ -1,18 +1,18 @@
-//! Fixture files of encoded bytes: one record a line, a name and its bytes in hexadecimal. Written by the tree at
-//! 71566bd; rewriting them (`WRITE_FIXTURES=1`) hides a change of the bytes between versions.
+//! Fixture files of encoded bytes: one record per line, a name and its bytes in hexadecimal. They were written at
+//! commit 71566bd; rewriting them (`WRITE_FIXTURES=1`) hides a change of the encoding between versions.
 
 use std::fmt::Write;
 use std::path::Path;
 
-/// Set to 1, the fixture files are written instead of compared.
+/// The environment variable that, set to 1, rewrites the fixture files.
 const WRITE_VARIABLE: &str = "WRITE_FIXTURES";
 /// The first line of each file.
 const HEADER: &str =
     "# Written by the tree at 71566bd. Rewriting hides a change of the bytes between versions.";
-/// What stands for a record without bytes.
+/// The text for a record without bytes.
 const NO_BYTES: &str = "-";
 
-/// Some bytes and the name under which the file keeps them.
+/// Encoded bytes and their name in the file.
 pub struct Record {
     pub name: String,
     pub bytes: Vec<u8>,
@@ -25,7 +25,7 @@
     }
 }
 
-/// Compares records with a fixture file of a package, all of them and in order, and returns those of the file.
+/// Asserts that records equal those of a package's fixture file, in the same order; returns the records of the file.
 pub fn check(package_directory: &str, file: &str, records: Vec<Record>) -> Vec<Record> {
     let path = Path::new(package_directory)
         .join("tests/fixtures")
@@ -34,19 +34,19 @@
         std::fs::write(&path, format(&records)).expect("the fixture file can be written");
     }
     let text = std::fs::read_to_string(&path).expect("the fixture file can be read");
-    let golden = parse(&text);
-    for (record, golden) in records.iter().zip(&golden) {
-        assert_eq!(record.name, golden.name, "{file}");
+    let expected = parse(&text);
+    for (record, expected) in records.iter().zip(&expected) {
+        assert_eq!(record.name, expected.name, "{file}");
         assert_eq!(
             hexadecimal(&record.bytes),
-            hexadecimal(&golden.bytes),
+            hexadecimal(&expected.bytes),
             "{file}: {}",
             record.name
         );
     }
-    assert_eq!(records.len(), golden.len(), "{file}: number of records");
-    assert!(!golden.is_empty(), "{file}: no records");
-    golden
+    assert_eq!(records.len(), expected.len(), "{file}: number of records");
+    assert!(!expected.is_empty(), "{file}: no records");
+    expected
 }
 
 fn format(records: &[Record]) -> String {
@@ -68,7 +68,7 @@
             let (name, digits) = line.split_once(' ').expect("a name and bytes");
             match digits {
                 NO_BYTES => Record::new(name, Vec::new()),
-                digits => Record::new(name, bytes_of(digits)),
+                digits => Record::new(name, parse_hexadecimal(digits)),
             }
         })
         .collect()
@@ -78,10 +78,10 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn bytes_of(digits: &str) -> Vec<u8> {
+fn parse_hexadecimal(digits: &str) -> Vec<u8> {
     assert!(digits.len().is_multiple_of(2), "whole bytes");
     (0..digits.len())
         .step_by(2)
-        .map(|at| u8::from_str_radix(&digits[at..at + 2], 16).expect("hexadecimal"))
+        .map(|start| u8::from_str_radix(&digits[start..start + 2], 16).expect("hexadecimal"))
         .collect()
 }
--- a/tests/hostile.rs
+++ b/tests/hostile.rs
@@ -1,5 +1,5 @@
-//! Seeded hostile events in virtual time: outcomes in any order, endpoint lists that change, servers and balancers
-//! that restart. A record of each request outside the balancer checks attempts, final answers and slow start.
+//! Seeded random events in virtual time: outcomes in any order, changing endpoint lists, restarts of servers and of the
+//! balancer. An independent record of each request checks attempts, final answers and slow start.
 
 mod common;
 use common::*;
@@ -13,28 +13,30 @@
 const MAX_ATTEMPTS: u32 = 4;
 const DEDUPLICATION_WINDOW: Time = 0.6;
 
-/// What clients and servers know of a request.
+/// The record of a request, kept outside the balancer.
 struct ObservedRequest {
     request: Request,
     attempts: u32,
+    /// The server of the attempt in flight, and the start of the attempt.
     in_flight: Option<(ServerId, Time)>,
     is_established: bool,
+    /// The start and the server of the first attempt that may have executed the request.
     may_have_executed: Option<(Time, ServerId)>,
     answered: bool,
 }
 
-struct World {
-    node: TestBalancer,
+struct Simulation {
+    balancer: TestBalancer,
     random: Random,
     now: Time,
-    seen: BTreeMap<RequestId, ObservedRequest>,
-    listed: BTreeMap<ServerId, Endpoint>,
+    requests: BTreeMap<RequestId, ObservedRequest>,
+    endpoints: BTreeMap<ServerId, Endpoint>,
     timers: Vec<(Time, u64)>,
     cold_attempts: BTreeMap<ServerId, Vec<Time>>,
-    asked: Vec<Time>,
-    ids: u64,
-    sends: usize,
-    finals: usize,
+    arrivals: Vec<Time>,
+    last_id: u64,
+    attempt_count: usize,
+    answer_count: usize,
 }
 
 fn request_classes() -> Vec<RequestClass> {
@@ -58,39 +60,39 @@
         .to_vec()
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
-        let mut world = World {
-            node: TestBalancer::with_seed(settings(), seed),
+        let mut simulation = Simulation {
+            balancer: TestBalancer::with_seed(settings(), seed),
             random: Random(seed),
             now: 100.0,
-            seen: BTreeMap::new(),
-            listed: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
             timers: Vec::new(),
             cold_attempts: BTreeMap::new(),
-            asked: Vec::new(),
-            ids: 0,
-            sends: 0,
-            finals: 0,
+            arrivals: Vec::new(),
+            last_id: 0,
+            attempt_count: 0,
+            answer_count: 0,
         };
-        world.list(UpdateKind::Cached);
-        world
+        simulation.update_endpoints(UpdateKind::Cached);
+        simulation
     }
 
-    fn member(&mut self, number: u64) -> Endpoint {
+    fn random_endpoint(&mut self, number: u64) -> Endpoint {
         let state = match self.random.below(8) {
             0 => EndpointState::Draining,
             1 => EndpointState::Removed,
             _ => EndpointState::Ready,
         };
-        let old = self
-            .listed
+        let previous_start = self
+            .endpoints
             .get(&endpoint(number).id)
-            .map_or(0.0, |m| m.started_at);
+            .map_or(0.0, |listed| listed.started_at);
         let started_at = if self.random.below(6) == 0 {
             self.now
         } else {
-            old
+            previous_start
         };
         Endpoint {
             state,
@@ -101,37 +103,37 @@
         }
     }
 
-    fn list(&mut self, kind: UpdateKind) {
+    fn update_endpoints(&mut self, kind: UpdateKind) {
         let mut entries = Vec::new();
         for number in 0..SERVERS {
             if self.random.below(4) > 0 {
-                entries.push(self.member(number));
+                entries.push(self.random_endpoint(number));
             }
         }
         if kind != UpdateKind::Delta {
-            self.listed
+            self.endpoints
                 .values_mut()
-                .for_each(|m| m.state = EndpointState::Removed);
+                .for_each(|listed| listed.state = EndpointState::Removed);
         }
         for entry in &entries {
-            let old = self.listed.insert(entry.id, *entry);
-            if old.is_none_or(|m| m.started_at != entry.started_at) {
+            let previous = self.endpoints.insert(entry.id, *entry);
+            if previous.is_none_or(|previous| previous.started_at != entry.started_at) {
                 self.cold_attempts.remove(&entry.id);
             }
         }
-        self.give(Event::EndpointsUpdated {
+        self.handle(Event::EndpointsUpdated {
             kind,
             endpoints: entries.into(),
         });
     }
 
-    fn give(&mut self, event: Event) {
-        for action in self.node.handle(self.now, event) {
-            self.carry_out(action);
+    fn handle(&mut self, event: Event) {
+        for action in self.balancer.handle(self.now, event) {
+            self.apply_action(action);
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn apply_action(&mut self, action: Action) {
         let now = self.now;
         match action {
             Action::StartAttempt {
@@ -139,123 +141,125 @@
                 server,
                 timeout_at,
             } => {
-                self.sends += 1;
-                let seen = self.seen.get_mut(&id).expect("a known request");
+                self.attempt_count += 1;
+                let observed = self.requests.get_mut(&id).expect("a known request");
                 assert!(
-                    !seen.answered && !seen.is_established,
-                    "an attempt after the end"
+                    !observed.answered && !observed.is_established,
+                    "an attempt after the final answer"
                 );
-                assert_eq!(seen.in_flight, None, "two attempts in flight");
+                assert_eq!(observed.in_flight, None, "two attempts in flight");
                 assert!(
-                    now < seen.request.deadline && timeout_at <= seen.request.deadline,
-                    "after its deadline"
+                    now < observed.request.deadline && timeout_at <= observed.request.deadline,
+                    "an attempt beyond the deadline"
                 );
-                seen.attempts += 1;
-                assert!(seen.attempts <= MAX_ATTEMPTS, "too many attempts");
-                let to = self.listed[&server];
+                observed.attempts += 1;
+                assert!(observed.attempts <= MAX_ATTEMPTS, "too many attempts");
+                let target = self.endpoints[&server];
                 assert!(
-                    to.state == EndpointState::Ready
-                        || seen.request.mid_flow && to.state == EndpointState::Draining
+                    target.state == EndpointState::Ready
+                        || observed.request.mid_flow && target.state == EndpointState::Draining
                 );
-                if let Some((first, place)) = seen.may_have_executed {
-                    let at = self.listed[&place];
-                    match request_classes()[seen.request.class].idempotency {
+                if let Some((first_start, first_server)) = observed.may_have_executed {
+                    let first = self.endpoints[&first_server];
+                    match request_classes()[observed.request.class].idempotency {
                         Idempotency::Idempotent => {}
                         Idempotency::NonIdempotent => {
                             panic!("a non-idempotent request was sent again")
                         }
                         Idempotency::Keyed { scope, window } => {
-                            assert!(now < first + window, "after the deduplication window");
+                            assert!(now < first_start + window, "after the deduplication window");
                             assert!(
-                                scope != DeduplicationScope::Zone || at.zone == to.zone,
+                                scope != DeduplicationScope::Zone || first.zone == target.zone,
                                 "outside its zone"
                             );
                             assert!(
-                                scope != DeduplicationScope::Cell || at.cell == to.cell,
+                                scope != DeduplicationScope::Cell || first.cell == target.cell,
                                 "outside its cell"
                             );
                         }
                     }
                 }
-                seen.in_flight = Some((server, now));
-                if to.started_at > 0.0 && now < to.started_at + SLOW_START_WINDOW {
-                    self.record_cold_attempt(to);
+                observed.in_flight = Some((server, now));
+                if target.started_at > 0.0 && now < target.started_at + SLOW_START_WINDOW {
+                    self.record_cold_attempt(target);
                 }
             }
             Action::Reject { id, .. } | Action::Fail(id) => {
-                self.finals += 1;
-                let seen = self.seen.get_mut(&id).expect("a known request");
+                self.answer_count += 1;
+                let observed = self.requests.get_mut(&id).expect("a known request");
                 assert!(
-                    !seen.answered && seen.in_flight.is_none(),
+                    !observed.answered && observed.in_flight.is_none(),
                     "answered twice or while an attempt is in flight"
                 );
-                seen.answered = true;
-                assert!(now <= seen.request.deadline + 0.02, "answered late");
-                let effect = request_classes()[seen.request.class].idempotency;
-                let all = matches!(
-                    effect,
+                observed.answered = true;
+                assert!(now <= observed.request.deadline + 0.02, "answered late");
+                let idempotency = request_classes()[observed.request.class].idempotency;
+                let retry_is_safe = matches!(
+                    idempotency,
                     Idempotency::Idempotent
                         | Idempotency::Keyed {
                             scope: DeduplicationScope::All,
                             ..
                         }
                 );
-                let harmless = all || seen.may_have_executed.is_none();
+                let rejection_is_safe = retry_is_safe || observed.may_have_executed.is_none();
                 assert!(
-                    harmless || matches!(action, Action::Fail(_)),
-                    "a rejection where a retry does harm"
+                    rejection_is_safe || matches!(action, Action::Fail(_)),
+                    "a rejection although a retry by the client is unsafe"
                 );
             }
             Action::Migrate(id) => assert!(
-                self.seen[&id].is_established,
-                "migrated what is not established"
+                self.requests[&id].is_established,
+                "a migration of a request that is not established"
             ),
             Action::SetTimer { after, token } => self.timers.push((now + after, token)),
             Action::CancelAttempt { .. } | Action::PollDiscovery => {}
         }
     }
 
-    /// A single balancer has the whole slow-start budget. The capacity of a server is at least what this balancer's own
-    /// connections and arrivals amount to: here the most of either that the run ever had.
-    fn record_cold_attempt(&mut self, to: Endpoint) {
+    /// A single balancer has the whole slow-start budget. It assumes at least the capacity that its own connections and
+    /// arrivals need. Here the bound is the larger of two rates per endpoint: the established connections spread over
+    /// the slow-start window, and the arrivals of 30 s counted as if they came in 10 s.
+    fn record_cold_attempt(&mut self, target: Endpoint) {
         let now = self.now;
-        self.asked.retain(|at| *at > now - 30.0);
-        let established = self.seen.values().filter(|s| s.is_established).count() as f64;
-        let rate = self.asked.len() as f64 / 10.0;
-        let listed = self
-            .listed
+        self.arrivals.retain(|arrival| *arrival > now - 30.0);
+        let established = self.requests.values().filter(|r| r.is_established).count() as f64;
+        let rate = self.arrivals.len() as f64 / 10.0;
+        let endpoint_count = self
+            .endpoints
             .values()
-            .filter(|m| m.state != EndpointState::Removed)
+            .filter(|listed| listed.state != EndpointState::Removed)
             .count() as f64;
         // Until a load is reported, ten connections are assumed to fill a server of weight 1.
-        let can =
-            ((established / SLOW_START_WINDOW).max(rate) / listed).max(10.0 / SLOW_START_WINDOW);
-        let sends = self.cold_attempts.entry(to.id).or_default();
-        sends.push(now);
-        let window = sends
+        let capacity = ((established / SLOW_START_WINDOW).max(rate) / endpoint_count)
+            .max(10.0 / SLOW_START_WINDOW);
+        let attempts = self.cold_attempts.entry(target.id).or_default();
+        attempts.push(now);
+        let recent = attempts
             .iter()
-            .filter(|at| **at > now - OVERLOAD_WINDOW)
+            .filter(|start| **start > now - OVERLOAD_WINDOW)
             .count() as f64;
-        // Slack: one for the token that is always available, one for a balancer that has just restarted, one for chance.
+        // Slack: one for the token that is always available, one for a balancer that has just restarted, one for
+        // chance.
         assert!(
-            window <= OVERLOAD_MULTIPLE * can * OVERLOAD_WINDOW + 3.0,
-            "{window} attempts at a cold server with capacity for {can} a second"
+            recent <= OVERLOAD_MULTIPLE * capacity * OVERLOAD_WINDOW + 3.0,
+            "{recent} attempts at a cold server with capacity for {capacity} a second"
         );
     }
 
-    fn ask(&mut self) {
-        self.ids += 1;
-        let id = RequestId(self.ids);
+    fn start_request(&mut self) {
+        self.last_id += 1;
+        let id = RequestId(self.last_id);
         let class = self.random.below(5) as usize;
-        let life = 0.3 + self.random.below(20) as f64 / 10.0;
+        let timeout = 0.3 + self.random.below(20) as f64 / 10.0;
         let group = Some(Key(self.random.below(9)));
         let mid_flow = self.random.below(10) == 0;
         let request = Request {
             group,
             mid_flow,
-            ..Request::new(id, class, self.now + life)
+            ..Request::new(id, class, self.now + timeout)
         };
-        let seen = ObservedRequest {
+        let observed = ObservedRequest {
             request,
             attempts: 0,
             in_flight: None,
@@ -263,39 +267,39 @@
             may_have_executed: None,
             answered: false,
         };
-        self.seen.insert(id, seen);
-        self.asked.push(self.now);
-        self.give(Event::Request(request));
+        self.requests.insert(id, observed);
+        self.arrivals.push(self.now);
+        self.handle(Event::Request(request));
     }
 
     /// Ends or establishes an attempt in flight, at random.
-    fn outcome(&mut self) {
-        let out: Vec<RequestId> = self
-            .seen
+    fn progress_attempt(&mut self) {
+        let in_flight: Vec<RequestId> = self
+            .requests
             .iter()
-            .filter(|(_, s)| s.in_flight.is_some())
+            .filter(|(_, r)| r.in_flight.is_some())
             .map(|(id, _)| *id)
             .collect();
-        if out.is_empty() {
+        if in_flight.is_empty() {
             return;
         }
-        let id = out[self.random.below(out.len() as u64) as usize];
-        let pick = self.random.below(10);
-        let how = self.random.below(5) as usize;
-        let seen = self.seen.get_mut(&id).expect("listed above");
-        let (server, sent) = seen.in_flight.expect("filtered above");
-        let attempt = seen.attempts - 1;
-        if seen.is_established || pick < 8 {
-            if seen.is_established {
-                seen.in_flight = None;
-                self.seen.remove(&id);
+        let id = in_flight[self.random.below(in_flight.len() as u64) as usize];
+        let roll = self.random.below(10);
+        let outcome_index = self.random.below(5) as usize;
+        let observed = self.requests.get_mut(&id).expect("listed above");
+        let (server, started_at) = observed.in_flight.expect("filtered above");
+        let attempt = observed.attempts - 1;
+        if observed.is_established || roll < 8 {
+            if observed.is_established {
+                observed.in_flight = None;
+                self.requests.remove(&id);
                 let outcome = [
                     Outcome::Reset,
                     Outcome::Success,
                     Outcome::Success,
                     Outcome::Cancelled,
                     Outcome::Success,
-                ][how];
+                ][outcome_index];
                 let ended = AttemptEnded {
                     id,
                     attempt,
@@ -303,10 +307,10 @@
                     outcome,
                     is_final: true,
                 };
-                return self.give(Event::AttemptEnded(ended));
+                return self.handle(Event::AttemptEnded(ended));
             }
-            seen.is_established = true;
-            return self.give(Event::Established { id, server });
+            observed.is_established = true;
+            return self.handle(Event::Established { id, server });
         }
         let outcomes = [
             Outcome::Rejected,
@@ -315,12 +319,12 @@
             Outcome::Reset,
             Outcome::Error,
         ];
-        let outcome = outcomes[how];
-        seen.in_flight = None;
+        let outcome = outcomes[outcome_index];
+        observed.in_flight = None;
         if !matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed)
-            && seen.may_have_executed.is_none()
+            && observed.may_have_executed.is_none()
         {
-            seen.may_have_executed = Some((sent, server));
+            observed.may_have_executed = Some((started_at, server));
         }
         let ended = AttemptEnded {
             id,
@@ -329,35 +333,40 @@
             outcome,
             is_final: false,
         };
-        self.give(Event::AttemptEnded(ended));
-        // The same event again, late: it must be ignored unless an attempt at that server is in flight.
-        if self.seen[&id].in_flight.is_none_or(|(to, _)| to != server) {
-            self.give(Event::AttemptEnded(ended));
+        self.handle(Event::AttemptEnded(ended));
+        // A late duplicate: the balancer must ignore it. Not sent if the new attempt is at the same server.
+        if self.requests[&id]
+            .in_flight
+            .is_none_or(|(target, _)| target != server)
+        {
+            self.handle(Event::AttemptEnded(ended));
         }
     }
 
+    /// Advances the time, fires due timers and adds one random event.
     fn step(&mut self) {
         self.now += self.random.below(40) as f64 / 1000.0;
         let now = self.now;
         let due: Vec<(Time, u64)> = self.timers.iter().filter(|t| t.0 <= now).copied().collect();
         self.timers.retain(|t| t.0 > now);
         due.into_iter()
-            .for_each(|(_, token)| self.give(Event::Timer(token)));
-        // At its deadline an attempt in flight times out; a request without one must have had its answer.
-        let over: Vec<RequestId> = self
-            .seen
+            .for_each(|(_, token)| self.handle(Event::Timer(token)));
+        // At the deadline an attempt in flight times out. Then the request must have its final answer.
+        let expired: Vec<RequestId> = self
+            .requests
             .iter()
-            .filter(|(_, s)| s.request.deadline <= now && !s.is_established)
+            .filter(|(_, r)| r.request.deadline <= now && !r.is_established)
             .map(|(id, _)| *id)
             .collect();
-        for id in over {
-            let seen = self.seen.get_mut(&id).expect("listed above");
-            if let Some((server, sent)) = seen.in_flight.take() {
-                seen.may_have_executed.get_or_insert((sent, server));
-                let attempt = seen.attempts - 1;
-                let due = seen.request.deadline;
-                self.now = due;
-                self.give(Event::AttemptEnded(AttemptEnded {
+        for id in expired {
+            let observed = self.requests.get_mut(&id).expect("listed above");
+            if let Some((server, started_at)) = observed.in_flight.take() {
+                observed
+                    .may_have_executed
+                    .get_or_insert((started_at, server));
+                let attempt = observed.attempts - 1;
+                self.now = observed.request.deadline;
+                self.handle(Event::AttemptEnded(AttemptEnded {
                     id,
                     attempt,
                     server,
@@ -366,56 +375,60 @@
                 }));
                 self.now = now;
             }
-            assert!(self.seen[&id].answered, "request {id:?} was never answered");
-            self.seen.remove(&id);
+            assert!(
+                self.requests[&id].answered,
+                "request {id:?} was never answered"
+            );
+            self.requests.remove(&id);
         }
         match self.random.below(100) {
-            0..=21 => self.ask(),
-            22..=74 => self.outcome(),
-            75..=79 => self.list(UpdateKind::Delta),
-            80 => self.list(UpdateKind::Full),
-            81 => self.give(Event::DiscoveryFailed),
+            0..=21 => self.start_request(),
+            22..=74 => self.progress_attempt(),
+            75..=79 => self.update_endpoints(UpdateKind::Delta),
+            80 => self.update_endpoints(UpdateKind::Full),
+            81 => self.handle(Event::DiscoveryFailed),
             82..=84 => {
-                let at = endpoint(self.random.below(SERVERS + 2)).id;
-                let delay = self.random.below(30) as f64 / 1000.0;
-                self.give(Event::LatencyReport {
-                    server: at,
-                    message_latency: delay,
+                let server = endpoint(self.random.below(SERVERS + 2)).id;
+                let message_latency = self.random.below(30) as f64 / 1000.0;
+                self.handle(Event::LatencyReport {
+                    server,
+                    message_latency,
                 });
             }
             90..=92 => {
                 let bytes = (0..self.random.below(12))
                     .map(|_| self.random.below(3) as u8)
                     .collect();
-                self.give(Event::PeerMessage(bytes));
+                self.handle(Event::PeerMessage(bytes));
             }
-            93 => self.give(Event::Timer(self.ids)),
+            93 => self.handle(Event::Timer(self.last_id)),
             94 if self.random.below(20) == 0 => {
                 // The balancer is killed and restarts with a cached list.
-                let (ids, sends, finals) = (self.ids, self.sends, self.finals);
-                let listed = std::mem::take(&mut self.listed);
+                let (last_id, attempt_count, answer_count) =
+                    (self.last_id, self.attempt_count, self.answer_count);
+                let endpoints = std::mem::take(&mut self.endpoints);
                 let cold_attempts = std::mem::take(&mut self.cold_attempts);
-                let old = World::new(self.random.below(1 << 30));
-                *self = World {
+                let restarted = Simulation::new(self.random.below(1 << 30));
+                *self = Simulation {
                     now,
-                    ids,
-                    sends,
-                    finals,
+                    last_id,
+                    attempt_count,
+                    answer_count,
                     cold_attempts,
-                    ..old
+                    ..restarted
                 };
-                self.listed = listed;
-                let entries: Vec<Endpoint> = self.listed.values().copied().collect();
-                self.node = TestBalancer::with_seed(settings(), ids);
-                self.give(Event::EndpointsUpdated {
+                self.endpoints = endpoints;
+                let entries: Vec<Endpoint> = self.endpoints.values().copied().collect();
+                self.balancer = TestBalancer::with_seed(settings(), last_id);
+                self.handle(Event::EndpointsUpdated {
                     kind: UpdateKind::Cached,
                     endpoints: entries.into(),
                 });
             }
             _ => {
-                let gone = RequestId(self.random.below(self.ids + 5));
-                if self.seen.remove(&gone).is_some() {
-                    self.give(Event::ClientDisconnected(gone));
+                let id = RequestId(self.random.below(self.last_id + 5));
+                if self.requests.remove(&id).is_some() {
+                    self.handle(Event::ClientDisconnected(id));
                 }
             }
         }
@@ -430,25 +443,24 @@
         overload_window: OVERLOAD_WINDOW,
         overload_multiple: OVERLOAD_MULTIPLE,
         can_cancel_attempts: true,
-
         discovery_mode: DiscoveryMode::Polled,
         ..config()
     }
 }
 
 #[test]
-fn attempts_answers_and_slow_start_keep_their_limits_under_hostile_events() {
-    let (mut sends, mut finals) = (0, 0);
+fn attempts_answers_and_slow_start_keep_their_limits_under_random_events() {
+    let (mut attempt_count, mut answer_count) = (0, 0);
     for seed in 1..=24 {
-        let mut world = World::new(seed);
+        let mut simulation = Simulation::new(seed);
         for _ in 0..6000 {
-            world.step();
+            simulation.step();
         }
-        sends += world.sends;
-        finals += world.finals;
+        attempt_count += simulation.attempt_count;
+        answer_count += simulation.answer_count;
     }
     assert!(
-        sends > 10_000 && finals > 2_000,
-        "{sends} attempts, {finals} answers: too few to say anything"
+        attempt_count > 10_000 && answer_count > 2_000,
+        "{attempt_count} attempts, {answer_count} answers: too few for a meaningful test"
     );
 }
