--- a/tests/sockets/endings.rs
+++ b/tests/sockets/endings.rs
@@ -15,7 +15,7 @@
 
 /// Returns the first word of a client's response; empty if the connection ends without one.
 fn response_word(client: &mut Peer) -> String {
-    let response = client.line();
+    let response = client.read_line();
     let word = response.split([' ', '\r']).next();
     word.unwrap_or("").to_owned()
 }
@@ -23,15 +23,15 @@
 #[test]
 fn an_idle_client_gets_busy_at_its_timeout_and_a_later_request_is_not_forwarded() {
     let (discovery, backend) = (Discovery::new(), Backend::new("s-1"));
-    let balancer = Balancer::start(&discovery, &[backend.entry("SERVING")]);
+    let balancer = Balancer::start(&discovery, &[backend.endpoint("SERVING")]);
     let mut idle = balancer.connect();
     assert_eq!(
-        (response_word(&mut idle), idle.line()),
+        (response_word(&mut idle), idle.read_line()),
         ("BUSY".into(), String::new())
     );
     // The client's first line arrives after the balancer has shut down its side.
-    idle.say("OPEN 00000000000000a1 7f3a c=live,d=2000\r\n");
-    assert!(backend.is_left_alone(Duration::from_millis(300)));
+    idle.send("OPEN 00000000000000a1 7f3a c=live,d=2000\r\n");
+    assert!(backend.receives_no_connection(Duration::from_millis(300)));
     // The balancer has read all bytes: unread ones would have reset the connection.
     assert!(idle.stream().write(b"x").is_ok());
 }
@@ -39,11 +39,11 @@
 #[test]
 fn a_front_proxy_that_has_probed_gets_no_busy_when_its_connection_times_out() {
     let (discovery, backend) = (Discovery::new(), Backend::new("s-1"));
-    let balancer = Balancer::start(&discovery, &[backend.entry("SERVING")]);
+    let balancer = Balancer::start(&discovery, &[backend.endpoint("SERVING")]);
     let mut front = balancer.connect();
-    front.say("PING\r\n");
+    front.send("PING\r\n");
     assert_eq!(
-        (front.line(), front.line()),
+        (front.read_line(), front.read_line()),
         ("PONG\r\n".into(), String::new())
     );
 }
@@ -57,8 +57,9 @@
         (vec![LONG_HARD_LIMIT, one_attempt], "BUSY"),
         (vec![LONG_HARD_LIMIT, one_attempt, SINGLE_SHOT], "ERR"),
     ] {
-        let entry = [backend.entry("SERVING")];
-        let balancer = Balancer::start_as(no_discovery(), &entry, &replacements);
+        let entry = [backend.endpoint("SERVING")];
+        let balancer =
+            Balancer::start_with_settings(unresponsive_discovery(), &entry, &replacements);
         // The backend has received the request and does not respond: the request may still run.
         let mut pending = balancer.open(0xb1, 8000);
         let (_server, _) = backend.accept();
@@ -69,7 +70,7 @@
         assert_eq!(response_word(&mut pending), expected);
         assert_eq!(response_word(&mut idle), "BUSY");
         assert_eq!(
-            (pending.line(), idle.line()),
+            (pending.read_line(), idle.read_line()),
             (String::new(), String::new())
         );
         // The clients have not closed their sides: if they sent more and the process exited, the reset could take the
@@ -80,28 +81,31 @@
                 .contains("waiting for answered clients to close")
         });
         drop((pending, idle));
-        assert_eq!(balancer.exit(), Some(0));
+        assert_eq!(balancer.wait_for_exit(), Some(0));
     }
 }
 
 #[test]
 fn a_client_that_connects_just_before_the_exit_is_served() {
-    let (discovery, backend) = (Discovery::new(), obliging("s-1"));
+    let (discovery, backend) = (Discovery::new(), echo_backend("s-1"));
     for n in 0..8 {
-        let balancer =
-            Balancer::start_as(discovery.address, &[backend.entry("SERVING")], &[UNHURRIED]);
+        let balancer = Balancer::start_with_settings(
+            discovery.address,
+            &[backend.endpoint("SERVING")],
+            &[LENIENT_MESSAGE_AIM],
+        );
         balancer.signal("-TERM");
         // While the process is stopped, its next check for remaining clients falls due: after it continues, the check
         // and the client's connection are pending at the same time.
         std::thread::sleep(Duration::from_millis(400));
-        let mut late = balancer.at_once(|| {
+        let mut late = balancer.while_stopped(|| {
             std::thread::sleep(Duration::from_millis(100));
             balancer.open(0xc0 + n, 600)
         });
-        assert_eq!(late.line(), "UP r1\r\n", "round {n}");
-        assert_eq!(late.line(), "MOVE\r\n", "round {n}");
+        assert_eq!(late.read_line(), "UP r1\r\n", "round {n}");
+        assert_eq!(late.read_line(), "MOVE\r\n", "round {n}");
         drop(late);
-        assert_eq!(balancer.exit(), Some(0));
+        assert_eq!(balancer.wait_for_exit(), Some(0));
     }
 }
 
@@ -129,27 +133,27 @@
 #[test]
 fn no_retry_starts_for_a_client_that_disconnects_as_the_attempt_fails() {
     let (discovery, one, two) = (Discovery::new(), Backend::new("s-1"), Backend::new("s-2"));
-    let entries = [one.entry("SERVING"), two.entry("SERVING")];
-    let balancer = Balancer::start_as(
+    let entries = [one.endpoint("SERVING"), two.endpoint("SERVING")];
+    let balancer = Balancer::start_with_settings(
         discovery.address,
         &entries,
-        &[LONG_CONNECT_TIMEOUT, UNHURRIED],
+        &[LONG_CONNECT_TIMEOUT, LENIENT_MESSAGE_AIM],
     );
     for n in 0..20 {
         let client = balancer.open(0xd00 + n, 2000);
-        let (mut server, _) = next_of(&[&one, &two]);
-        balancer.at_once(|| {
-            server.say("BUSY\r\n");
+        let (mut server, _) = accept_any(&[&one, &two]);
+        balancer.while_stopped(|| {
+            server.send("BUSY\r\n");
             let address = client.stream().local_addr().expect("connected");
             drop(client);
             // On a busy machine the process could otherwise continue before the end of the connection arrives.
             wait_until(|| has_received_end(balancer.address(), address));
         });
         // The attempt's connection is closed or reset, and no other attempt is made.
-        assert!(["", "reset"].contains(&server.line().as_str()));
+        assert!(["", "reset"].contains(&server.read_line().as_str()));
         for backend in [&one, &two] {
             assert!(
-                backend.hears_no_line(Duration::from_millis(60)),
+                backend.receives_no_line(Duration::from_millis(60)),
                 "round {n}"
             );
         }
@@ -181,7 +185,7 @@
     }
 
     fn entry(&self, phase: &str) -> String {
-        Backend::new("s-1").entry_at(phase, self.address)
+        Backend::new("s-1").endpoint_at(phase, self.address)
     }
 
     /// Whether a connection to this backend is pending (in the state SYN_SENT).
@@ -224,8 +228,8 @@
     let mut slow = SlowBackend::new();
     // With a single attempt, its timeout is the whole wait of the client, 2 s.
     let one_attempt = (r#""maxAttempts":3"#, r#""maxAttempts":1"#);
-    let balancer = Balancer::start_as(
-        no_discovery(),
+    let balancer = Balancer::start_with_settings(
+        unresponsive_discovery(),
         &[slow.entry("SERVING")],
         &[LONG_CONNECT_TIMEOUT, one_attempt],
     );
@@ -247,16 +251,20 @@
     let (mut slow, discovery) = (SlowBackend::new(), Backend::new("d-1"));
     // With a single attempt, its timeout is the whole wait of the client.
     let one_attempt = (r#""maxAttempts":3"#, r#""maxAttempts":1"#);
-    let balancer = Balancer::start_as(
-        discovery.at(),
+    let balancer = Balancer::start_with_settings(
+        discovery.address(),
         &[slow.entry("SERVING")],
         &[LONG_CONNECT_TIMEOUT, one_attempt],
     );
-    let (mut watch, _) = discovery.call();
+    let (mut watch, _) = discovery.accept_request();
     let mut client = balancer.open(0xe2, 2000);
     wait_until(|| slow.has_connecting_peer());
-    watch.say(&http(&list(2, false, &[slow.entry("DRAINING")])));
-    discovery.next_call(&mut watch);
+    watch.send(&http_response(&endpoint_list(
+        2,
+        false,
+        &[slow.entry("DRAINING")],
+    )));
+    discovery.read_request(&mut watch);
     assert!(slow.has_connecting_peer());
     assert_eq!(slow.drain_queue_and_read(), "");
     assert_eq!(response_word(&mut client), "BUSY");
@@ -266,14 +274,17 @@
 fn no_request_is_sent_to_a_server_detached_while_the_attempt_connects() {
     let mut slow = SlowBackend::new();
     let one_attempt = (r#""maxAttempts":3"#, r#""maxAttempts":1"#);
-    let balancer = Balancer::start_as(
-        no_discovery(),
+    let balancer = Balancer::start_with_settings(
+        unresponsive_discovery(),
         &[slow.entry("SERVING")],
         &[LONG_CONNECT_TIMEOUT, one_attempt],
     );
     let mut client = balancer.open(0xe3, 2000);
     wait_until(|| slow.has_connecting_peer());
-    assert_eq!(balancer.call("/_stream-servers/detach", "s-1").0, 200);
+    assert_eq!(
+        balancer.admin_request("/_stream-servers/detach", "s-1").0,
+        200
+    );
     assert!(slow.has_connecting_peer());
     assert_eq!(slow.drain_queue_and_read(), "");
     assert_eq!(response_word(&mut client), "BUSY");
@@ -283,16 +294,24 @@
 fn a_queued_client_that_disconnects_is_never_forwarded() {
     let backend = Backend::new("s-1");
     let discovery = Backend::new("d-1");
-    let balancer = Balancer::begin_as(discovery.at(), &[backend.entry("DRAINING")], &[UNHURRIED]);
-    let (mut watch, _) = discovery.call();
+    let balancer = Balancer::spawn_with_settings(
+        discovery.address(),
+        &[backend.endpoint("DRAINING")],
+        &[LENIENT_MESSAGE_AIM],
+    );
+    let (mut watch, _) = discovery.accept_request();
     let client = balancer.open(0xf1, 2000);
     // The client is queued, as no server accepts requests. It disconnects at the same moment as a server becomes ready.
     balancer.wait_for_requests(1);
-    balancer.at_once(|| {
+    balancer.while_stopped(|| {
         drop(client);
-        watch.say(&http(&list(2, false, &[backend.entry("SERVING")])));
+        watch.send(&http_response(&endpoint_list(
+            2,
+            false,
+            &[backend.endpoint("SERVING")],
+        )));
     });
-    assert!(backend.hears_no_line(Duration::from_millis(500)));
+    assert!(backend.receives_no_line(Duration::from_millis(500)));
     // The server was ready: the next client is forwarded.
     let _next = balancer.open(0xf2, 2000);
     assert!(backend.accept().1.starts_with("OPEN 00000000000000f2 "));
@@ -301,45 +320,45 @@
 #[test]
 fn a_move_line_comes_between_complete_lines_and_never_after_an_announced_end() {
     let (discovery, backend) = (Discovery::new(), Backend::new("s-1"));
-    let balancer = Balancer::start(&discovery, &[backend.entry("SERVING")]);
-    let (mut client, mut server) = balancer.standing(0x11, &backend);
-    let (mut ending_client, mut ending_server) = balancer.standing(0x12, &backend);
-    server.say("R 1\r\nHAL");
-    assert_eq!(client.line(), "R 1\r\n");
-    ending_server.say("BYE\r\n");
-    assert_eq!(ending_client.line(), "BYE\r\n");
+    let balancer = Balancer::start(&discovery, &[backend.endpoint("SERVING")]);
+    let (mut client, mut server) = balancer.establish(0x11, &backend);
+    let (mut ending_client, mut ending_server) = balancer.establish(0x12, &backend);
+    server.send("R 1\r\nHAL");
+    assert_eq!(client.read_line(), "R 1\r\n");
+    ending_server.send("BYE\r\n");
+    assert_eq!(ending_client.read_line(), "BYE\r\n");
     // An incomplete line of the client is not forwarded either.
-    client.say("M 1\r\nM ");
-    assert_eq!(server.line(), "M 1\r\n");
+    client.send("M 1\r\nM ");
+    assert_eq!(server.read_line(), "M 1\r\n");
     balancer.signal("-TERM");
     // A reload after the shutdown has begun has no effect.
     balancer.signal("-HUP");
     assert_eq!(
-        (client.line(), client.line()),
+        (client.read_line(), client.read_line()),
         ("MOVE\r\n".into(), String::new())
     );
-    assert_eq!(server.line(), "");
+    assert_eq!(server.read_line(), "");
     // The backend has announced the end and has not closed yet: the balancer adds no line of its own.
-    assert_eq!(rest(ending_client), "");
+    assert_eq!(read_to_end(ending_client), "");
     drop(ending_server);
     drop(client);
-    assert_eq!(balancer.exit(), Some(0));
+    assert_eq!(balancer.wait_for_exit(), Some(0));
 }
 
 #[test]
 fn an_evicted_client_with_unread_bytes_still_receives_its_response() {
     let (discovery, backend) = (Discovery::new(), Backend::new("s-1"));
-    let balancer = Balancer::start(&discovery, &[backend.entry("SERVING")]);
+    let balancer = Balancer::start(&discovery, &[backend.endpoint("SERVING")]);
     let mut crowd: Vec<Peer> = (0..200).map(|_| balancer.connect()).collect();
     // When the balancer continues, it has both the incomplete lines of the first clients and the connections of the new
     // clients, for which the first ones are evicted.
-    let more: Vec<Peer> = balancer.at_once(|| {
-        crowd.iter_mut().for_each(|client| client.say("OPEN 0000"));
+    let more: Vec<Peer> = balancer.while_stopped(|| {
+        crowd.iter_mut().for_each(|client| client.send("OPEN 0000"));
         (0..100).map(|_| balancer.connect()).collect()
     });
     for client in &mut crowd[..60] {
         assert_eq!(
-            (response_word(client), client.line()),
+            (response_word(client), client.read_line()),
             ("BUSY".into(), String::new())
         );
     }
@@ -348,13 +367,17 @@
 
 #[test]
 fn a_client_rejected_for_lack_of_descriptors_gets_busy_whatever_it_has_sent() {
-    let (discovery, backend) = (Discovery::new(), obliging("s-1"));
-    let balancer = Balancer::start_as(discovery.address, &[backend.entry("SERVING")], &[UNHURRIED]);
+    let (discovery, backend) = (Discovery::new(), echo_backend("s-1"));
+    let balancer = Balancer::start_with_settings(
+        discovery.address,
+        &[backend.endpoint("SERVING")],
+        &[LENIENT_MESSAGE_AIM],
+    );
     let mut established = Vec::new();
     // Each client takes two of the 256 descriptors of the process; some are reserved for other uses.
     let last = loop {
         let mut client = balancer.open(0x800 + established.len() as u64, 1000);
-        match client.line().as_str() {
+        match client.read_line().as_str() {
             "UP r1\r\n" => established.push(client),
             other => break other.to_owned(),
         }
@@ -367,10 +390,10 @@
     );
     // The clients' lines have arrived by the time the clients are accepted, and there are more clients than may linger.
     let rejected: Vec<Peer> =
-        balancer.at_once(|| (0..24).map(|n| balancer.open(0x900 + n, 1000)).collect());
+        balancer.while_stopped(|| (0..24).map(|n| balancer.open(0x900 + n, 1000)).collect());
     for mut client in rejected {
         assert_eq!(
-            (response_word(&mut client), client.line()),
+            (response_word(&mut client), client.read_line()),
             ("BUSY".into(), String::new())
         );
     }
@@ -390,7 +413,7 @@
     ];
     for text in invalid {
         let (discovery, backend) = (Discovery::new(), Backend::new("s-1"));
-        let balancer = Balancer::start(&discovery, &[backend.entry("SERVING")]);
+        let balancer = Balancer::start(&discovery, &[backend.endpoint("SERVING")]);
         let client = balancer.open(0x301, 700);
         let (server, _) = backend.accept();
         server.stream().write_all(text.as_bytes()).expect("sent");
@@ -398,7 +421,7 @@
         if text.len() < 9000 {
             server.stream().shutdown(Shutdown::Both).expect("open");
         }
-        let received = rest(client);
+        let received = read_to_end(client);
         let expected = ["BUSY\r\n", "ERR\r\n"];
         assert!(
             expected.contains(&received.as_str()),
@@ -409,8 +432,12 @@
 
 #[test]
 fn floods_end_their_own_connection_and_do_not_delay_other_clients() {
-    let (discovery, backend) = (Discovery::new(), obliging("s-1"));
-    let balancer = Balancer::start_as(discovery.address, &[backend.entry("SERVING")], &[UNHURRIED]);
+    let (discovery, backend) = (Discovery::new(), echo_backend("s-1"));
+    let balancer = Balancer::start_with_settings(
+        discovery.address,
+        &[backend.endpoint("SERVING")],
+        &[LENIENT_MESSAGE_AIM],
+    );
     let flood = vec![b'x'; 1 << 20];
     let address = balancer.address();
     std::thread::scope(|scope| {
@@ -443,7 +470,7 @@
         for n in 0..20 {
             let started = Instant::now();
             let mut client = balancer.open(0x500 + n, 1000);
-            assert_eq!(client.line(), "UP r1\r\n");
+            assert_eq!(client.read_line(), "UP r1\r\n");
             assert!(
                 started.elapsed() < Duration::from_millis(500),
                 "{:?}",
@@ -455,53 +482,61 @@
 
 #[test]
 fn idle_clients_leave_descriptors_for_discovery_attempts_and_admin_calls() {
-    let (discovery, backend) = (Backend::new("d-1"), obliging("s-1"));
-    let balancer = Balancer::start_as(discovery.at(), &[backend.entry("SERVING")], &[UNHURRIED]);
+    let (discovery, backend) = (Backend::new("d-1"), echo_backend("s-1"));
+    let balancer = Balancer::start_with_settings(
+        discovery.address(),
+        &[backend.endpoint("SERVING")],
+        &[LENIENT_MESSAGE_AIM],
+    );
     // Discovery is down: the calls to it fail while the idle clients connect.
-    drop(discovery.call());
+    drop(discovery.accept_request());
     let idle: Vec<Peer> = (0..400).map(|_| balancer.connect()).collect();
-    drop(discovery.call());
-    let (mut watch, call) = discovery.call();
+    drop(discovery.accept_request());
+    let (mut watch, call) = discovery.accept_request();
     assert!(call.contains("since=1&"), "{call}");
-    assert_eq!(balancer.call("/_ready", "").0, 200);
+    assert_eq!(balancer.admin_request("/_ready", "").0, 200);
     let established: Vec<Peer> = (0..40)
         .map(|n| {
             let mut client = balancer.open(0x600 + n, 1000);
-            assert_eq!(client.line(), "UP r1\r\n");
+            assert_eq!(client.read_line(), "UP r1\r\n");
             client
         })
         .collect();
-    watch.say(&http(&list(2, false, &[backend.entry("DRAINING")])));
-    discovery.next_call(&mut watch);
+    watch.send(&http_response(&endpoint_list(
+        2,
+        false,
+        &[backend.endpoint("DRAINING")],
+    )));
+    discovery.read_request(&mut watch);
     drop((idle, established));
 }
 
 #[test]
 fn a_retry_that_could_arrive_after_the_repeat_window_is_not_sent() {
     let (one, two) = (Backend::new("s-1"), Backend::new("s-2"));
-    let entries = [one.entry("SERVING"), two.entry("SERVING")];
+    let entries = [one.endpoint("SERVING"), two.endpoint("SERVING")];
     let guarded = (
         r#""semantics":"free""#,
         r#""semantics":"guarded","group":"all","repeatWindow":0.6"#,
     );
-    let balancer = Balancer::start_as(no_discovery(), &entries, &[guarded]);
+    let balancer = Balancer::start_with_settings(unresponsive_discovery(), &entries, &[guarded]);
     for (pause, is_retried) in [(0, true), (450, false)] {
         let mut client = balancer.open(0x700 + pause, 1800);
-        let (mut server, _) = next_of(&[&one, &two]);
+        let (mut server, _) = accept_any(&[&one, &two]);
         // Connecting to the next server may take 0.25 s: a retry that starts after 0.45 s could arrive after 0.7 s,
         // past the window of 0.6 s.
         std::thread::sleep(Duration::from_millis(pause));
-        server.say("?\r\n");
+        server.send("?\r\n");
         if is_retried {
-            let (mut server, _) = next_of(&[&one, &two]);
-            server.say("UP r1\r\n");
-            assert_eq!(client.line(), "UP r1\r\n");
+            let (mut server, _) = accept_any(&[&one, &two]);
+            server.send("UP r1\r\n");
+            assert_eq!(client.read_line(), "UP r1\r\n");
             // Both are clear again.
             std::thread::sleep(Duration::from_millis(700));
         } else {
             assert_eq!(response_word(&mut client), "BUSY");
-            assert!(one.hears_no_line(Duration::from_millis(50)));
-            assert!(two.hears_no_line(Duration::from_millis(50)));
+            assert!(one.receives_no_line(Duration::from_millis(50)));
+            assert!(two.receives_no_line(Duration::from_millis(50)));
         }
     }
 }
--- a/tests/sockets/service.rs
+++ b/tests/sockets/service.rs
@@ -12,61 +12,61 @@
 #[test]
 fn a_detached_server_gets_no_request_whatever_the_list_says_until_it_is_attached() {
     let (discovery, backend) = (Discovery::new(), Backend::new("s-1"));
-    let balancer = Balancer::start(&discovery, &[backend.entry("SERVING")]);
-    let (mut client, mut server) = balancer.standing(0xd1, &backend);
-    assert_eq!(balancer.call(DETACH, "s-9").0, 404);
-    assert_eq!(balancer.call(ATTACH, "s-9").0, 404);
-    assert_eq!(balancer.call(DETACH, "s-1\n").0, 200);
-    assert_eq!(balancer.call(DETACH, "s-1").0, 200);
+    let balancer = Balancer::start(&discovery, &[backend.endpoint("SERVING")]);
+    let (mut client, mut server) = balancer.establish(0xd1, &backend);
+    assert_eq!(balancer.admin_request(DETACH, "s-9").0, 404);
+    assert_eq!(balancer.admin_request(ATTACH, "s-9").0, 404);
+    assert_eq!(balancer.admin_request(DETACH, "s-1\n").0, 200);
+    assert_eq!(balancer.admin_request(DETACH, "s-1").0, 200);
     let assert_rejected = |id| {
-        assert!(balancer.open(id, 400).line().starts_with("BUSY"));
-        assert!(backend.is_left_alone(Duration::from_millis(50)));
+        assert!(balancer.open(id, 400).read_line().starts_with("BUSY"));
+        assert!(backend.receives_no_connection(Duration::from_millis(50)));
     };
     assert_rejected(0xd2);
     // The list still contains the server, then drops it, then contains it again.
-    discovery.tell(2, true, &[backend.entry("SERVING")]);
-    discovery.wait_for_calls(2);
+    discovery.respond_with_list(2, true, &[backend.endpoint("SERVING")]);
+    discovery.wait_for_requests(2);
     assert_rejected(0xd3);
-    discovery.tell(3, true, &[]);
-    discovery.tell(4, true, &[backend.entry("SERVING")]);
-    discovery.wait_for_calls(4);
+    discovery.respond_with_list(3, true, &[]);
+    discovery.respond_with_list(4, true, &[backend.endpoint("SERVING")]);
+    discovery.wait_for_requests(4);
     assert_rejected(0xd4);
     // The server is attached while no list contains it, and detached again.
-    discovery.tell(5, true, &[]);
-    discovery.wait_for_calls(5);
-    assert_eq!(balancer.call(ATTACH, "s-1").0, 200);
-    assert_eq!(balancer.call(DETACH, "s-1").0, 200);
-    discovery.tell(6, true, &[backend.entry("SERVING")]);
-    discovery.wait_for_calls(6);
+    discovery.respond_with_list(5, true, &[]);
+    discovery.wait_for_requests(5);
+    assert_eq!(balancer.admin_request(ATTACH, "s-1").0, 200);
+    assert_eq!(balancer.admin_request(DETACH, "s-1").0, 200);
+    discovery.respond_with_list(6, true, &[backend.endpoint("SERVING")]);
+    discovery.wait_for_requests(6);
     assert_rejected(0xd6);
     // The connection established there continues until the server ends it.
-    client.say("M 1\r\n");
-    assert_eq!(server.line(), "M 1\r\n");
-    assert_eq!(balancer.call(ATTACH, "s-1").0, 200);
-    assert_eq!(balancer.call(ATTACH, "s-1").0, 200);
-    balancer.standing(0xd5, &backend);
+    client.send("M 1\r\n");
+    assert_eq!(server.read_line(), "M 1\r\n");
+    assert_eq!(balancer.admin_request(ATTACH, "s-1").0, 200);
+    assert_eq!(balancer.admin_request(ATTACH, "s-1").0, 200);
+    balancer.establish(0xd5, &backend);
 }
 
 #[test]
 fn a_retry_does_not_go_to_a_server_detached_during_the_previous_attempt() {
     let (discovery, one, two) = (Discovery::new(), Backend::new("s-1"), Backend::new("s-2"));
-    let entries = [one.entry("SERVING"), two.entry("SERVING")];
+    let entries = [one.endpoint("SERVING"), two.endpoint("SERVING")];
     let balancer = Balancer::start(&discovery, &entries);
     let mut client = balancer.open(0xc1, 1500);
-    let (mut server, _) = next_of(&[&one, &two]);
+    let (mut server, _) = accept_any(&[&one, &two]);
     let address = server.stream().local_addr().expect("bound");
-    let (chosen, other) = if one.at() == address {
+    let (chosen, other) = if one.address() == address {
         (&one, &two)
     } else {
         (&two, &one)
     };
-    assert_eq!(balancer.call(DETACH, other.id).0, 200);
-    server.say("BUSY\r\n");
-    assert!(client.line().starts_with("BUSY"));
-    assert!(other.is_left_alone(Duration::from_millis(50)));
+    assert_eq!(balancer.admin_request(DETACH, other.id).0, 200);
+    server.send("BUSY\r\n");
+    assert!(client.read_line().starts_with("BUSY"));
+    assert!(other.receives_no_connection(Duration::from_millis(50)));
     // The file is written before the call succeeds. A process killed in between restarts with the server detached, and
     // a second call succeeds.
-    assert_eq!(balancer.call(DETACH, chosen.id).0, 200);
+    assert_eq!(balancer.admin_request(DETACH, chosen.id).0, 200);
     let file = std::fs::read(balancer.folder().path.join("spanspur-n0.outs")).expect("the file");
     let maintenance =
         spanspur_admin::maintenance::MaintenanceSet::parse(&file).expect("a complete file");
@@ -76,11 +76,11 @@
 #[test]
 fn maintenance_survives_a_kill_and_a_truncated_file_is_set_aside() {
     let (discovery, one, two) = (Discovery::new(), Backend::new("s-1"), Backend::new("s-2"));
-    let entries = [one.entry("SERVING"), two.entry("SERVING")];
+    let entries = [one.endpoint("SERVING"), two.endpoint("SERVING")];
     let [address, operator] = free_ports();
     let folder = std::sync::Arc::new(Folder::new(address));
     let start = || {
-        let balancer = Balancer::begin(
+        let balancer = Balancer::spawn(
             folder.clone(),
             address,
             operator,
@@ -89,21 +89,21 @@
             &entries,
         );
         wait_until(|| std::net::TcpStream::connect(operator).is_ok());
-        assert_eq!(balancer.call("/_ready", "").0, 200);
+        assert_eq!(balancer.admin_request("/_ready", "").0, 200);
         balancer
     };
     let balancer = start();
-    assert_eq!(balancer.call(DETACH, "s-1").0, 200);
+    assert_eq!(balancer.admin_request(DETACH, "s-1").0, 200);
     balancer.kill();
     let balancer = start();
     // All connections stay open: a backend that ends several of its connections gets no requests for a while.
     let mut open = Vec::new();
     for id in 0xe0..0xe8 {
         let (client, mut server) = (balancer.open(id, 2000), two.accept().0);
-        server.say("UP r1\r\n");
+        server.send("UP r1\r\n");
         open.push((client, server));
     }
-    assert!(one.is_left_alone(Duration::from_millis(50)));
+    assert!(one.receives_no_connection(Duration::from_millis(50)));
     balancer.kill();
     let file = folder.path.join("spanspur-n0.outs");
     let complete = std::fs::read(&file).expect("the file");
@@ -118,27 +118,27 @@
     );
     assert!(folder.path.join("spanspur-n0.outs.bad").exists());
     // The process starts without the servers under maintenance, and the log tells the operator.
-    assert_eq!(balancer.call(DETACH, "s-2").0, 200);
+    assert_eq!(balancer.admin_request(DETACH, "s-2").0, 200);
     let (_client, mut server) = (balancer.open(0xe9, 2000), one.accept().0);
-    server.say("UP r1\r\n");
+    server.send("UP r1\r\n");
 }
 
 #[test]
 fn admin_calls_are_answered_despite_many_idle_clients_and_stalled_callers() {
     let (discovery, backend) = (Discovery::new(), Backend::new("s-1"));
-    let balancer = Balancer::start(&discovery, &[backend.entry("SERVING")]);
+    let balancer = Balancer::start(&discovery, &[backend.endpoint("SERVING")]);
     let idle: Vec<Peer> = (0..300).map(|_| balancer.connect()).collect();
     let stalled: Vec<Peer> = (0..20)
         .map(|n| {
-            let mut caller = balancer.caller();
-            caller.say(["", "POST /_lameduck/on HTTP/1.1\r\n"][n % 2]);
+            let mut caller = balancer.connect_admin();
+            caller.send(["", "POST /_lameduck/on HTTP/1.1\r\n"][n % 2]);
             caller
         })
         .collect();
     let start = Instant::now();
-    assert_eq!(balancer.call("/_ready", "").0, 200);
-    assert_eq!(balancer.call(DETACH, "s-1").0, 200);
-    assert_eq!(balancer.call(ATTACH, "s-1").0, 200);
+    assert_eq!(balancer.admin_request("/_ready", "").0, 200);
+    assert_eq!(balancer.admin_request(DETACH, "s-1").0, 200);
+    assert_eq!(balancer.admin_request(ATTACH, "s-1").0, 200);
     assert!(
         start.elapsed() < Duration::from_secs(2),
         "{:?}",
@@ -152,35 +152,35 @@
         ("nonsense\r\n\r\n", 400),
     ];
     for (text, status) in invalid {
-        assert_eq!(balancer.call_raw(text).0, status, "{text}");
+        assert_eq!(balancer.admin_request_raw(text).0, status, "{text}");
     }
     let mut front = balancer.connect();
-    front.say("PING\r\n");
-    assert_eq!(front.line(), "PONG\r\n");
+    front.send("PING\r\n");
+    assert_eq!(front.read_line(), "PONG\r\n");
 }
 
 #[test]
 fn a_draining_balancer_refuses_probes_migrates_all_clients_in_time_and_recovers() {
     let (discovery, backend) = (Discovery::new(), Backend::new("s-1"));
-    let balancer = Balancer::start(&discovery, &[backend.entry("SERVING")]);
-    let (mut client, _server) = balancer.standing(0xf1, &backend);
+    let balancer = Balancer::start(&discovery, &[backend.endpoint("SERVING")]);
+    let (mut client, _server) = balancer.establish(0xf1, &backend);
     // The front proxy has probed before, on the same connection.
     let mut front = balancer.connect();
     let probe = |front: &mut Peer| {
-        front.say("PING\r\n");
-        front.line()
+        front.send("PING\r\n");
+        front.read_line()
     };
     assert_eq!(probe(&mut front), "PONG\r\n");
     let drain_started = Instant::now();
-    assert_eq!(balancer.call("/_lameduck/on", "").0, 200);
-    assert_eq!(balancer.call("/_lameduck/on", "").0, 200);
+    assert_eq!(balancer.admin_request("/_lameduck/on", "").0, 200);
+    assert_eq!(balancer.admin_request("/_lameduck/on", "").0, 200);
     assert_ne!(probe(&mut front), "PONG\r\n");
-    assert_eq!(balancer.call("/_ready", "").0, 503);
+    assert_eq!(balancer.admin_request("/_ready", "").0, 503);
     // A client that connects nevertheless is served and then migrated.
-    let (mut late, _late_server) = balancer.standing(0xf2, &backend);
+    let (mut late, _late_server) = balancer.establish(0xf2, &backend);
     for client in [&mut client, &mut late] {
         assert_eq!(
-            (client.line(), client.line()),
+            (client.read_line(), client.read_line()),
             ("MOVE\r\n".into(), String::new())
         );
     }
@@ -189,18 +189,18 @@
         "{:?}",
         drain_started.elapsed()
     );
-    assert_eq!(balancer.call("/_lameduck/off", "").0, 200);
+    assert_eq!(balancer.admin_request("/_lameduck/off", "").0, 200);
     assert_eq!(probe(&mut front), "PONG\r\n");
-    assert_eq!(balancer.call("/_ready", "").0, 200);
+    assert_eq!(balancer.admin_request("/_ready", "").0, 200);
     // Draining mode is set, cleared and set again; then the process is also asked to stop.
-    let (mut client, _server) = balancer.standing(0xf3, &backend);
+    let (mut client, _server) = balancer.establish(0xf3, &backend);
     for call in ["/_lameduck/on", "/_lameduck/off", "/_lameduck/on"] {
-        assert_eq!(balancer.call(call, "").0, 200);
+        assert_eq!(balancer.admin_request(call, "").0, 200);
     }
     balancer.signal("-TERM");
-    assert_eq!(client.line(), "MOVE\r\n");
+    assert_eq!(client.read_line(), "MOVE\r\n");
     drop((client, late, front));
-    assert_eq!(balancer.exit(), Some(0));
+    assert_eq!(balancer.wait_for_exit(), Some(0));
 }
 
 #[test]
@@ -223,7 +223,7 @@
     for (fd, error) in unusable {
         let inherited = TcpListener::from(fd);
         let start = (folder.clone(), address, operator);
-        let process = Balancer::begin(
+        let process = Balancer::spawn(
             start.0,
             start.1,
             start.2,
@@ -231,7 +231,7 @@
             discovery.address,
             &[],
         );
-        assert_eq!(process.exit(), Some(1));
+        assert_eq!(process.wait_for_exit(), Some(1));
         let log = std::fs::read_to_string(folder.path.join("log")).expect("a log");
         assert!(
             log.contains(&format!("BALANCER_ACCEPT_FD: {error}")),
@@ -260,8 +260,8 @@
     let [address, operator] = free_ports();
     let inherited = TcpListener::bind(address).expect("the address is free");
     let folder = std::sync::Arc::new(Folder::new(address));
-    let entry = backend.entry("SERVING");
-    let balancer = Balancer::begin(
+    let entry = backend.endpoint("SERVING");
+    let balancer = Balancer::spawn(
         folder,
         address,
         operator,
@@ -270,12 +270,12 @@
         &[entry],
     );
     wait_until(|| std::net::TcpStream::connect(operator).is_ok());
-    assert_eq!(balancer.call("/_ready", "").0, 200);
-    let (mut client, _server) = balancer.standing(0x11, &backend);
+    assert_eq!(balancer.admin_request("/_ready", "").0, 200);
+    let (mut client, _server) = balancer.establish(0x11, &backend);
     balancer.signal("-TERM");
-    assert_eq!(client.line(), "MOVE\r\n");
+    assert_eq!(client.read_line(), "MOVE\r\n");
     drop(client);
-    assert_eq!(balancer.exit(), Some(0));
+    assert_eq!(balancer.wait_for_exit(), Some(0));
     // The socket outlives the process: the test holds it open, so it still listens.
     let mut waiting = std::net::TcpStream::connect(address).expect("listens");
     waiting.write_all(b"PING\r\n").expect("queued");
