--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,19 +1,21 @@
-//! A node in virtual time around one balancer.
+//! A test harness: one balancer in virtual time, driven by events.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 use spanspur::Balancer;
 use spanspur::api::*;
 
-pub struct Node {
-    pub balancer: Balancer,
+/// A balancer without I/O: each test passes the time and the events, and checks the actions.
+pub struct TestBalancer {
+    pub inner: Balancer,
     pub actions: Vec<Action>,
-    ids: u64,
+    last_id: u64,
 }
 
-/// Random numbers of a seed.
+/// A seeded linear congruential generator. The recorded fixtures depend on its sequence.
 pub struct Random(pub u64);
 
 impl Random {
+    /// A random number from 0 to `end`, exclusive.
     pub fn below(&mut self, end: u64) -> u64 {
         self.0 = self
             .0
@@ -23,6 +25,7 @@
     }
 }
 
+/// Settings with one class and a slow start.
 pub fn config() -> BalancerConfig {
     BalancerConfig {
         classes: vec![RequestClass::default()],
@@ -35,7 +38,8 @@
     }
 }
 
-pub fn server(number: u64) -> Endpoint {
+/// A ready endpoint of weight 1 that started long ago.
+pub fn endpoint(number: u64) -> Endpoint {
     Endpoint {
         id: ServerId::of(&format!("10.0.0.{number}:80")),
         zone: 0,
@@ -46,27 +50,34 @@
     }
 }
 
-impl Node {
+impl TestBalancer {
+    /// A balancer with a fixed seed.
     pub fn new(config: BalancerConfig) -> Self {
-        Self::seeded(config, 7)
+        Self::with_seed(config, 7)
     }
 
-    pub fn seeded(config: BalancerConfig, seed: u64) -> Self {
+    pub fn with_seed(config: BalancerConfig, seed: u64) -> Self {
         Self {
-            balancer: Balancer::new(config, seed),
+            inner: Balancer::new(config, seed),
             actions: Vec::new(),
-            ids: 0,
+            last_id: 0,
         }
     }
 
     /// Handles an event and returns the actions.
-    pub fn give(&mut self, now: Time, event: Event) -> Vec<Action> {
-        self.balancer.handle(now, &event, &mut self.actions);
+    pub fn handle(&mut self, now: Time, event: Event) -> Vec<Action> {
+        self.inner.handle(now, &event, &mut self.actions);
         std::mem::take(&mut self.actions)
     }
 
-    pub fn list(&mut self, now: Time, kind: UpdateKind, entries: &[Endpoint]) -> Vec<Action> {
-        self.give(
+    /// Passes an endpoint list or a delta to the balancer, and returns the actions.
+    pub fn update_endpoints(
+        &mut self,
+        now: Time,
+        kind: UpdateKind,
+        entries: &[Endpoint],
+    ) -> Vec<Action> {
+        self.handle(
             now,
             Event::EndpointsUpdated {
                 kind,
@@ -75,32 +86,33 @@
         )
     }
 
+    /// A request id that has not been used.
     pub fn next_id(&mut self) -> RequestId {
-        self.ids += 1;
-        RequestId(self.ids)
+        self.last_id += 1;
+        RequestId(self.last_id)
     }
 
-    /// Makes this request and returns the server of its attempt.
-    pub fn ask(&mut self, now: Time, request: Request) -> Option<ServerId> {
-        sent(&self.give(now, Event::Request(request)))
+    /// Starts a request and returns the server of its attempt, if one started.
+    pub fn request(&mut self, now: Time, request: Request) -> Option<ServerId> {
+        attempted_server(&self.handle(now, Event::Request(request)))
     }
 
-    /// Makes a request with a key, returns the server of its attempt and disconnects the client.
+    /// The server of the attempt for a request with this key. The client then disconnects.
     pub fn place(&mut self, now: Time, key: Key) -> Option<ServerId> {
         let id = self.next_id();
-        let to = self.ask(
+        let server = self.request(
             now,
             Request {
                 key: Some(key),
                 ..Request::new(id, 0, now + 2.0)
             },
         );
-        self.give(now, Event::ClientDisconnected(id));
-        to
+        self.handle(now, Event::ClientDisconnected(id));
+        server
     }
 
-    /// Ends attempt `attempt` of a request, not final.
-    pub fn end(
+    /// Ends attempt number `attempt` of a request with an outcome that is not final.
+    pub fn end_attempt(
         &mut self,
         now: Time,
         id: RequestId,
@@ -108,7 +120,7 @@
         server: ServerId,
         outcome: Outcome,
     ) -> Vec<Action> {
-        self.give(
+        self.handle(
             now,
             Event::AttemptEnded(AttemptEnded {
                 id,
@@ -121,13 +133,13 @@
     }
 }
 
-/// The server of the only attempt among these actions.
-pub fn sent(actions: &[Action]) -> Option<ServerId> {
-    let mut sends = actions.iter().filter_map(|a| match a {
+/// The server of the attempt that these actions start; at most one may start.
+pub fn attempted_server(actions: &[Action]) -> Option<ServerId> {
+    let mut servers = actions.iter().filter_map(|a| match a {
         Action::StartAttempt { server, .. } => Some(*server),
         _ => None,
     });
-    let first = sends.next();
-    assert_eq!(sends.next(), None, "two attempts at once");
+    let first = servers.next();
+    assert_eq!(servers.next(), None, "two attempts at once");
     first
 }
