--- a/tests/sockets/peers.rs
+++ b/tests/sockets/peers.rs
@@ -1,4 +1,4 @@
-//! Scripted peers around one balancer process: clients, backends and discovery, each on an ephemeral port.
+//! Scripted clients, backends and discovery for tests of balancer processes, each on an ephemeral port.
 
 use command_fds::{CommandFdExt, FdMapping};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -8,10 +8,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// No step takes longer; a story that would hang fails instead.
+/// Timeout of each step, so that a test fails instead of hanging.
 const STEP_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// One end of a connection that speaks lines.
+/// One end of a connection with a line-based protocol.
 pub struct Peer(BufReader<TcpStream>);
 
 impl Peer {
@@ -29,7 +29,7 @@
             .expect("written");
     }
 
-    /// The next line with its end, or "" at the end of the stream; "reset" where it broke.
+    /// Reads the next line with its line end. Returns "" at the end of the stream and "reset" after a reset.
     pub fn read_line(&mut self) -> String {
         let mut line = String::new();
         match self.0.read_line(&mut line) {
@@ -44,7 +44,7 @@
     }
 }
 
-/// A backend whose part the story plays.
+/// A backend scripted by the test.
 pub struct Backend {
     listener: TcpListener,
     pub id: &'static str,
@@ -58,19 +58,20 @@
         }
     }
 
+    /// Its entry in an endpoint list, with this phase.
     pub fn endpoint(&self, phase: &str) -> String {
         self.endpoint_at(phase, self.address())
     }
 
-    /// Its entry with another address.
-    pub fn endpoint_at(&self, phase: &str, at: SocketAddr) -> String {
+    /// Its entry in an endpoint list, with another address.
+    pub fn endpoint_at(&self, phase: &str, address: SocketAddr) -> String {
         let id = self.id;
         format!(
-            r#"{{"id":"{id}","host_port":"{at}","locality":"a","flavor":"m","cell":0,"phase":"{phase}","size":1.0,"up_since_ms":0}}"#
+            r#"{{"id":"{id}","host_port":"{address}","locality":"a","flavor":"m","cell":0,"phase":"{phase}","size":1.0,"up_since_ms":0}}"#
         )
     }
 
-    /// Another hold of where clients come, for a thread of the story's own.
+    /// Another handle to the listening socket, for a thread of the test.
     pub fn clone_listener(&self) -> TcpListener {
         self.listener.try_clone().expect("a socket")
     }
@@ -79,40 +80,41 @@
         self.listener.local_addr().expect("bound")
     }
 
-    /// The next connection, and the first line on it.
+    /// Accepts the next connection and reads its first line.
     #[track_caller]
     pub fn accept(&self) -> (Peer, String) {
         accept_any(&[self])
     }
 
-    /// The next call, where this stands for discovery: its first line, all of its head read.
+    /// Accepts the next HTTP request, in the role of discovery. Reads its head and returns its first line.
     pub fn accept_request(&self) -> (Peer, String) {
-        let (mut peer, call) = self.accept();
+        let (mut peer, request) = self.accept();
         while peer.read_line().trim() != "" {}
-        (peer, call)
+        (peer, request)
     }
 
-    /// The next call on a connection that is kept.
+    /// Reads the next HTTP request on a persistent connection and returns its first line.
     pub fn read_request(&self, peer: &mut Peer) -> String {
-        let call = peer.read_line();
+        let request = peer.read_line();
         while peer.read_line().trim() != "" {}
-        call
+        request
     }
 
-    /// The next call, on this connection or another one.
+    /// Reads the next HTTP request, on this connection or on a new one.
     pub fn next_request(&self, mut peer: Peer) -> (Peer, String) {
-        let call = peer.read_line();
-        if call.is_empty() || call == "reset" {
+        let request = peer.read_line();
+        if request.is_empty() || request == "reset" {
             return self.accept_request();
         }
         while peer.read_line().trim() != "" {}
-        (peer, call)
+        (peer, request)
     }
 
-    /// The next connection within a while, its first line read.
-    pub fn accept_within(&self, span: Duration) -> Option<Peer> {
+    /// Accepts the next connection within `timeout` and reads its first line. Returns `None` if there is no connection,
+    /// or if it ends without a line.
+    pub fn accept_within(&self, timeout: Duration) -> Option<Peer> {
         self.listener.set_nonblocking(true).expect("settable");
-        let end = Instant::now() + span;
+        let end = Instant::now() + timeout;
         while Instant::now() < end {
             if let Ok((stream, _)) = self.listener.accept() {
                 stream.set_nonblocking(false).expect("settable");
@@ -124,15 +126,15 @@
         None
     }
 
-    /// Whether nobody says anything here for a while, whoever connects.
-    pub fn receives_no_line(&self, span: Duration) -> bool {
-        self.accept_within(span).is_none()
+    /// Returns whether no line arrives within `period`; a connection without a line may be accepted.
+    pub fn receives_no_line(&self, period: Duration) -> bool {
+        self.accept_within(period).is_none()
     }
 
-    /// Whether nobody connects for a while.
-    pub fn receives_no_connection(&self, span: Duration) -> bool {
+    /// Returns whether no connection arrives within `period`.
+    pub fn receives_no_connection(&self, period: Duration) -> bool {
         self.listener.set_nonblocking(true).expect("settable");
-        let end = Instant::now() + span;
+        let end = Instant::now() + period;
         while Instant::now() < end {
             if self.listener.accept().is_ok() {
                 return false;
@@ -143,7 +145,7 @@
     }
 }
 
-/// The next connection at any of them, and the first line on it.
+/// Accepts the next connection on any of the backends and reads its first line.
 #[track_caller]
 pub fn accept_any(backends: &[&Backend]) -> (Peer, String) {
     let mut next = None;
@@ -161,7 +163,7 @@
     (peer, line)
 }
 
-/// Takes the answers that the story prepares, one for each call, and says what was called.
+/// A discovery server that sends the responses prepared by the test, one per request, and records the requests.
 pub struct Discovery {
     pub address: SocketAddr,
     pub requests: Arc<Mutex<Vec<String>>>,
@@ -179,17 +181,19 @@
             while let Ok((stream, _)) = listener.accept() {
                 let mut peer = Peer(BufReader::new(stream));
                 loop {
-                    let call = peer.read_line();
-                    if call.is_empty() || call == "reset" {
+                    let request = peer.read_line();
+                    if request.is_empty() || request == "reset" {
                         break;
                     }
                     while peer.read_line().trim() != "" {}
-                    received.lock().expect("whole").push(call);
-                    let Ok(answer) = prepared.recv() else { return };
-                    if peer.0.get_mut().write_all(answer.as_bytes()).is_err() {
+                    received.lock().expect("not poisoned").push(request);
+                    let Ok(response) = prepared.recv() else {
+                        return;
+                    };
+                    if peer.0.get_mut().write_all(response.as_bytes()).is_err() {
                         break;
                     }
-                    if !answer.starts_with("HTTP/1.1 200") {
+                    if !response.starts_with("HTTP/1.1 200") {
                         break;
                     }
                 }
@@ -202,69 +206,70 @@
         }
     }
 
-    /// Prepares an answer with this list.
+    /// Prepares a response with this endpoint list.
     pub fn respond_with_list(&self, revision: u64, complete: bool, entries: &[String]) {
         self.respond(&http_response(&endpoint_list(revision, complete, entries)));
     }
 
+    /// Prepares a response with this text.
     pub fn respond(&self, text: &str) {
         self.responses.send(text.into()).expect("discovery runs");
     }
 
     pub fn wait_for_requests(&self, count: usize) {
-        wait_until(|| self.requests.lock().expect("whole").len() >= count);
+        wait_until(|| self.requests.lock().expect("not poisoned").len() >= count);
     }
 }
 
-/// An answer with this body.
+/// Formats an HTTP response with this body.
 pub fn http_response(body: &str) -> String {
     let length = body.len();
     format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}")
 }
 
-/// Where nobody answers.
+/// Returns the address of a discovery that never responds.
 pub fn unresponsive_discovery() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let at = listener.local_addr().expect("bound");
-    // Held to the end: nobody else may come to answer there.
+    let address = listener.local_addr().expect("bound");
+    // Stays open until the process exits, so that no other process can bind the port.
     std::mem::forget(listener);
-    at
+    address
 }
 
 #[track_caller]
-pub fn wait_until(mut fact: impl FnMut() -> bool) {
+pub fn wait_until(mut condition: impl FnMut() -> bool) {
     let end = Instant::now() + STEP_TIMEOUT;
-    while !fact() {
-        assert!(Instant::now() < end, "waited in vain");
+    while !condition() {
+        assert!(Instant::now() < end, "timed out");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
-/// A list in discovery's form.
+/// Formats an endpoint list in discovery's format.
 pub fn endpoint_list(revision: u64, complete: bool, entries: &[String]) -> String {
     let members = entries.join(",");
     format!(r#"{{"revision":{revision},"complete":{complete},"members":[{members}]}}"#)
 }
 
-/// The program under test, ended when dropped.
+/// A balancer process under test, killed when dropped.
 pub struct Balancer {
     child: Child,
     address: SocketAddr,
-    /// Where it answers the staff.
-    operator: SocketAddr,
+    admin_address: SocketAddr,
     folder: Arc<Folder>,
 }
 
-/// The settings of a story that needs no others.
+/// Default settings of the tests.
 const SETTINGS: &str = r#"{"balancers":1,"zone":"a","membershipMode":"on_request",
         "classes":[{"name":"live","onTime":0.5,"hardLimit":2.0,"semantics":"free","stream":true}],
         "domain":{"groups":true,"messageAim":[0.25],"tellsDelay":true},
         "limits":{"maxAttempts":3,"connectTimeout":0.25,"cancel":true},"rules":{"askWithin":1.0}}"#;
 
-/// A backend that a busy machine makes slow for a moment is not left alone for it: for stories of something else.
+/// Raises the target for message times, so that a backend slowed down by a busy machine is not avoided. For tests of
+/// other behaviour.
 pub const LENIENT_MESSAGE_AIM: (&str, &str) = (r#""messageAim":[0.25]"#, r#""messageAim":[25.0]"#);
 
-/// What a story and its processes share: the temporary folder, the log, and what is configured.
+/// What the processes of a test share: the temporary folder, which holds their log, and the configuration.
 pub struct Folder {
     pub path: std::path::PathBuf,
     pub sockets: usize,
@@ -273,7 +278,7 @@
 }
 
 impl Folder {
-    /// What the processes of this folder have logged.
+    /// Returns the log of all processes of this folder.
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.path.join("log")).unwrap_or_default()
     }
@@ -291,20 +296,20 @@
     }
 }
 
-/// Ports that were free a moment ago, on a loopback address of this story's own: nobody else takes them.
+/// Returns two ports that were free a moment ago, on a loopback address of this test's own: no other test takes them.
 pub fn free_ports() -> [SocketAddr; 2] {
-    static STORIES: AtomicU8 = AtomicU8::new(1);
-    let story = STORIES.fetch_add(1, Ordering::Relaxed);
+    static NEXT_TEST: AtomicU8 = AtomicU8::new(1);
+    let test = NEXT_TEST.fetch_add(1, Ordering::Relaxed);
     let [_, _, high, low] = std::process::id().to_be_bytes();
-    let own = format!("127.{}.{high}.{low}:0", 64 + story);
-    let free = [(); 2].map(|()| TcpListener::bind(&own).expect("a port"));
-    free.map(|listener| listener.local_addr().expect("bound"))
+    let address = format!("127.{}.{high}.{low}:0", 64 + test);
+    let listeners = [(); 2].map(|()| TcpListener::bind(&address).expect("a port"));
+    listeners.map(|listener| listener.local_addr().expect("bound"))
 }
 
 impl Drop for Folder {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            // What its processes did is the first thing to ask.
+            // Shows what the processes did before the failure.
             eprintln!("the log of {}:\n{}", self.path.display(), self.log());
         }
         let _ = std::fs::remove_dir_all(&self.path);
@@ -319,73 +324,81 @@
 }
 
 impl Balancer {
-    /// Starts one that knows these servers, and waits until it is ready.
-    pub fn start(discovery: &Discovery, known: &[String]) -> Self {
-        Self::start_with_settings(discovery.address, known, &[])
+    /// Starts a balancer with these cached endpoints and waits until it is ready.
+    pub fn start(discovery: &Discovery, cached: &[String]) -> Self {
+        Self::start_with_settings(discovery.address, cached, &[])
     }
 
-    /// The same with other settings: each text in place of the one before it.
+    /// Like [`Self::start`], with other settings: each pair replaces its first text by its second.
     pub fn start_with_settings(
         discovery: SocketAddr,
-        known: &[String],
-        other: &[(&str, &str)],
+        cached: &[String],
+        replacements: &[(&str, &str)],
     ) -> Self {
-        let balancer = Self::spawn_with_settings(discovery, known, other);
+        let balancer = Self::spawn_with_settings(discovery, cached, replacements);
         let mut front = balancer.connect();
         front.send("PING\r\n");
         assert_eq!(front.read_line(), "PONG\r\n");
         balancer
     }
 
-    /// The same, once it listens.
+    /// Like [`Self::start_with_settings`], but waits only until the process listens.
     pub fn spawn_with_settings(
         discovery: SocketAddr,
-        known: &[String],
-        other: &[(&str, &str)],
+        cached: &[String],
+        replacements: &[(&str, &str)],
     ) -> Self {
-        let [address, operator] = free_ports();
+        let [address, admin_address] = free_ports();
         let mut folder = Folder::new(address);
-        for (from, to) in other {
+        for (from, to) in replacements {
             assert!(folder.settings.contains(from), "no {from} in the settings");
             folder.settings = folder.settings.replace(from, to);
         }
-        let balancer = Self::spawn(Arc::new(folder), address, operator, None, discovery, known);
+        let balancer = Self::spawn(
+            Arc::new(folder),
+            address,
+            admin_address,
+            None,
+            discovery,
+            cached,
+        );
         wait_until(|| TcpStream::connect(address).is_ok());
         balancer
     }
 
-    /// Neither reads, writes nor hears the time while `meanwhile` runs: all that happens in it comes at once.
-    pub fn while_stopped<T>(&self, meanwhile: impl FnOnce() -> T) -> T {
+    /// Runs `action` while the process is stopped. The process then sees all events and expired timers of this period
+    /// at once.
+    pub fn while_stopped<T>(&self, action: impl FnOnce() -> T) -> T {
         self.signal("-STOP");
         let stopped = format!("/proc/{}/stat", self.pid());
         wait_until(|| std::fs::read_to_string(&stopped).is_ok_and(|stat| stat.contains(") T ")));
-        let done = meanwhile();
+        let result = action();
         self.signal("-CONT");
-        done
+        result
     }
 
-    /// Starts one, and does not wait; with `held`, clients come to that socket, as descriptor 4.
+    /// Starts a process without waiting. If `inherited` is given, the process accepts clients on it, as descriptor 4.
     pub fn spawn(
         folder: Arc<Folder>,
         address: SocketAddr,
-        operator: SocketAddr,
-        held: Option<&TcpListener>,
+        admin_address: SocketAddr,
+        inherited: Option<&TcpListener>,
         discovery: SocketAddr,
-        known: &[String],
+        cached: &[String],
     ) -> Self {
-        write_config(&folder, address, &discovery.to_string(), known);
+        write_config(&folder, address, &discovery.to_string(), cached);
         let log = folder.path.join("log");
         let log = std::fs::File::options().create(true).append(true).open(log);
         let mut command = Command::new(env!("CARGO_BIN_EXE_spanspur"));
         command
             .env("BALANCER_CONFIG", folder.path.join("config.json"))
             .env("BALANCER_DISCOVERY", discovery.to_string())
-            .env("BALANCER_OPERATOR", operator.to_string())
+            .env("BALANCER_OPERATOR", admin_address.to_string())
             .env("TMPDIR", &folder.path)
             .env("RUST_LOG", folder.log_level)
             .stderr(log.expect("a log"));
-        if let Some(held) = held {
-            let parent_fd = held.try_clone().expect("a socket").into();
+        if let Some(listener) = inherited {
+            let parent_fd = listener.try_clone().expect("a socket").into();
             let mapping = FdMapping {
                 parent_fd,
                 child_fd: 4,
@@ -397,34 +410,35 @@
         Self {
             child,
             address,
-            operator,
+            admin_address,
             folder,
         }
     }
 
-    /// Calls the staff's address: the status, and what was said.
-    pub fn admin_request(&self, call: &str, body: &str) -> (u16, String) {
-        let method = if call == "/_ready" { "GET" } else { "POST" };
+    /// Sends an admin request. Returns the status and the whole response.
+    pub fn admin_request(&self, path: &str, body: &str) -> (u16, String) {
+        let method = if path == "/_ready" { "GET" } else { "POST" };
         let length = body.len();
         self.admin_request_raw(&format!(
-            "{method} {call} HTTP/1.1\r\nHost: x\r\nContent-Length: {length}\r\n\r\n{body}"
+            "{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {length}\r\n\r\n{body}"
         ))
     }
 
+    /// Sends this text to the admin address. Returns the status, or 0 without one, and the whole response.
     pub fn admin_request_raw(&self, text: &str) -> (u16, String) {
         let mut peer = self.connect_admin();
         peer.send(text);
-        let answer = read_to_end(peer);
-        let status = answer.get(9..12).and_then(|code| code.parse().ok());
-        (status.unwrap_or(0), answer)
+        let response = read_to_end(peer);
+        let status = response.get(9..12).and_then(|code| code.parse().ok());
+        (status.unwrap_or(0), response)
     }
 
-    /// A connection to the staff's address.
+    /// Connects to the admin address.
     pub fn connect_admin(&self) -> Peer {
-        Peer::new(TcpStream::connect(self.operator).expect("accepted"))
+        Peer::new(TcpStream::connect(self.admin_address).expect("accepted"))
     }
 
-    /// What its log holds, with that of others of the same folder.
+    /// Returns the log of all processes in its folder.
     pub fn log(&self) -> String {
         self.folder.log()
     }
@@ -438,12 +452,12 @@
         let _ = self.child.wait();
     }
 
-    /// Where clients come.
+    /// The address on which it accepts clients.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Waits until so many clients have asked that have no answer, by its log.
+    /// Waits until the log shows that this number of requests has been received.
     pub fn wait_for_requests(&self, count: usize) {
         wait_until(|| self.log().matches("request received").count() >= count);
     }
@@ -452,14 +466,14 @@
         Peer::new(TcpStream::connect(self.address).expect("accepted"))
     }
 
-    /// A client that asks for a connection and will wait for `ms`.
+    /// Connects a client and sends a request with a wait of `ms` milliseconds.
     pub fn open(&self, id: u64, ms: u64) -> Peer {
         let mut client = self.connect();
         client.send(&format!("OPEN {id:016x} 7f3a c=live,d={ms},g=5c0f,x=1\r\n"));
         client
     }
 
-    /// A client whose connection stands, with its backend.
+    /// Establishes a connection through the balancer. Returns the client's and the backend's end.
     #[track_caller]
     pub fn establish(&self, id: u64, backend: &Backend) -> (Peer, Peer) {
         let mut client = self.open(id, 2000);
@@ -469,7 +483,7 @@
         (client, server)
     }
 
-    /// Has it read its configuration again, with discovery there.
+    /// Makes the process reload its configuration, with this discovery address.
     pub fn reload(&self, discovery: &str) {
         write_config(&self.folder, self.address, discovery, &[]);
         self.signal("-HUP");
@@ -489,38 +503,38 @@
         );
     }
 
-    /// How the process ended.
+    /// Waits until the process exits and returns its exit code.
     pub fn wait_for_exit(mut self) -> Option<i32> {
         let mut code = None;
         wait_until(|| {
-            let ended = self.child.try_wait().expect("a child");
-            ended.map(|status| code = status.code()).is_some()
+            let exited = self.child.try_wait().expect("a child");
+            exited.map(|status| code = status.code()).is_some()
         });
         code
     }
 }
 
-pub fn write_config(folder: &Folder, listen: SocketAddr, discovery: &str, known: &[String]) {
-    let (known, sockets, settings) = (
-        endpoint_list(1, true, known),
+pub fn write_config(folder: &Folder, listen: SocketAddr, discovery: &str, cached: &[String]) {
+    let (cached, sockets, settings) = (
+        endpoint_list(1, true, cached),
         folder.sockets,
         &folder.settings,
     );
     let text = format!(
         r#"{{"name":"n0","listen":"{listen}","discovery":"{discovery}","seed":"7",
-        "limits":{{"sockets":{sockets}}},"known":{known},"settings":{settings}}}"#
+        "limits":{{"sockets":{sockets}}},"known":{cached},"settings":{settings}}}"#
     );
     std::fs::write(folder.path.join("config.json"), text).expect("written");
 }
 
-/// Reads until the stream ends.
+/// Reads until the end of the stream.
 pub fn read_to_end(mut peer: Peer) -> String {
     let mut text = String::new();
     let _ = peer.0.read_to_string(&mut text);
     text
 }
 
-/// A backend that takes everyone and answers each line, on threads of its own.
+/// Starts a backend that accepts every request and echoes each further line, on its own threads.
 pub fn echo_backend(id: &'static str) -> Backend {
     let backend = Backend::new(id);
     let listener = backend.clone_listener();
@@ -529,11 +543,11 @@
             std::thread::spawn(move || {
                 let mut peer = Peer::new(stream);
                 peer.read_line();
-                let mut answer = "UP r1\r\n".to_owned();
-                while peer.0.get_mut().write_all(answer.as_bytes()).is_ok() {
+                let mut reply = "UP r1\r\n".to_owned();
+                while peer.0.get_mut().write_all(reply.as_bytes()).is_ok() {
                     let mut line = String::new();
                     match peer.0.read_line(&mut line) {
-                        Ok(n) if n > 0 => answer = line,
+                        Ok(n) if n > 0 => reply = line,
                         _ => return,
                     }
                 }
