--- a/tests/sockets/fleet.rs
+++ b/tests/sockets/fleet.rs
@@ -1,4 +1,4 @@
-//! Many processes at once, as on the platform: none talks to another, and what all of them do adds up.
+//! Combined behaviour of many balancer processes that do not communicate with each other.
 
 use crate::peers::*;
 use std::io::Write;
@@ -7,50 +7,50 @@
 use std::time::{Duration, Instant, SystemTime};
 
 #[test]
-fn nine_in_ten_restarted_at_once_are_ready_in_time() {
+fn nine_in_ten_processes_started_at_once_are_ready_in_time() {
     const PROCESSES: usize = 20;
-    /// Discovery takes one call at a time, for so long.
-    const CALL: Duration = Duration::from_millis(40);
-    /// After all have started it stays down for so long.
-    const DOWN: Duration = Duration::from_secs(2);
+    /// Time per request of discovery, which handles one request at a time.
+    const REQUEST_TIME: Duration = Duration::from_millis(40);
+    /// Time after the start for which discovery is down.
+    const DOWNTIME: Duration = Duration::from_secs(2);
     let (backend, discovery) = (
         echo_backend("s-1"),
         TcpListener::bind("127.0.0.1:0").expect("a port"),
     );
-    let (at, entry) = (
+    let (address, endpoint) = (
         discovery.local_addr().expect("bound"),
         backend.endpoint("SERVING"),
     );
     let began = Instant::now();
-    // Nothing is known from before: each needs an answer of its own.
+    // Without cached endpoints, each process needs a response from discovery.
     let processes: Vec<Balancer> = (0..PROCESSES)
-        .map(|_| Balancer::spawn_with_settings(at, &[], &[]))
+        .map(|_| Balancer::spawn_with_settings(address, &[], &[]))
         .collect();
     std::thread::spawn(move || {
-        let whole = http_response(&endpoint_list(1, true, &[entry]));
+        let response = http_response(&endpoint_list(1, true, &[endpoint]));
         for stream in discovery.incoming().flatten() {
-            if began.elapsed() < DOWN {
+            if began.elapsed() < DOWNTIME {
                 continue;
             }
-            std::thread::sleep(CALL);
+            std::thread::sleep(REQUEST_TIME);
             let mut peer = Peer::new(stream);
             while peer.read_line().trim() != "" {}
-            let _ = peer.stream().write_all(whole.as_bytes());
+            let _ = peer.stream().write_all(response.as_bytes());
         }
     });
-    let ready = |process: &Balancer| {
+    let is_ready = |process: &Balancer| {
         let mut front = process.connect();
         front.send("PING\r\n");
         front.read_line() == "PONG\r\n" && began.elapsed() < Duration::from_secs(10)
     };
     let ready = std::thread::scope(|scope| {
-        let asked: Vec<_> = processes
+        let threads: Vec<_> = processes
             .iter()
-            .map(|one| scope.spawn(move || ready(one)))
+            .map(|process| scope.spawn(move || is_ready(process)))
             .collect();
-        asked
+        threads
             .into_iter()
-            .map(|one| one.join().expect("asked"))
+            .map(|thread| thread.join().expect("no panic"))
             .filter(|ready| *ready)
             .count()
     });
@@ -58,28 +58,28 @@
 }
 
 #[test]
-fn twenty_processes_together_do_not_push_a_cold_server_over() {
+fn twenty_processes_together_do_not_overload_a_cold_server() {
     const PROCESSES: usize = 20;
     const WARM_UP: f64 = 8.0;
     const COLD_FROM: f64 = 0.2;
-    /// Ten connections of the load that is held usual fill a unit of size.
-    const FILL: f64 = 100.0;
+    /// Capacity of a server of size 10, in connections: ten connections of the default load per unit of size.
+    const CAPACITY: f64 = 100.0;
     let warm: Vec<Backend> = ["s-1", "s-2", "s-3"]
         .into_iter()
         .map(echo_backend)
         .collect();
     let cold = Backend::new("s-cold");
-    // Who comes to it, and when.
-    let (came, counted) = (Arc::new(Mutex::new(Vec::new())), cold.clone_listener());
-    let seen = came.clone();
+    // Times at which connections arrive at the cold server.
+    let (arrivals, listener) = (Arc::new(Mutex::new(Vec::new())), cold.clone_listener());
+    let recorded = arrivals.clone();
     std::thread::spawn(move || {
-        let mut held = Vec::new();
-        for stream in counted.incoming().flatten() {
-            seen.lock().expect("whole").push(Instant::now());
+        let mut connections = Vec::new();
+        for stream in listener.incoming().flatten() {
+            recorded.lock().expect("not poisoned").push(Instant::now());
             let mut peer = Peer::new(stream);
             peer.read_line();
             peer.send("UP r1\r\n");
-            held.push(peer);
+            connections.push(peer);
         }
     });
     let unix = SystemTime::now()
@@ -89,12 +89,12 @@
         format!(r#""up_since_ms":{}"#, unix.as_millis()),
         Instant::now(),
     );
-    let mut known: Vec<String> = warm.iter().map(|one| one.endpoint("SERVING")).collect();
-    known.push(
+    let mut endpoints: Vec<String> = warm.iter().map(|one| one.endpoint("SERVING")).collect();
+    endpoints.push(
         cold.endpoint("SERVING")
             .replace(r#""up_since_ms":0"#, &started),
     );
-    let known: Vec<String> = known
+    let endpoints: Vec<String> = endpoints
         .iter()
         .map(|one| one.replace(r#""size":1.0"#, r#""size":10.0"#))
         .collect();
@@ -109,10 +109,10 @@
                 (r#""balancers":1"#, &fleet[..]),
                 (r#""askWithin":1.0"#, &rules[..]),
             ];
-            Balancer::spawn_with_settings(unresponsive_discovery(), &known, &other)
+            Balancer::spawn_with_settings(unresponsive_discovery(), &endpoints, &other)
         })
         .collect();
-    // Clients of 500 groups come to all processes in turn; each stays where it is put.
+    // Clients of 500 groups connect to the processes in turn and stay connected.
     let mut clients = Vec::new();
     for n in 0..1200_u64 {
         let mut client = processes[n as usize % PROCESSES].connect();
@@ -124,23 +124,26 @@
         clients.push(client);
         std::thread::sleep(Duration::from_millis(3));
     }
-    let came = came.lock().expect("whole").clone();
+    let arrivals = arrivals.lock().expect("not poisoned").clone();
     assert!(
-        came.len() >= 10,
-        "{} came in {:?}",
-        came.len(),
+        arrivals.len() >= 10,
+        "{} arrivals in {:?}",
+        arrivals.len(),
         began.elapsed()
     );
-    for (i, at) in came.iter().enumerate() {
-        let age = at.duration_since(began).as_secs_f64();
-        let window = came[i..]
+    for (i, arrival) in arrivals.iter().enumerate() {
+        let age = arrival.duration_since(began).as_secs_f64();
+        let window = arrivals[i..]
             .iter()
-            .take_while(|t| t.duration_since(*at).as_secs_f64() < 1.0)
+            .take_while(|t| t.duration_since(*arrival).as_secs_f64() < 1.0)
             .count();
-        // What the settings allow at the end of the window, and what the operators put down to chance.
+        // Limit that the settings allow at the end of the window, plus the allowance for chance.
         let warmth = COLD_FROM + (1.0 - COLD_FROM) * ((age + 1.0) / WARM_UP).min(1.0);
-        let n = 3.0 * warmth * FILL / WARM_UP;
-        let most = n + 2.0 * n.sqrt() + 2.0;
-        assert!(window as f64 <= most, "{window} from {age}, {most} allowed");
+        let n = 3.0 * warmth * CAPACITY / WARM_UP;
+        let limit = n + 2.0 * n.sqrt() + 2.0;
+        assert!(
+            window as f64 <= limit,
+            "{window} from {age}, {limit} allowed"
+        );
     }
 }
--- a/tests/sockets/replace.rs
+++ b/tests/sockets/replace.rs
@@ -1,4 +1,4 @@
-//! Stories of a replacement: two processes of one balancer, the platform's socket, and what becomes of clients.
+//! Hot restart: two processes of one balancer that inherit the same listening socket.
 
 use crate::peers::*;
 use spanspur_hot_restart::frame::{Frame, VERSION, encode};
@@ -8,16 +8,17 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// One balancer's place on the platform: its address, the socket that is held there, its folder.
-struct Place {
+/// What the processes of one balancer share: the address, the inherited listening socket, the folder, discovery and the
+/// cached endpoints.
+struct Deployment {
     address: SocketAddr,
-    held: TcpListener,
+    listener: TcpListener,
     folder: Arc<Folder>,
     discovery: Discovery,
-    known: Vec<String>,
+    cached: Vec<String>,
 }
 
-impl Place {
+impl Deployment {
     fn new(backends: &[&Backend]) -> Self {
         let [address, _] = free_ports();
         let mut folder = Folder::new(address);
@@ -26,33 +27,36 @@
             .replace(LENIENT_MESSAGE_AIM.0, LENIENT_MESSAGE_AIM.1);
         Self {
             address,
-            held: TcpListener::bind(address).expect("free"),
+            listener: TcpListener::bind(address).expect("free"),
             folder: Arc::new(folder),
             discovery: Discovery::new(),
-            known: backends.iter().map(|one| one.endpoint("SERVING")).collect(),
+            cached: backends
+                .iter()
+                .map(|backend| backend.endpoint("SERVING"))
+                .collect(),
         }
     }
 
-    /// Starts a process beside whatever runs, and waits for its yes.
+    /// Starts a process beside those that are running, and waits until it is ready.
     #[track_caller]
     fn start(&self) -> Balancer {
-        let [_, operator] = free_ports();
+        let [_, admin_address] = free_ports();
         let folder = self.folder.clone();
-        let held = Some(&self.held);
+        let inherited = Some(&self.listener);
         let process = Balancer::spawn(
             folder,
             self.address,
-            operator,
-            held,
+            admin_address,
+            inherited,
             self.discovery.address,
-            &self.known,
+            &self.cached,
         );
-        wait_until(|| TcpStream::connect(operator).is_ok());
+        wait_until(|| TcpStream::connect(admin_address).is_ok());
         wait_until(|| process.admin_request("/_ready", "").0 == 200);
         process
     }
 
-    /// The older process leaves, as the platform has it, when the newer one has said yes.
+    /// Replaces a process as the platform does: the old process is terminated once the new one is ready.
     fn replace(&self, old: Balancer) -> Balancer {
         let new = self.start();
         old.signal("-TERM");
@@ -60,57 +64,58 @@
         new
     }
 
-    /// Comes to the process that serves as one that would replace it.
-    fn come(&self, frames: &[Frame]) -> UnixStream {
-        let mut stream =
-            UnixStream::connect(self.folder.path.join("spanspur-n0.sock")).expect("held");
+    /// Connects to the hot restart socket in the role of a successor and sends these frames.
+    fn connect_as_successor(&self, frames: &[Frame]) -> UnixStream {
+        let mut stream = UnixStream::connect(self.folder.path.join("spanspur-n0.sock"))
+            .expect("the process listens");
         for frame in frames {
             stream
                 .write_all(&encode(frame, 0).expect("small"))
-                .expect("taken");
+                .expect("sent");
         }
         stream
     }
 }
 
-fn echo(client: &mut Peer, text: &str) {
+fn assert_echo(client: &mut Peer, text: &str) {
     client.send(text);
     assert_eq!(client.read_line(), text);
 }
 
 #[test]
-fn what_stands_and_what_is_half_said_goes_on_through_two_replacements() {
+fn established_connections_and_partial_lines_survive_two_hot_restarts() {
     let backend = Backend::new("s-1");
-    let place = Place::new(&[&backend]);
-    let old = place.start();
+    let deployment = Deployment::new(&[&backend]);
+    let old = deployment.start();
     let (mut client, mut server) = old.establish(0x11, &backend);
-    // Half a line each way, half a first line, and a front that asks again on its connection.
+    // Transferred are: partial lines in both directions, a partial request line, and a persistent connection of the
+    // front proxy.
     client.send("M 1\r\nM");
     assert_eq!(server.read_line(), "M 1\r\n");
     server.send("R");
-    let mut half = old.connect();
-    half.send("OPEN 00000000000000");
+    let mut partial = old.connect();
+    partial.send("OPEN 00000000000000");
     let mut front = old.connect();
     front.send("PING\r\n");
     assert_eq!(front.read_line(), "PONG\r\n");
-    let new = place.replace(old);
+    let new = deployment.replace(old);
     server.send(" 1\r\n");
     assert_eq!(client.read_line(), "R 1\r\n");
     client.send(" 2\r\n");
     assert_eq!(server.read_line(), "M 2\r\n");
-    half.send("12 7f3a c=live,d=2000,g=5c0f\r\n");
+    partial.send("12 7f3a c=live,d=2000,g=5c0f\r\n");
     let (mut other, line) = backend.accept();
     assert!(line.starts_with("OPEN 0000000000000012 "), "{line}");
     other.send("UP r2\r\n");
-    assert_eq!(half.read_line(), "UP r2\r\n");
+    assert_eq!(partial.read_line(), "UP r2\r\n");
     front.send("PING\r\n");
     assert_eq!(front.read_line(), "PONG\r\n");
-    let third = place.replace(new);
+    let third = deployment.replace(new);
     client.send("M 3\r\n");
     assert_eq!(server.read_line(), "M 3\r\n");
-    // A process that leaves with nobody to follow moves them, as ever.
+    // A process that is terminated without a successor migrates its clients.
     third.signal("-TERM");
-    for mut one in [client, half] {
+    for mut one in [client, partial] {
         assert_eq!(
             (one.read_line(), one.read_line()),
             ("MOVE\r\n".into(), String::new())
@@ -121,55 +126,56 @@
 }
 
 #[test]
-fn under_load_no_client_is_refused_reset_or_left_unread() {
+fn hot_restarts_under_load_lose_no_client() {
     let (one, two) = (echo_backend("s-1"), echo_backend("s-2"));
-    let place = Place::new(&[&one, &two]);
-    let mut process = place.start();
-    let address = place.address;
+    let deployment = Deployment::new(&[&one, &two]);
+    let mut process = deployment.start();
+    let address = deployment.address;
     let clients: Vec<_> = (0..4)
         .map(|thread| {
             std::thread::spawn(move || {
-                let mut standing = Vec::new();
+                let mut established = Vec::new();
                 for n in 0..24 {
                     let mut client = Peer::new(TcpStream::connect(address).expect("accepted"));
                     let id = 0x1000 * (thread + 1) + n;
                     client.send(&format!("OPEN {id:016x} {id:x} c=live,d=2000,g={id:x}\r\n"));
                     assert_eq!(client.read_line(), "UP r1\r\n", "client {id:x}");
-                    standing.push(client);
+                    established.push(client);
                     std::thread::sleep(Duration::from_millis(30));
-                    // Those that stand are as they were.
-                    let at = n as usize / 2;
-                    echo(&mut standing[at], "M\r\n");
+                    // Established connections keep working.
+                    let index = n as usize / 2;
+                    assert_echo(&mut established[index], "M\r\n");
                 }
-                standing
+                established
             })
         })
         .collect();
     for _ in 0..3 {
         std::thread::sleep(Duration::from_millis(150));
-        process = place.replace(process);
+        process = deployment.replace(process);
     }
     for thread in clients {
         for mut client in thread.join().expect("no client is lost") {
-            echo(&mut client, "M 9\r\n");
+            assert_echo(&mut client, "M 9\r\n");
         }
     }
     assert!(
-        !place.folder.log().contains("counter="),
+        !deployment.folder.log().contains("counter="),
         "{}",
-        place.folder.log()
+        deployment.folder.log()
     );
 }
 
 #[test]
-fn what_is_out_or_emptied_stays_so_through_a_replacement() {
+fn maintenance_and_draining_survive_a_hot_restart() {
     let (one, two) = (Backend::new("s-1"), echo_backend("s-2"));
-    let place = Place::new(&[&one, &two]);
-    let old = place.start();
+    let deployment = Deployment::new(&[&one, &two]);
+    let old = deployment.start();
     assert_eq!(old.admin_request("/_stream-servers/detach", "s-1").0, 200);
     assert_eq!(old.admin_request("/_lameduck/on", "").0, 200);
-    // It takes over all the same: its yes is for the replacement, its answer to the front is no.
-    let new = place.replace(old);
+    // The new process reports ready on the admin address, so it replaces the old one, but rejects the front proxy's
+    // PING.
+    let new = deployment.replace(old);
     let ping = |process: &Balancer| {
         let mut front = process.connect();
         front.send("PING\r\n");
@@ -186,43 +192,44 @@
 }
 
 #[test]
-fn one_that_dies_on_the_way_leaves_the_other_serving() {
+fn a_failing_successor_leaves_the_predecessor_serving() {
     let backend = echo_backend("s-1");
-    let place = Place::new(&[&backend]);
-    let process = place.start();
+    let deployment = Deployment::new(&[&backend]);
+    let process = deployment.start();
     let mut client = process.open(0x31, 2000);
     assert_eq!(client.read_line(), "UP r1\r\n");
-    let serves = |id| assert_eq!(process.open(id, 2000).read_line(), "UP r1\r\n");
-    // Nonsense, another version, one that dies before its yes.
-    place
-        .come(&[])
+    let assert_serving = |id| assert_eq!(process.open(id, 2000).read_line(), "UP r1\r\n");
+    // Invalid data, another protocol version, and a successor that disconnects before it is ready.
+    deployment
+        .connect_as_successor(&[])
         .write_all(b"GET / HTTP/1.1\r\n")
-        .expect("taken");
-    drop(place.come(&[Frame::Hello {
+        .expect("sent");
+    drop(deployment.connect_as_successor(&[Frame::Hello {
         version: VERSION + 1,
     }]));
-    drop(place.come(&[Frame::Hello { version: VERSION }]));
-    serves(0x32);
-    // One that says yes, and takes nothing: clients come to nobody until it has gone.
-    let mut dead = place.come(&[Frame::Hello { version: VERSION }, Frame::Ready]);
+    drop(deployment.connect_as_successor(&[Frame::Hello { version: VERSION }]));
+    assert_serving(0x32);
+    // A successor that reports ready but accepts nothing: no process accepts clients until it has disconnected.
+    let mut successor =
+        deployment.connect_as_successor(&[Frame::Hello { version: VERSION }, Frame::Ready]);
     wait_until(|| process.admin_request("/_ready", "").0 == 503);
-    drop(dead);
-    serves(0x33);
-    // One that says yes and dies while it is given what stands: it is moved then.
-    dead = place.come(&[Frame::Hello { version: VERSION }, Frame::Ready]);
+    drop(successor);
+    assert_serving(0x33);
+    // A successor that disconnects during the transfer of the established connections: they are migrated instead.
+    successor = deployment.connect_as_successor(&[Frame::Hello { version: VERSION }, Frame::Ready]);
     wait_until(|| process.admin_request("/_ready", "").0 == 503);
     process.signal("-TERM");
-    wait_until(|| place.folder.log().contains("command=TransferTo("));
-    let mut some = [0; 64];
-    dead.read_exact(&mut some).expect("it is told something");
-    drop(dead);
-    echo_or_move(&mut client);
+    wait_until(|| deployment.folder.log().contains("command=TransferTo("));
+    let mut received = [0; 64];
+    successor.read_exact(&mut received).expect("frames arrive");
+    drop(successor);
+    assert_migrated_after_echo(&mut client);
     drop(client);
     assert_eq!(process.wait_for_exit(), Some(0));
 }
 
-/// The connection goes on where it was, until it is moved.
-fn echo_or_move(client: &mut Peer) {
+/// The connection stays at the old process until it is migrated.
+fn assert_migrated_after_echo(client: &mut Peer) {
     client.send("M 1\r\n");
     let mut line = client.read_line();
     if line == "M 1\r\n" {
@@ -232,28 +239,28 @@
 }
 
 #[test]
-fn one_that_dies_before_it_is_replaced_costs_the_next_one_nothing() {
+fn a_killed_process_does_not_affect_the_next_one() {
     let backend = echo_backend("s-1");
-    let place = Place::new(&[&backend]);
-    let old = place.start();
+    let deployment = Deployment::new(&[&backend]);
+    let old = deployment.start();
     assert_eq!(old.admin_request("/_stream-servers/detach", "s-1").0, 200);
     old.kill();
-    // Its socket's name is left, and nobody is there.
-    let new = place.start();
+    // The path of the hot restart socket is left behind, but no process listens on it.
+    let new = deployment.start();
     assert!(new.open(0x41, 300).read_line().starts_with("BUSY"));
     assert_eq!(new.admin_request("/_stream-servers/attach", "s-1").0, 200);
     assert_eq!(new.open(0x42, 2000).read_line(), "UP r1\r\n");
 }
 
-/// Measures a replacement at growing numbers of standing connections, and the same end without a successor.
+/// Measures hot restarts with growing numbers of established connections, and shutdowns without a successor.
 /// `cargo test --release --test sockets measure_replacement -- --ignored` writes `docs/measured/service.*`.
 #[test]
 #[ignore = "a measurement of a minute, not a check"]
 fn measure_replacement() {
     let mut rows = Vec::new();
     for count in [50, 200, 800, 2000] {
-        for followed in [true, false] {
-            rows.push(measure(count, followed));
+        for with_successor in [true, false] {
+            rows.push(measure(count, with_successor));
         }
     }
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("docs/measured");
@@ -271,15 +278,17 @@
         ("longest pause".to_owned(), vec![]),
     ];
     for row in &rows {
-        let pause = row.pause.map_or("-".into(), |ms| format!("{ms:.1}"));
-        let yes = row.yes.map_or("-".into(), |ms| format!("{ms:.0}"));
-        let followed = if row.yes.is_some() { "yes" } else { "no" };
+        let pause = row
+            .longest_pause_ms
+            .map_or("-".into(), |ms| format!("{ms:.1}"));
+        let ready = row.ready_ms.map_or("-".into(), |ms| format!("{ms:.0}"));
+        let with_successor = if row.ready_ms.is_some() { "yes" } else { "no" };
         text += &format!(
-            "| {} | {followed} | {yes} | {:.0} | {pause} | {} | {:.1} | {:.1} |\n",
-            row.count, row.exit, row.moved, row.before, row.both
+            "| {} | {with_successor} | {ready} | {:.0} | {pause} | {} | {:.1} | {:.1} |\n",
+            row.count, row.exit_ms, row.migrated, row.mib_before, row.mib_both
         );
-        if let Some(pause) = row.pause {
-            lines[0].1.push((row.count as f64, row.exit));
+        if let Some(pause) = row.longest_pause_ms {
+            lines[0].1.push((row.count as f64, row.exit_ms));
             lines[1].1.push((row.count as f64, pause));
         }
     }
@@ -293,21 +302,22 @@
 
 struct Row {
     count: usize,
-    yes: Option<f64>,
-    exit: f64,
-    pause: Option<f64>,
-    moved: usize,
-    before: f64,
-    both: f64,
+    ready_ms: Option<f64>,
+    exit_ms: f64,
+    longest_pause_ms: Option<f64>,
+    migrated: usize,
+    mib_before: f64,
+    mib_both: f64,
 }
 
-fn measure(count: usize, followed: bool) -> Row {
+fn measure(count: usize, with_successor: bool) -> Row {
     let backends = ["s-1", "s-2"].map(echo_backend);
-    let mut place = Place::new(&[&backends[0], &backends[1]]);
-    let folder = Arc::get_mut(&mut place.folder).expect("alone");
+    let mut deployment = Deployment::new(&[&backends[0], &backends[1]]);
+    let folder = Arc::get_mut(&mut deployment.folder).expect("alone");
     (folder.sockets, folder.log_level) = (16_000, "info");
-    let old = place.start();
-    // One after the other: the stand-ins' listeners hold few that wait, and who waits too long is refused.
+    let old = deployment.start();
+    // Clients connect one after the other: the backends' accept queues are short, and requests that wait too long are
+    // rejected.
     let open = |id| {
         let mut client = old.open(id, 2000);
         assert_eq!(client.read_line(), "UP r1\r\n");
@@ -321,45 +331,45 @@
         kib.unwrap_or(0.0) / 1024.0
     };
     let ms = |from: Instant| from.elapsed().as_secs_f64() * 1000.0;
-    let before = mib(old.pid());
+    let mib_before = mib(old.pid());
     let start = Instant::now();
-    let new = followed.then(|| place.start());
-    let yes = followed.then(|| ms(start));
-    let both = mib(old.pid()) + new.as_ref().map_or(0.0, |new| mib(new.pid()));
-    let told = Instant::now();
+    let new = with_successor.then(|| deployment.start());
+    let ready_ms = with_successor.then(|| ms(start));
+    let mib_both = mib(old.pid()) + new.as_ref().map_or(0.0, |new| mib(new.pid()));
+    let terminated = Instant::now();
     old.signal("-TERM");
     let exit = std::thread::spawn(move || {
         assert_eq!(old.wait_for_exit(), Some(0));
-        ms(told)
+        ms(terminated)
     });
-    let (mut pause, mut moved) = (0.0, 0);
-    if followed {
+    let (mut longest_pause, mut migrated) = (0.0, 0);
+    if with_successor {
         while !exit.is_finished() {
             for client in &mut clients[..50] {
-                let asked = Instant::now();
-                echo(client, "M\r\n");
-                pause = f64::max(pause, ms(asked));
+                let sent = Instant::now();
+                assert_echo(client, "M\r\n");
+                longest_pause = f64::max(longest_pause, ms(sent));
             }
             std::thread::sleep(Duration::from_millis(2));
         }
         clients
             .iter_mut()
-            .for_each(|client| echo(client, "M 2\r\n"));
+            .for_each(|client| assert_echo(client, "M 2\r\n"));
     } else {
         for client in &mut clients {
-            moved += usize::from(client.read_line() == "MOVE\r\n");
+            migrated += usize::from(client.read_line() == "MOVE\r\n");
         }
         clients.clear();
     }
-    let exit = exit.join().expect("it exits");
-    let pause = followed.then_some(pause);
+    let exit_ms = exit.join().expect("it exits");
+    let longest_pause_ms = with_successor.then_some(longest_pause);
     Row {
         count,
-        yes,
-        exit,
-        pause,
-        moved,
-        before,
-        both,
+        ready_ms,
+        exit_ms,
+        longest_pause_ms,
+        migrated,
+        mib_before,
+        mib_both,
     }
 }
--- a/tests/sockets/watch.rs
+++ b/tests/sockets/watch.rs
@@ -1,19 +1,19 @@
-//! Ends of the watch on discovery: what it has is known in time whatever became of the call before.
+//! Failures of polls of discovery: changes must be known in time whatever happened to the polls before.
 
 use crate::peers::*;
 use std::io::Write;
 use std::net::Shutdown;
 use std::time::{Duration, Instant};
 
-/// Where lists are pushed, by an agent that stands where discovery does.
+/// Setting for lists that are pushed by an agent, which takes the place of discovery.
 const PUSHED: (&str, &str) = ("on_request", "pushed");
-/// Discovery is asked this seldom at the operators' own site.
-const SELDOM: (&str, &str) = (r#""askWithin":1.0"#, r#""askWithin":10.0"#);
+/// Setting for the poll interval that is used at the operators' own site.
+const RARELY_POLLED: (&str, &str) = (r#""askWithin":1.0"#, r#""askWithin":10.0"#);
 
-/// A change counts as told by then, once discovery has it and can be reached.
-const TOLD: Duration = Duration::from_secs(6);
+/// Time within which a change must be known after it is available at a reachable discovery.
+const PROPAGATION_TIME: Duration = Duration::from_secs(6);
 
-/// The answer with the drain of the last server has been read, and a client finds nobody to be sent to.
+/// Asserts that the response in which the last server is draining has been applied: a client finds no server.
 #[track_caller]
 fn assert_drain_known(balancer: &Balancer, discovery: &Backend, watch: &mut Peer, id: u64) {
     discovery.read_request(watch);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_pushed_list_is_watched_from_the_first_moment_and_again_at_once() {
+fn a_pushed_list_is_polled_at_startup_and_right_after_a_disconnect() {
     let (agent, old, new) = (
         Backend::new("d-1"),
         Backend::new("s-1"),
@@ -29,18 +29,18 @@
     );
     let balancer =
         Balancer::spawn_with_settings(agent.address(), &[old.endpoint("SERVING")], &[PUSHED]);
-    let (mut watch, call) = agent.accept_request();
-    assert!(call.contains("since=1&timeout_ms=0 "), "{call}");
-    // What the agent has counts as told already: nobody is let in on the old list.
+    let (mut watch, request) = agent.accept_request();
+    assert!(request.contains("since=1&timeout_ms=0 "), "{request}");
+    // The agent's list counts as known already, so the process is not ready with the cached list.
     let mut front = balancer.connect();
     front.send("PING\r\n");
     let changes = [old.endpoint("DRAINING"), new.endpoint("SERVING")];
     watch.send(&http_response(&endpoint_list(2, false, &changes)));
     assert_eq!(front.read_line(), "PONG\r\n");
     balancer.establish(0x11, &new);
-    // The agent restarts: it is asked again long before a drain's grace is over.
-    let call = agent.read_request(&mut watch);
-    assert!(call.contains("since=2&timeout_ms=2000 "), "{call}");
+    // The agent restarts. It must be polled again long before the grace period of a drain is over.
+    let request = agent.read_request(&mut watch);
+    assert!(request.contains("since=2&timeout_ms=2000 "), "{request}");
     let broken = Instant::now();
     watch.stream().shutdown(Shutdown::Both).expect("open");
     let (mut watch, _) = agent.accept_request();
@@ -50,8 +50,8 @@
         broken.elapsed()
     );
     watch.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
-    let (mut watch, call) = agent.next_request(watch);
-    assert!(call.contains("since=2&"), "{call}");
+    let (mut watch, request) = agent.next_request(watch);
+    assert!(request.contains("since=2&"), "{request}");
     watch.send(&http_response(&endpoint_list(
         3,
         false,
@@ -61,68 +61,80 @@
 }
 
 #[test]
-fn an_agent_that_says_nothing_does_not_keep_a_process_from_being_ready() {
+fn a_silent_agent_does_not_prevent_readiness() {
     let (agent, backend) = (Backend::new("d-1"), Backend::new("s-1"));
-    let began = Instant::now();
+    let start = Instant::now();
     let _balancer =
         Balancer::start_with_settings(agent.address(), &[backend.endpoint("SERVING")], &[PUSHED]);
     assert!(
-        began.elapsed() < Duration::from_secs(4),
+        start.elapsed() < Duration::from_secs(4),
         "{:?}",
-        began.elapsed()
+        start.elapsed()
     );
 }
 
 #[test]
-fn after_many_refused_calls_a_change_is_known_in_time() {
+fn a_change_is_known_in_time_after_many_failed_polls() {
     let (discovery, backend) = (Backend::new("d-1"), Backend::new("s-1"));
     let balancer = Balancer::start_with_settings(
         discovery.address(),
         &[backend.endpoint("SERVING")],
-        &[SELDOM],
+        &[RARELY_POLLED],
     );
-    // Refused, reset and cut off in turn: the pauses between calls grow with each.
-    let ends = [
+    // Polls are rejected, closed and truncated in turn. The backoff grows with each failure.
+    let failures = [
         "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
         "",
         "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{",
     ];
     let mut ended = Instant::now();
-    for end in ends.into_iter().cycle().take(6) {
+    for failure in failures.into_iter().cycle().take(6) {
         let (mut watch, _) = discovery.accept_request();
-        assert!(ended.elapsed() < TOLD / 2, "{:?}", ended.elapsed());
+        assert!(
+            ended.elapsed() < PROPAGATION_TIME / 2,
+            "{:?}",
+            ended.elapsed()
+        );
         ended = Instant::now();
-        watch.send(end);
+        watch.send(failure);
         watch.stream().shutdown(Shutdown::Both).expect("open");
     }
-    // From here on it can be reached, and has news.
-    let (reachable, (mut watch, call)) = (ended, discovery.accept_request());
-    assert!(call.contains("since=1&"), "{call}");
+    // From now on discovery is reachable and has a change.
+    let (reachable, (mut watch, request)) = (ended, discovery.accept_request());
+    assert!(request.contains("since=1&"), "{request}");
     watch.send(&http_response(&endpoint_list(
         2,
         false,
         &[backend.endpoint("DRAINING")],
     )));
     assert_drain_known(&balancer, &discovery, &mut watch, 0x21);
-    assert!(reachable.elapsed() < TOLD, "{:?}", reachable.elapsed());
+    assert!(
+        reachable.elapsed() < PROPAGATION_TIME,
+        "{:?}",
+        reachable.elapsed()
+    );
 }
 
 #[test]
-fn a_watch_that_falls_silent_and_a_call_that_breaks_after_it_cost_no_change() {
+fn a_change_is_known_in_time_after_a_silent_poll_and_failed_retries() {
     let (discovery, backend) = (Backend::new("d-1"), Backend::new("s-1"));
     let balancer = Balancer::start_with_settings(
         discovery.address(),
         &[backend.endpoint("SERVING")],
-        &[SELDOM],
+        &[RARELY_POLLED],
     );
-    // It stays open and says nothing more; the next call is turned away, and the one after it breaks.
+    // The first poll stays open without a response, the second is rejected, and the third is closed.
     let (_silent, _) = discovery.accept_request();
     let silent = Instant::now();
-    let (mut refused, _) = discovery.accept_request();
-    // More than two fifths of the time are left for what becomes of this call.
-    assert!(silent.elapsed() < TOLD * 3 / 5, "{:?}", silent.elapsed());
-    refused.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
-    drop(refused);
+    let (mut rejected, _) = discovery.accept_request();
+    // More than two fifths of the time must be left for this poll and those after it.
+    assert!(
+        silent.elapsed() < PROPAGATION_TIME * 3 / 5,
+        "{:?}",
+        silent.elapsed()
+    );
+    rejected.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+    drop(rejected);
     drop(discovery.accept_request());
     let (mut watch, _) = discovery.accept_request();
     watch.send(&http_response(&endpoint_list(
@@ -131,25 +143,32 @@
         &[backend.endpoint("DRAINING")],
     )));
     assert_drain_known(&balancer, &discovery, &mut watch, 0x31);
-    assert!(silent.elapsed() < TOLD, "{:?}", silent.elapsed());
+    assert!(
+        silent.elapsed() < PROPAGATION_TIME,
+        "{:?}",
+        silent.elapsed()
+    );
 }
 
 #[test]
-fn after_a_reload_the_line_at_the_new_discovery_is_waited_out() {
+fn after_a_reload_a_slow_first_response_is_awaited() {
     let (old, new) = (Backend::new("d-1"), Backend::new("d-2"));
     let backend = Backend::new("s-1");
-    let balancer =
-        Balancer::start_with_settings(old.address(), &[backend.endpoint("SERVING")], &[SELDOM]);
-    let _left = old.accept_request();
-    // All balancers are sent there, and it handles one call at a time: this one's turn comes after 2 s.
+    let balancer = Balancer::start_with_settings(
+        old.address(),
+        &[backend.endpoint("SERVING")],
+        &[RARELY_POLLED],
+    );
+    let _abandoned = old.accept_request();
+    // The new discovery receives polls from all balancers at once and handles one at a time: it responds after 2 s.
     balancer.reload(&new.address().to_string());
-    let (mut watch, call) = new.accept_request();
-    let asked = Instant::now();
-    assert!(call.starts_with("GET /api/targets HTTP"), "{call}");
+    let (mut watch, request) = new.accept_request();
+    let polled = Instant::now();
+    assert!(request.starts_with("GET /api/targets HTTP"), "{request}");
     assert!(
         new.receives_no_connection(Duration::from_secs(2)),
-        "its place is given up after {:?}",
-        asked.elapsed()
+        "the poll is abandoned after {:?}",
+        polled.elapsed()
     );
     watch.send(&http_response(&endpoint_list(
         7,
@@ -157,42 +176,52 @@
         &[backend.endpoint("DRAINING")],
     )));
     assert_drain_known(&balancer, &new, &mut watch, 0x61);
-    assert!(asked.elapsed() < TOLD, "{:?}", asked.elapsed());
+    assert!(
+        polled.elapsed() < PROPAGATION_TIME,
+        "{:?}",
+        polled.elapsed()
+    );
 }
 
 #[test]
-fn after_a_reload_each_failed_call_is_followed_by_its_pause() {
+fn after_a_reload_each_failed_poll_is_followed_by_a_backoff() {
     let (old, new) = (Backend::new("d-1"), Backend::new("d-2"));
     let backend = Backend::new("s-1");
-    let balancer =
-        Balancer::start_with_settings(old.address(), &[backend.endpoint("SERVING")], &[SELDOM]);
-    let _left = old.accept_request();
+    let balancer = Balancer::start_with_settings(
+        old.address(),
+        &[backend.endpoint("SERVING")],
+        &[RARELY_POLLED],
+    );
+    let _abandoned = old.accept_request();
     balancer.reload(&new.address().to_string());
-    let (mut called, _) = new.accept_request();
+    let (mut watch, _) = new.accept_request();
     for n in 0..3 {
-        // Longer than the pause before, whose end must not count for the one to come.
+        // Longer than the previous backoff, which must not shorten the next one.
         assert!(
             new.receives_no_connection(Duration::from_secs(2)),
-            "call {n}"
+            "poll {n}"
         );
         let ended = Instant::now();
-        called.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
-        (called, _) = new.accept_request();
-        // Half of a thirty-second of the time that the settings give for asking, at least.
-        let pause = ended.elapsed();
-        assert!(pause >= Duration::from_millis(150), "call {n}: {pause:?}");
-        assert!(pause < TOLD / 2, "call {n}: {pause:?}");
+        watch.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+        (watch, _) = new.accept_request();
+        // At least half of 1/32 of the poll interval in the settings.
+        let backoff = ended.elapsed();
+        assert!(
+            backoff >= Duration::from_millis(150),
+            "poll {n}: {backoff:?}"
+        );
+        assert!(backoff < PROPAGATION_TIME / 2, "poll {n}: {backoff:?}");
     }
-    called.send(&http_response(&endpoint_list(
+    watch.send(&http_response(&endpoint_list(
         2,
         true,
         &[backend.endpoint("DRAINING")],
     )));
-    assert_drain_known(&balancer, &new, &mut called, 0x71);
+    assert_drain_known(&balancer, &new, &mut watch, 0x71);
 }
 
 #[test]
-fn odd_answers_leave_the_last_good_list_and_are_asked_again() {
+fn invalid_responses_keep_the_last_valid_list_and_are_retried() {
     let (discovery, backend) = (Backend::new("d-1"), echo_backend("s-1"));
     let balancer = Balancer::start_with_settings(
         discovery.address(),
@@ -203,7 +232,7 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}",
         "1\r\nx\r\n".repeat(50)
     );
-    let odd = [
+    let invalid = [
         "garbage\r\n\r\n".to_owned(),
         http_response("{"),
         http_response(r#"{"revision":9,"complete":true}"#),
@@ -216,26 +245,30 @@
         endless,
         http_response(&" ".repeat(3_000_000)),
     ];
-    let mut called = None;
-    for (n, text) in odd.iter().enumerate() {
-        let (watch, call) = called.take().unwrap_or_else(|| discovery.accept_request());
-        assert!(call.contains("GET /api/targets"), "{call}");
-        // The balancer may have had enough before the last byte.
+    let mut pending = None;
+    for (n, text) in invalid.iter().enumerate() {
+        let (watch, request) = pending.take().unwrap_or_else(|| discovery.accept_request());
+        assert!(request.contains("GET /api/targets"), "{request}");
+        // The balancer may close the connection before the last byte is written.
         let _ = watch.stream().write_all(text.as_bytes());
         if n != 9 {
             let _ = watch.stream().shutdown(Shutdown::Write);
         }
-        let asked = Instant::now();
-        called = Some(discovery.accept_request());
-        assert!(asked.elapsed() < TOLD, "{n}: {:?}", asked.elapsed());
+        let ended = Instant::now();
+        pending = Some(discovery.accept_request());
+        assert!(
+            ended.elapsed() < PROPAGATION_TIME,
+            "{n}: {:?}",
+            ended.elapsed()
+        );
         let mut client = balancer.open(0x40 + n as u64, 1000);
-        assert_eq!(client.read_line(), "UP r1\r\n", "after answer {n}");
+        assert_eq!(client.read_line(), "UP r1\r\n", "after response {n}");
         drop(watch);
     }
 }
 
 #[test]
-fn an_answer_that_comes_twice_is_not_taken_for_the_next_call() {
+fn a_duplicated_response_is_not_taken_for_the_next_one() {
     let (discovery, one, two) = (
         Backend::new("d-1"),
         Backend::new("s-1"),
@@ -244,17 +277,17 @@
     let balancer =
         Balancer::start_with_settings(discovery.address(), &[one.endpoint("SERVING")], &[]);
     let (mut watch, _) = discovery.accept_request();
-    let twice = http_response(&endpoint_list(2, false, &[two.endpoint("DRAINING")]));
-    watch.send(&twice.repeat(2));
-    // The next call comes at once, on a connection of its own, and its answer counts.
-    let said = Instant::now();
-    let (mut next, call) = discovery.accept_request();
+    let response = http_response(&endpoint_list(2, false, &[two.endpoint("DRAINING")]));
+    watch.send(&response.repeat(2));
+    // The next poll follows at once on a new connection, and its response is applied.
+    let sent = Instant::now();
+    let (mut next, request) = discovery.accept_request();
     assert!(
-        said.elapsed() < Duration::from_secs(1),
+        sent.elapsed() < Duration::from_secs(1),
         "{:?}",
-        said.elapsed()
+        sent.elapsed()
     );
-    assert!(call.contains("since=2&"), "{call}");
+    assert!(request.contains("since=2&"), "{request}");
     next.send(&http_response(&endpoint_list(
         3,
         false,
