--- a/crates/cluster/src/control.rs
+++ b/crates/cluster/src/control.rs
@@ -18,9 +18,9 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// Bytes of a question at most.
-const MAX_QUESTION_BYTES: u64 = 1024;
-/// How long a question and its answer may take.
+/// Bytes of a query at most.
+const MAX_QUERY_BYTES: u64 = 1024;
+/// How long a query and its answer may take.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Connections served at the same time; further ones wait.
 const MAX_CONNECTIONS: usize = 8;
@@ -31,32 +31,40 @@
 
 /// The status of a lease (`duty` in the answer).
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct DutyRow {
+pub struct LeaseRow {
     /// The lease's name.
-    pub duty: String,
+    #[serde(rename = "duty")]
+    pub name: String,
     /// Its interval in milliseconds.
-    pub every_ms: u64,
+    #[serde(rename = "every_ms")]
+    pub interval_ms: u64,
     /// Its holder, as far as the instance asked knows.
     pub holder: Option<String>,
     /// The last term known there.
-    pub period: u64,
+    #[serde(rename = "period")]
+    pub term: u64,
     /// How long ago that was, in milliseconds.
-    pub since_ms: Option<u64>,
+    #[serde(rename = "since_ms")]
+    pub term_age_ms: Option<u64>,
     /// Terms in which the instance asked carried out the task.
-    pub done: u64,
+    #[serde(rename = "done")]
+    pub completed: u64,
     /// Terms that passed without the task, as far as that instance knows.
     pub missed: u64,
     /// Whether that instance should hold the lease and cannot reach a majority.
-    pub minority: bool,
+    #[serde(rename = "minority")]
+    pub is_quorum_lost: bool,
 }
 
 /// The answer to `duties`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct DutiesAnswer {
+pub struct LeasesAnswer {
     /// Every lease.
-    pub duties: Vec<DutyRow>,
+    #[serde(rename = "duties")]
+    pub leases: Vec<LeaseRow>,
     /// How long, in milliseconds, this instance still abstains from votes on the one with the longest interval.
-    pub abstains_ms: u64,
+    #[serde(rename = "abstains_ms")]
+    pub remaining_abstention_ms: u64,
 }
 
 /// The answer to `members`.
@@ -68,12 +76,12 @@
     pub counters: BTreeMap<String, u64>,
 }
 
-/// Answers a question with a line of JSON, see [`to_json`]; `None` for an unknown question.
-pub type QuestionHandler = Rc<dyn Fn(&str) -> Option<String>>;
+/// Answers a query with a line of JSON, see [`to_json`]; `None` for an unknown query.
+pub type QueryHandler = Rc<dyn Fn(&str) -> Option<String>>;
 
-/// Answers the questions about a cluster's instance.
-pub fn answer_questions(handle: ClusterHandle) -> QuestionHandler {
-    Rc::new(move |question| match question {
+/// Answers the queries about a cluster's instance.
+pub fn answer_queries(handle: ClusterHandle) -> QueryHandler {
+    Rc::new(move |query| match query {
         "duties" => Some(to_json(&describe_leases(&handle))),
         "members" => Some(to_json(&describe_members(&handle))),
         _ => None,
@@ -85,7 +93,7 @@
 /// # Errors
 ///
 /// If another process answers there, or the socket cannot be opened.
-pub fn serve(handler: QuestionHandler, path: &Path) -> io::Result<()> {
+pub fn serve(handler: QueryHandler, path: &Path) -> io::Result<()> {
     remove_stale_socket(path)?;
     let listener = UnixListener::bind(path)?;
     std::fs::set_permissions(path, std::fs::Permissions::from_mode(OWNER_ONLY))?;
@@ -104,7 +112,7 @@
     }
 }
 
-async fn accept_connections(listener: UnixListener, handler: QuestionHandler) {
+async fn accept_connections(listener: UnixListener, handler: QueryHandler) {
     let connections = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
         let Ok(turn) = connections.clone().acquire_owned().await else {
@@ -123,16 +131,16 @@
     }
 }
 
-async fn answer_connection(handler: QuestionHandler, stream: UnixStream) -> io::Result<()> {
+async fn answer_connection(handler: QueryHandler, stream: UnixStream) -> io::Result<()> {
     let (read, mut write) = stream.into_split();
-    let mut question = String::new();
-    BufReader::new(read.take(MAX_QUESTION_BYTES))
-        .read_line(&mut question)
+    let mut query = String::new();
+    BufReader::new(read.take(MAX_QUERY_BYTES))
+        .read_line(&mut query)
         .await?;
-    let question = question.trim();
-    let unknown_question =
-        || to_json(&serde_json::json!({"error": format!("'{question}' is no question here")}));
-    let answer = handler(question).unwrap_or_else(unknown_question);
+    let query = query.trim();
+    let unknown_query =
+        || to_json(&serde_json::json!({"error": format!("'{query}' is no question here")}));
+    let answer = handler(query).unwrap_or_else(unknown_query);
     write.write_all(answer.as_bytes()).await
 }
 
@@ -142,35 +150,35 @@
 }
 
 /// The status of every lease.
-pub fn describe_leases(handle: &ClusterHandle) -> DutiesAnswer {
+pub fn describe_leases(handle: &ClusterHandle) -> LeasesAnswer {
     handle.with_node(|node, now| {
         let status = node.status(now);
         let longest_interval = status.iter().map(|(_, status)| status.interval).max();
-        DutiesAnswer {
-            duties: status
+        LeasesAnswer {
+            leases: status
                 .into_iter()
                 .map(|(name, status)| describe_lease(node, name, status))
                 .collect(),
-            abstains_ms: longest_interval
+            remaining_abstention_ms: longest_interval
                 .map_or(0, |interval| node.remaining_abstention(now, interval)),
         }
     })
 }
 
-fn describe_lease(node: &Node, name: String, status: LeaseStatus) -> DutyRow {
+fn describe_lease(node: &Node, name: String, status: LeaseStatus) -> LeaseRow {
     let holder = status.holder.map(|id| match node.instance_name(id) {
         Some(name) => name.to_owned(),
         None => format!("{:016x}", id.0),
     });
-    DutyRow {
-        duty: name,
-        every_ms: status.interval,
+    LeaseRow {
+        name,
+        interval_ms: status.interval,
         holder,
-        period: status.term,
-        since_ms: status.term_age,
-        done: status.completed,
+        term: status.term,
+        term_age_ms: status.term_age,
+        completed: status.completed,
         missed: status.missed,
-        minority: status.is_quorum_lost,
+        is_quorum_lost: status.is_quorum_lost,
     }
 }
 
@@ -189,16 +197,16 @@
     })
 }
 
-/// Asks a running process a question and returns its answer.
+/// Sends a query to a running process and returns its answer.
 ///
 /// # Errors
 ///
 /// If no process listens there, or it does not answer in time.
-pub fn ask(path: &Path, question: &str) -> io::Result<String> {
+pub fn query(path: &Path, query: &str) -> io::Result<String> {
     use std::io::{BufRead, BufReader, Write};
     let mut stream = std::os::unix::net::UnixStream::connect(path)?;
     stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
-    stream.write_all(format!("{question}\n").as_bytes())?;
+    stream.write_all(format!("{query}\n").as_bytes())?;
     let mut answer = String::new();
     BufReader::new(stream).read_line(&mut answer)?;
     Ok(answer)
--- a/crates/cluster/src/node/interface.rs
+++ b/crates/cluster/src/node/interface.rs
@@ -72,7 +72,7 @@
     },
 }
 
-/// A member as the control socket shows it. The fields' names are those of its JSON.
+/// A member as the control socket lists it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Member {
     /// Its name.
@@ -84,5 +84,6 @@
     /// Whether it votes.
     pub voter: bool,
     /// Whether it is the instance that was asked.
-    pub me: bool,
+    #[serde(rename = "me")]
+    pub is_self: bool,
 }
--- a/crates/cluster/src/node/status.rs
+++ b/crates/cluster/src/node/status.rs
@@ -45,7 +45,7 @@
         let own_identity = self.membership.own_identity();
         let mut members = vec![Member {
             alive: true,
-            me: true,
+            is_self: true,
             ..self.describe_member(own_identity)
         }];
         let known = self.known_instances.values();
@@ -60,7 +60,7 @@
             address: identity.address,
             alive: self.membership.alive().contains_key(&identity.name),
             voter: self.config.voters.contains(&identity.name),
-            me: false,
+            is_self: false,
         }
     }
 
--- a/crates/cluster/tests/control_answer_files.rs
+++ b/crates/cluster/tests/control_answer_files.rs
@@ -6,7 +6,7 @@
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
-use spanspur_cluster::control::{self, DutiesAnswer, DutyRow, MembersAnswer, to_json};
+use spanspur_cluster::control::{self, LeaseRow, LeasesAnswer, MembersAnswer, to_json};
 use spanspur_cluster::distribution::{ChangesAnswer, ReplicationStatus};
 use spanspur_cluster::node::Member;
 use spanspur_distribution::follower::{FollowedSourceStatus, FollowerStatus};
@@ -38,34 +38,34 @@
 
 #[test]
 fn what_is_said_of_duties_has_the_text_of_the_fixture() {
-    let row = |duty: &str, holder: Option<&str>, since_ms, minority| DutyRow {
-        duty: duty.into(),
-        every_ms: 5000,
+    let row = |name: &str, holder: Option<&str>, term_age_ms, is_quorum_lost| LeaseRow {
+        name: name.into(),
+        interval_ms: 5000,
         holder: holder.map(str::to_owned),
-        period: 340_123,
-        since_ms,
-        done: 17,
+        term: 340_123,
+        term_age_ms,
+        completed: 17,
         missed: 2,
-        minority,
+        is_quorum_lost,
     };
-    let answer = DutiesAnswer {
-        duties: vec![
+    let answer = LeasesAnswer {
+        leases: vec![
             row("probe", Some("n1"), Some(1200), false),
             row("list", None, None, true),
         ],
-        abstains_ms: 750,
+        remaining_abstention_ms: 750,
     };
     assert_answer("duties", &answer);
 }
 
 #[test]
 fn what_is_said_of_members_has_the_text_of_the_fixture() {
-    let member = |name: &str, address: &str, alive, voter, me| Member {
+    let member = |name: &str, address: &str, alive, voter, is_self| Member {
         name: name.into(),
         address: address.parse().expect("an address"),
         alive,
         voter,
-        me,
+        is_self,
     };
     let answer = MembersAnswer {
         members: vec![
@@ -173,7 +173,7 @@
     let asked = path.clone();
     let said = local.block_on(&runtime, async move {
         control::serve(answers, &asked).expect("a socket");
-        let ask = move || ["duties", "weather"].map(|word| control::ask(&asked, word));
+        let ask = move || ["duties", "weather"].map(|word| control::query(&asked, word));
         tokio::task::spawn_blocking(ask).await.expect("asked")
     });
     let _ = std::fs::remove_file(&path);
--- a/crates/cluster/tests/control_answers.rs
+++ b/crates/cluster/tests/control_answers.rs
@@ -1,6 +1,6 @@
 //! The control socket's answers keep their names and forms: staff and programs read them.
 
-use spanspur_cluster::control::{self, DutiesAnswer, DutyRow, MembersAnswer, to_json};
+use spanspur_cluster::control::{self, LeaseRow, LeasesAnswer, MembersAnswer, to_json};
 use spanspur_cluster::distribution::{ChangesAnswer, ReplicationStatus};
 use spanspur_cluster::node::Member;
 use spanspur_cluster::udp_endpoint::Traffic;
@@ -24,29 +24,29 @@
 
 #[test]
 fn the_answer_about_duties_keeps_its_form() {
-    let known = DutyRow {
-        duty: "list".into(),
-        every_ms: 1,
+    let known = LeaseRow {
+        name: "list".into(),
+        interval_ms: 1,
         holder: Some("balancer-1".into()),
-        period: 2,
-        since_ms: Some(3),
-        done: 4,
+        term: 2,
+        term_age_ms: Some(3),
+        completed: 4,
         missed: 5,
-        minority: true,
+        is_quorum_lost: true,
     };
-    let unknown = DutyRow {
-        duty: "probe/0000000000000001".into(),
-        every_ms: u64::MAX,
+    let unknown = LeaseRow {
+        name: "probe/0000000000000001".into(),
+        interval_ms: u64::MAX,
         holder: None,
-        period: 0,
-        since_ms: None,
-        done: 0,
+        term: 0,
+        term_age_ms: None,
+        completed: 0,
         missed: 0,
-        minority: false,
+        is_quorum_lost: false,
     };
-    let answer = DutiesAnswer {
-        duties: vec![known, unknown],
-        abstains_ms: 6,
+    let answer = LeasesAnswer {
+        leases: vec![known, unknown],
+        remaining_abstention_ms: 6,
     };
     check(
         &answer,
@@ -65,7 +65,7 @@
         address: "127.0.0.1:7000".parse().expect("an address"),
         alive: true,
         voter: false,
-        me: true,
+        is_self: true,
     };
     let answer = MembersAnswer {
         members: vec![member],
@@ -178,13 +178,13 @@
         .build()
         .expect("a runtime");
     let answers = LocalSet::new().block_on(&runtime, async {
-        let answers: control::QuestionHandler =
+        let answers: control::QueryHandler =
             Rc::new(|question| (question == "known").then(|| to_json(&1)));
         control::serve(answers, &path).expect("a socket");
         let mut heard = Vec::new();
         for question in ["known", "strange"] {
             let path = path.clone();
-            let asked = tokio::task::spawn_blocking(move || control::ask(&path, question));
+            let asked = tokio::task::spawn_blocking(move || control::query(&path, question));
             heard.push(asked.await.expect("ends").expect("answers"));
         }
         heard
--- a/crates/cluster/tests/wire_fixtures.rs
+++ b/crates/cluster/tests/wire_fixtures.rs
@@ -340,7 +340,7 @@
         address: address(1),
         alive: true,
         voter: false,
-        me: true,
+        is_self: true,
     };
     check("member.txt", vec![Record::new("member", encode(&member))]);
 }
--- a/crates/fleet-rig/src/sockets.rs
+++ b/crates/fleet-rig/src/sockets.rs
@@ -87,7 +87,7 @@
 fn pairs(handles: &[ClusterHandle]) -> usize {
     let alive = |handle: &ClusterHandle| {
         let members = handle.with_node(|node, _| node.members());
-        members.iter().filter(|m| m.alive && !m.me).count()
+        members.iter().filter(|m| m.alive && !m.is_self).count()
     };
     handles.iter().map(alive).sum()
 }
--- a/src/cli/duties.rs
+++ b/src/cli/duties.rs
@@ -4,7 +4,7 @@
 use super::query::Query;
 use super::table::table;
 use comfy_table::Table;
-use spanspur_cluster::control::{DutiesAnswer, DutyRow};
+use spanspur_cluster::control::{LeaseRow, LeasesAnswer};
 
 /// Prints the duties as a table, or the unchanged answer as JSON.
 pub(super) fn run(query: &Query) -> Result<(), CommandError> {
@@ -13,19 +13,19 @@
         print!("{text}");
         return Ok(());
     }
-    let answer: DutiesAnswer =
+    let answer: LeasesAnswer =
         serde_json::from_str(&text).map_err(CommandError::MalformedAnswer)?;
-    println!("{}", duty_table(&answer.duties));
-    if answer.abstains_ms > 0 {
+    println!("{}", duty_table(&answer.leases));
+    if answer.remaining_abstention_ms > 0 {
         println!(
             "this instance abstains from votes for up to {} ms more",
-            answer.abstains_ms
+            answer.remaining_abstention_ms
         );
     }
     Ok(())
 }
 
-fn duty_table(duties: &[DutyRow]) -> Table {
+fn duty_table(leases: &[LeaseRow]) -> Table {
     let mut table = table([
         "duty",
         "every",
@@ -36,16 +36,22 @@
         "missed",
         "",
     ]);
-    for row in duties {
+    for row in leases {
         table.add_row([
-            row.duty.clone(),
-            format!("{} ms", row.every_ms),
+            row.name.clone(),
+            format!("{} ms", row.interval_ms),
             row.holder.clone().unwrap_or_else(|| "-".into()),
-            row.period.to_string(),
-            row.since_ms.map_or("-".into(), |ms| format!("{ms} ms ago")),
-            row.done.to_string(),
+            row.term.to_string(),
+            row.term_age_ms
+                .map_or("-".into(), |ms| format!("{ms} ms ago")),
+            row.completed.to_string(),
             row.missed.to_string(),
-            if row.minority { "no majority" } else { "" }.to_owned(),
+            if row.is_quorum_lost {
+                "no majority"
+            } else {
+                ""
+            }
+            .to_owned(),
         ]);
     }
     table
--- a/src/cli/members.rs
+++ b/src/cli/members.rs
@@ -24,7 +24,7 @@
 fn member_table(members: &[Member]) -> Table {
     let mut table = table(["instance", "address", "state", "votes"]);
     for row in members {
-        let state = match (row.me, row.alive) {
+        let state = match (row.is_self, row.alive) {
             (true, _) => "asked",
             (_, true) => "there",
             (_, false) => "gone",
--- a/src/cli/query.rs
+++ b/src/cli/query.rs
@@ -2,7 +2,7 @@
 
 use super::{CommandError, OPERATOR_VARIABLE};
 use clap::Args;
-use spanspur_cluster::control::ask;
+use spanspur_cluster::control;
 use std::path::{Path, PathBuf};
 
 /// The options of the sub-commands that query a running process.
@@ -20,10 +20,10 @@
 }
 
 impl Query {
-    /// Sends the question and returns the answer: a line of JSON, its end included.
-    pub fn send(&self, question: &str) -> Result<String, CommandError> {
+    /// Sends the query and returns the answer: a line of JSON, its end included.
+    pub fn send(&self, query: &str) -> Result<String, CommandError> {
         let socket = self.control_socket()?;
-        ask(&socket, question).map_err(|source| CommandError::NoAnswer { socket, source })
+        control::query(&socket, query).map_err(|source| CommandError::NoAnswer { socket, source })
     }
 
     fn control_socket(&self) -> Result<PathBuf, CommandError> {
--- a/src/cluster/member.rs
+++ b/src/cluster/member.rs
@@ -7,7 +7,7 @@
 use super::{derive_keys, new_identity, score_instance, serve_control_socket};
 use crate::api::{self, Event, ServerId};
 use crate::runtime::Runtime;
-use spanspur_cluster::control::{self, QuestionHandler};
+use spanspur_cluster::control::{self, QueryHandler};
 use spanspur_cluster::{Cluster, ClusterHandle, LeaseTask, NodeConfig};
 use spanspur_leases::GossipEntry;
 use spanspur_leases::ranking::Ranking;
@@ -63,7 +63,7 @@
             None => None,
         };
         if let Some(control) = &operator.control {
-            let handler = answer_questions(handle.clone(), distributor.clone());
+            let handler = answer_queries(handle.clone(), distributor.clone());
             serve_control_socket(handler, &control.socket)?;
         }
         tracing::info!(instance = name, address = %cluster.listen, "cluster joined");
@@ -245,11 +245,8 @@
 }
 
 /// Answers the control socket's questions about the cluster and, at a control instance, about the distribution.
-fn answer_questions(
-    handle: ClusterHandle,
-    distributor: Option<Rc<ListDistributor>>,
-) -> QuestionHandler {
-    let answer_cluster = control::answer_questions(handle);
+fn answer_queries(handle: ClusterHandle, distributor: Option<Rc<ListDistributor>>) -> QueryHandler {
+    let answer_cluster = control::answer_queries(handle);
     Rc::new(move |question: &str| match (question, &distributor) {
         ("changes", Some(distributor)) => Some(control::to_json(&distributor.status())),
         _ => answer_cluster(question),
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -30,7 +30,7 @@
 
 use crate::api::{Key, ServerId};
 use crate::score;
-use spanspur_cluster::control::{self, QuestionHandler};
+use spanspur_cluster::control::{self, QueryHandler};
 use spanspur_membership::{Identity, Keys};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -61,7 +61,7 @@
     }
 }
 
-fn serve_control_socket(handler: QuestionHandler, path: &Path) -> Result<(), ClusterError> {
+fn serve_control_socket(handler: QueryHandler, path: &Path) -> Result<(), ClusterError> {
     control::serve(handler, path).map_err(|source| ClusterError::ControlSocket {
         path: path.to_owned(),
         source,
