--- a/crates/fleet-rig/src/real.rs
+++ b/crates/fleet-rig/src/real.rs
@@ -16,17 +16,19 @@
 const PROBE: &str = r#"{"probe":{"every_ms":MS,"connect_ms":200,"answer_ms":300,"line":"PROBE {period} {instance}","expect":"PONG"}}"#;
 
 /// The duties of an operator's file: to probe every server once in this time.
-pub fn probes(every: Duration) -> String {
+pub fn probe_duties(every: Duration) -> String {
     PROBE.replace("MS", &every.as_millis().to_string())
 }
 
 /// So many stand-in servers.
-pub fn servers(count: usize) -> Vec<Server> {
-    (0..count).map(|n| Server::new(&format!("s-{n}"))).collect()
+pub fn start_servers(count: usize) -> Vec<StubServer> {
+    (0..count)
+        .map(|n| StubServer::new(&format!("s-{n}")))
+        .collect()
 }
 
 /// Their entries of the list.
-pub fn serving(servers: &[Server]) -> Vec<String> {
+pub fn serving_entries(servers: &[StubServer]) -> Vec<String> {
     servers
         .iter()
         .map(|server| server.entry("SERVING"))
@@ -34,19 +36,24 @@
 }
 
 /// Whether each has been probed more than once.
-pub fn all_probed(servers: &[Server]) -> bool {
+pub fn all_probed(servers: &[StubServer]) -> bool {
     servers
         .iter()
-        .all(|s| s.acts.lock().expect("whole").len() > 1)
+        .all(|s| s.probes.lock().expect("whole").len() > 1)
 }
 
 /// What was done twice or missed for more than a period, by the servers' own record: a sentence for each.
-pub fn faults(servers: &[Server], every: Duration, from: Instant, until: Instant) -> Vec<String> {
+pub fn find_violations(
+    servers: &[StubServer],
+    every: Duration,
+    from: Instant,
+    until: Instant,
+) -> Vec<String> {
     let mut faults = Vec::new();
     for server in servers {
-        let acts = server.acts.lock().expect("whole").clone();
+        let probes = server.probes.lock().expect("whole").clone();
         let mut seen: BTreeMap<u64, &str> = BTreeMap::new();
-        for (_, period, by) in &acts {
+        for (_, period, by) in &probes {
             if let Some(first) = seen.insert(*period, by) {
                 faults.push(format!(
                     "{}: period {period} by {first} and {by}",
@@ -55,7 +62,7 @@
             }
         }
         let (mut highest, mut last) = (0, from);
-        let in_time = acts.iter().filter(|(at, ..)| *at >= from && *at <= until);
+        let in_time = probes.iter().filter(|(at, ..)| *at >= from && *at <= until);
         let kept = in_time.filter(|(_, period, _)| {
             let newer = *period > highest;
             highest = highest.max(*period);
@@ -74,53 +81,54 @@
 }
 
 /// An act, as a stand-in server recorded it: when, in which period, by whom.
-pub type Act = (Instant, u64, String);
+pub type ProbeRecord = (Instant, u64, String);
 
 /// A stream server that answers probes and records them.
-pub struct Server {
+pub struct StubServer {
     pub id: String,
     pub address: SocketAddr,
-    pub acts: Arc<Mutex<Vec<Act>>>,
+    pub probes: Arc<Mutex<Vec<ProbeRecord>>>,
     /// Takes connections and says nothing, as one that hangs.
-    pub hangs: Arc<AtomicBool>,
+    pub unresponsive: Arc<AtomicBool>,
     /// Lines that begin with OPEN, from clients.
-    pub opened: Arc<AtomicUsize>,
+    pub requests: Arc<AtomicUsize>,
 }
 
-impl Server {
+impl StubServer {
     pub fn new(id: &str) -> Self {
         let listener = listener();
         let server = Self {
             id: id.into(),
             address: listener.local_addr().expect("bound"),
-            acts: Arc::default(),
-            hangs: Arc::default(),
-            opened: Arc::default(),
+            probes: Arc::default(),
+            unresponsive: Arc::default(),
+            requests: Arc::default(),
         };
-        let (acts, hangs, opened) = (
-            server.acts.clone(),
-            server.hangs.clone(),
-            server.opened.clone(),
+        let (probes, unresponsive, requests) = (
+            server.probes.clone(),
+            server.unresponsive.clone(),
+            server.requests.clone(),
         );
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (acts, hangs, opened) = (acts.clone(), hangs.clone(), opened.clone());
+                let (probes, unresponsive, requests) =
+                    (probes.clone(), unresponsive.clone(), requests.clone());
                 std::thread::spawn(move || {
                     let mut lines = BufReader::new(stream.try_clone().expect("cloned")).lines();
                     let mut out = stream;
                     while let Some(Ok(line)) = lines.next() {
-                        if hangs.load(Ordering::Relaxed) {
+                        if unresponsive.load(Ordering::Relaxed) {
                             std::thread::sleep(Duration::from_secs(20));
                             return;
                         }
                         let answer = match line.split(' ').collect::<Vec<_>>()[..] {
                             ["PROBE", period, by] => {
                                 let act = (Instant::now(), period.parse().unwrap_or(0), by.into());
-                                acts.lock().expect("whole").push(act);
+                                probes.lock().expect("whole").push(act);
                                 "PONG\r\n"
                             }
                             _ => {
-                                opened.fetch_add(1, Ordering::Relaxed);
+                                requests.fetch_add(1, Ordering::Relaxed);
                                 "UP r1\r\n"
                             }
                         };
@@ -150,28 +158,28 @@
 
 /// A stand-in discovery that serves one list to all, and counts who watches.
 #[derive(Clone)]
-pub struct Discovery {
+pub struct StubDiscovery {
     pub address: SocketAddr,
     list: Arc<(Mutex<Listed>, Condvar)>,
-    pub calls: Arc<AtomicUsize>,
+    pub polls: Arc<AtomicUsize>,
 }
 
-impl Discovery {
+impl StubDiscovery {
     pub fn new(entries: Vec<String>) -> Self {
-        Self::serving(Arc::new((Mutex::new((1, entries)), Condvar::new())))
+        Self::listen(Arc::new((Mutex::new((1, entries)), Condvar::new())))
     }
 
     /// The same list at another address: who asks there is counted apart.
-    pub fn beside(&self) -> Self {
-        Self::serving(self.list.clone())
+    pub fn share_list(&self) -> Self {
+        Self::listen(self.list.clone())
     }
 
-    fn serving(list: Arc<(Mutex<Listed>, Condvar)>) -> Self {
+    fn listen(list: Arc<(Mutex<Listed>, Condvar)>) -> Self {
         let listener = listener();
         let new = Self {
             address: listener.local_addr().expect("bound"),
             list,
-            calls: Arc::default(),
+            polls: Arc::default(),
         };
         let discovery = new.clone();
         std::thread::spawn(move || {
@@ -184,7 +192,7 @@
     }
 
     /// Puts another list in place: the whole of it, under the next revision.
-    pub fn tell(&self, entries: Vec<String>) {
+    pub fn publish(&self, entries: Vec<String>) {
         let mut list = self.list.0.lock().expect("whole");
         *list = (list.0 + 1, entries);
         self.list.1.notify_all();
@@ -196,7 +204,7 @@
         loop {
             let call = lines.next()?.ok()?;
             while !lines.next()?.ok()?.is_empty() {}
-            self.calls.fetch_add(1, Ordering::Relaxed);
+            self.polls.fetch_add(1, Ordering::Relaxed);
             let since = call.split_once("since=").and_then(|(_, rest)| {
                 rest.split(|c: char| !c.is_ascii_digit())
                     .next()?
@@ -228,7 +236,7 @@
 }
 
 /// A loopback address that nobody else uses: another one each time, so that no port on it is ever taken.
-fn own_address() -> Ipv4Addr {
+fn unique_address() -> Ipv4Addr {
     static NEXT: AtomicUsize = AtomicUsize::new(1);
     let next = NEXT.fetch_add(1, Ordering::Relaxed);
     let (high, low) = (next / 250 % 250, 1 + next % 250);
@@ -238,28 +246,28 @@
 
 /// A listener at a port and an address of its own.
 fn listener() -> TcpListener {
-    TcpListener::bind((own_address(), 0)).expect("a port")
+    TcpListener::bind((unique_address(), 0)).expect("a port")
 }
 
 /// A port that is free, at such an address.
-pub fn free() -> SocketAddr {
+pub fn free_address() -> SocketAddr {
     listener().local_addr().expect("bound")
 }
 
 /// What the instances of a test have in common.
 pub struct Cluster {
     program: PathBuf,
-    pub folder: PathBuf,
-    pub discovery: Discovery,
+    pub dir: PathBuf,
+    pub discovery: StubDiscovery,
     pub names: Vec<String>,
-    pub gossip: Vec<SocketAddr>,
-    pub listens: Vec<SocketAddr>,
+    pub gossip_addresses: Vec<SocketAddr>,
+    pub listen_addresses: Vec<SocketAddr>,
     pub duties: String,
     pub keys: String,
     /// Sections of the operator's file that an instance has besides; the whole of it for one outside the cluster.
     pub sections: BTreeMap<usize, String>,
     /// Instances outside the cluster, with the discovery that they ask.
-    pub outside: BTreeMap<usize, Discovery>,
+    pub non_members: BTreeMap<usize, StubDiscovery>,
     pub running: BTreeMap<usize, Child>,
 }
 
@@ -270,64 +278,64 @@
             let _ = child.wait();
         }
         if !std::thread::panicking() {
-            let _ = std::fs::remove_dir_all(&self.folder);
+            let _ = std::fs::remove_dir_all(&self.dir);
         }
     }
 }
 
 impl Cluster {
     /// Starts instances of this program.
-    pub fn new(program: &str, size: usize, discovery: Discovery, duties: &str) -> Self {
+    pub fn new(program: &str, size: usize, discovery: StubDiscovery, duties: &str) -> Self {
         let mut cluster = Self::prepare(program, size, discovery, duties);
         (0..size).for_each(|i| cluster.start(i));
         cluster
     }
 
     /// Instances that are not started yet.
-    pub fn prepare(program: &str, size: usize, discovery: Discovery, duties: &str) -> Self {
+    pub fn prepare(program: &str, size: usize, discovery: StubDiscovery, duties: &str) -> Self {
         static COUNT: AtomicUsize = AtomicUsize::new(0);
         let count = COUNT.fetch_add(1, Ordering::Relaxed);
-        let folder =
+        let dir =
             std::env::temp_dir().join(format!("spanspur-cluster-{}-{count}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
-        let gossip = (0..size).map(|_| {
-            let at = free();
+        std::fs::create_dir_all(&dir).expect("a folder");
+        let gossip_addresses = (0..size).map(|_| {
+            let at = free_address();
             UdpSocket::bind(at).expect("free for datagrams too");
             at
         });
         Self {
             program: program.into(),
-            folder,
+            dir,
             discovery,
             names: (0..size).map(|i| format!("n{i}")).collect(),
-            gossip: gossip.collect(),
-            listens: (0..size).map(|_| free()).collect(),
+            gossip_addresses: gossip_addresses.collect(),
+            listen_addresses: (0..size).map(|_| free_address()).collect(),
             duties: duties.into(),
             keys: r#"["a secret of this test"]"#.into(),
             sections: BTreeMap::new(),
-            outside: BTreeMap::new(),
+            non_members: BTreeMap::new(),
             running: BTreeMap::new(),
         }
     }
 
     /// Writes the operator's file of an instance.
-    pub fn write_operator(&self, i: usize) {
+    pub fn write_operator_config(&self, i: usize) {
         let quoted = |all: Vec<String>| {
             let all: Vec<String> = all.iter().map(|one| format!("{one:?}")).collect();
             all.join(",")
         };
         let head = format!(
             r#"{{"log":{{"format":"json"}},"control":{{"socket":{:?}}}"#,
-            self.socket(i)
+            self.control_socket(i)
         );
         let section = self.sections.get(&i).map_or("", String::as_str);
-        let file = self.folder.join(format!("operator-{i}.json"));
-        if self.outside.contains_key(&i) {
+        let file = self.dir.join(format!("operator-{i}.json"));
+        if self.non_members.contains_key(&i) {
             return std::fs::write(file, format!("{head},{section}}}")).expect("written");
         }
         // Those outside are the last ones.
-        let inside = self.names.len() - self.outside.len();
-        let seeds = self.gossip[..inside].iter().take(3);
+        let inside = self.names.len() - self.non_members.len();
+        let seeds = self.gossip_addresses[..inside].iter().take(3);
         let seeds = quoted(seeds.map(SocketAddr::to_string).collect());
         let more = if section.is_empty() { "" } else { "," };
         let text = format!(
@@ -335,7 +343,7 @@
             "cluster":{{"name":"{}","listen":"{}","seeds":[{seeds}],"voters":[{}],"keys":{},
             "clock_skew_ms":200}},"duties":{}}}"#,
             self.names[i],
-            self.gossip[i],
+            self.gossip_addresses[i],
             quoted(self.names[..inside].to_vec()),
             self.keys,
             self.duties,
@@ -343,13 +351,13 @@
         std::fs::write(file, text).expect("written");
     }
 
-    pub fn socket(&self, i: usize) -> PathBuf {
-        self.folder.join(format!("{i}.sock"))
+    pub fn control_socket(&self, i: usize) -> PathBuf {
+        self.dir.join(format!("{i}.sock"))
     }
 
     pub fn start(&mut self, i: usize) {
-        self.write_operator(i);
-        let config = self.folder.join(format!("config-{i}.json"));
+        self.write_operator_config(i);
+        let config = self.dir.join(format!("config-{i}.json"));
         let settings = r#"{"balancers":5,"zone":"a","membershipMode":"on_request",
             "classes":[{"name":"live","onTime":0.5,"hardLimit":2.0,"semantics":"free","stream":true}],
             "domain":{"groups":true,"messageAim":[0.25]},
@@ -357,19 +365,19 @@
         let text = format!(
             r#"{{"name":"n{i}","listen":"{}","discovery":"{}","seed":"{}","limits":{{"sockets":256}},
             "settings":{settings}}}"#,
-            self.listens[i],
-            self.outside.get(&i).unwrap_or(&self.discovery).address,
+            self.listen_addresses[i],
+            self.non_members.get(&i).unwrap_or(&self.discovery).address,
             i + 1
         );
         std::fs::write(&config, text).expect("written");
         let log = std::fs::OpenOptions::new()
             .create(true)
             .append(true)
-            .open(self.folder.join(format!("log-{i}")))
+            .open(self.dir.join(format!("log-{i}")))
             .expect("a log");
         let child = Command::new(&self.program)
             .args(["serve", "--operator"])
-            .arg(self.folder.join(format!("operator-{i}.json")))
+            .arg(self.dir.join(format!("operator-{i}.json")))
             .env("BALANCER_CONFIG", &config)
             .env_remove("BALANCER_LISTEN")
             .env_remove("BALANCER_DISCOVERY")
@@ -395,7 +403,7 @@
     }
 
     /// Waits for an instance to end by itself.
-    pub fn ended(&mut self, i: usize) -> Option<i32> {
+    pub fn wait_for_exit(&mut self, i: usize) -> Option<i32> {
         let mut child = self.running.remove(&i)?;
         let mut code = None;
         wait_until("the process ends", || {
@@ -406,32 +414,32 @@
     }
 
     /// Asks a running instance by the sub-command, in JSON.
-    pub fn ask(&self, i: usize, question: &str) -> Option<serde_json::Value> {
+    pub fn query(&self, i: usize, question: &str) -> Option<serde_json::Value> {
         let done = Command::new(&self.program)
             .args([question, "--json", "--socket"])
-            .arg(self.socket(i))
+            .arg(self.control_socket(i))
             .output()
             .ok()?;
         serde_json::from_slice(&done.stdout).ok()
     }
 
     /// The same in the form for people.
-    pub fn show(&self, i: usize, question: &str) -> String {
+    pub fn query_as_text(&self, i: usize, question: &str) -> String {
         let done = Command::new(&self.program)
             .args([question, "--operator"])
-            .arg(self.folder.join(format!("operator-{i}.json")))
+            .arg(self.dir.join(format!("operator-{i}.json")))
             .output()
             .expect("it runs");
         String::from_utf8_lossy(&done.stdout).into_owned()
     }
 
     pub fn log(&self, i: usize) -> String {
-        std::fs::read_to_string(self.folder.join(format!("log-{i}"))).unwrap_or_default()
+        std::fs::read_to_string(self.dir.join(format!("log-{i}"))).unwrap_or_default()
     }
 
     /// A client asks instance `i` for a connection: the answer's first line.
-    pub fn open(&self, i: usize, id: u64, key: &str) -> String {
-        let mut stream = TcpStream::connect(self.listens[i]).expect("accepted");
+    pub fn open_connection(&self, i: usize, id: u64, key: &str) -> String {
+        let mut stream = TcpStream::connect(self.listen_addresses[i]).expect("accepted");
         stream.set_read_timeout(Some(PATIENCE)).expect("settable");
         let line = format!("OPEN {id:016x} 7f3a c=live,d=1500,g={key}\r\n");
         stream.write_all(line.as_bytes()).expect("written");
--- a/crates/fleet-rig/src/soak.rs
+++ b/crates/fleet-rig/src/soak.rs
@@ -1,7 +1,10 @@
 //! Long runs: real processes under seeded scripts of faults, and large clusters in virtual time.
 
 use crate::judge::Verdict;
-use crate::real::{Cluster, Discovery, all_probed, faults, probes, servers, serving, wait_until};
+use crate::real::{
+    Cluster, StubDiscovery, all_probed, find_violations, probe_duties, serving_entries,
+    start_servers, wait_until,
+};
 use crate::world::{Fault, Plan, World};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -15,9 +18,9 @@
 /// Plays one seed against real processes: what the servers' own record holds against it, and how many acts it has.
 pub fn real(program: &str, seed: u64, span: Duration) -> (Vec<String>, usize) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let servers = servers(40);
-    let discovery = Discovery::new(serving(&servers));
-    let mut cluster = Cluster::new(program, 5, discovery, &probes(EVERY));
+    let servers = start_servers(40);
+    let discovery = StubDiscovery::new(serving_entries(&servers));
+    let mut cluster = Cluster::new(program, 5, discovery, &probe_duties(EVERY));
     wait_until("every server is probed", || all_probed(&servers));
     let from = Instant::now();
     while from.elapsed() < span {
@@ -48,19 +51,19 @@
                 let keys = cluster.keys.clone();
                 cluster.keys = r#"["a key that the others lack"]"#.into();
                 for i in [who, other] {
-                    cluster.write_operator(i);
+                    cluster.write_operator_config(i);
                     cluster.signal(i, "-HUP");
                 }
                 std::thread::sleep(EVERY * 4);
                 cluster.keys = keys;
                 for i in [who, other] {
-                    cluster.write_operator(i);
+                    cluster.write_operator_config(i);
                     cluster.signal(i, "-HUP");
                 }
             }
             _ => {
                 cluster.signal(who, "-TERM");
-                cluster.ended(who);
+                cluster.wait_for_exit(who);
                 std::thread::sleep(EVERY);
                 cluster.start(who);
             }
@@ -68,8 +71,10 @@
         // Votes that a restarted one may have forgotten run out before the next blow.
         std::thread::sleep(EVERY * 4);
     }
-    let found = faults(&servers, EVERY, from, Instant::now());
-    let acts = servers.iter().map(|s| s.acts.lock().expect("whole").len());
+    let found = find_violations(&servers, EVERY, from, Instant::now());
+    let acts = servers
+        .iter()
+        .map(|s| s.probes.lock().expect("whole").len());
     (found, acts.sum())
 }
 
--- a/tests/cluster/main.rs
+++ b/tests/cluster/main.rs
@@ -11,9 +11,9 @@
 
 #[test]
 fn forty_duties_of_five_instances_that_are_killed_frozen_and_restarted() {
-    let servers = servers(40);
-    let discovery = Discovery::new(serving(&servers));
-    let mut cluster = Cluster::new(PROGRAM, 5, discovery, &probes(EVERY));
+    let servers = start_servers(40);
+    let discovery = StubDiscovery::new(serving_entries(&servers));
+    let mut cluster = Cluster::new(PROGRAM, 5, discovery, &probe_duties(EVERY));
     wait_until("every server is probed", || all_probed(&servers));
     let from = Instant::now();
     let pause = |periods: u32| std::thread::sleep(EVERY * periods);
@@ -37,30 +37,30 @@
     pause(3);
     // One leaves in order: its duties go on without a gap.
     cluster.signal(4, "-TERM");
-    assert_eq!(cluster.ended(4), Some(0));
+    assert_eq!(cluster.wait_for_exit(4), Some(0));
     pause(2);
 
-    let found = faults(&servers, EVERY, from, Instant::now());
+    let found = find_violations(&servers, EVERY, from, Instant::now());
     assert!(
         found.is_empty(),
         "{found:#?}\nlogs: {}",
-        cluster.folder.display()
+        cluster.dir.display()
     );
-    let answer = cluster.ask(0, "duties").expect("an answer");
+    let answer = cluster.query(0, "duties").expect("an answer");
     let rows = answer["duties"].as_array().expect("rows");
     assert_eq!(rows.len(), 40);
     assert!(
         rows.iter()
             .all(|row| row["every_ms"] == 2000 && row["period"].as_u64() > Some(0))
     );
-    let members = cluster.ask(0, "members").expect("an answer");
+    let members = cluster.query(0, "members").expect("an answer");
     let alive = members["members"]
         .as_array()
         .expect("rows")
         .iter()
         .filter(|m| m["alive"] == true);
     assert_eq!(alive.count(), 4, "{members}");
-    let shown = cluster.show(0, "duties");
+    let shown = cluster.query_as_text(0, "duties");
     assert!(
         shown.contains("holder") && shown.contains("probe/"),
         "{shown}"
@@ -69,23 +69,23 @@
 
 #[test]
 fn a_server_that_hangs_is_avoided_by_all_though_one_probed_it() {
-    let servers = servers(2);
-    let discovery = Discovery::new(serving(&servers));
-    let cluster = Cluster::new(PROGRAM, 3, discovery, &probes(EVERY));
+    let servers = start_servers(2);
+    let discovery = StubDiscovery::new(serving_entries(&servers));
+    let cluster = Cluster::new(PROGRAM, 3, discovery, &probe_duties(EVERY));
     wait_until("every server is probed", || all_probed(&servers));
     // Found by its answers to clients: the key that leads to the first server.
     let key = (0..100).map(|n| format!("{n:016x}")).find(|key| {
-        let before = servers[0].opened.load(Ordering::Relaxed);
-        cluster.open(0, 0xa000, key);
-        servers[0].opened.load(Ordering::Relaxed) > before
+        let before = servers[0].requests.load(Ordering::Relaxed);
+        cluster.open_connection(0, 0xa000, key);
+        servers[0].requests.load(Ordering::Relaxed) > before
     });
     let key = key.expect("a key for each server");
-    servers[0].hangs.store(true, Ordering::Relaxed);
+    servers[0].unresponsive.store(true, Ordering::Relaxed);
     // Within this the next probe comes, waits for its answer in vain, and tells all.
     std::thread::sleep(EVERY + Duration::from_millis(500));
     for i in 0..3 {
         let start = Instant::now();
-        let answer = cluster.open(i, 0xb000 + i as u64, &key);
+        let answer = cluster.open_connection(i, 0xb000 + i as u64, &key);
         assert_eq!(answer, "UP r1\r\n", "instance {i}");
         // Whoever tries the silent server first waits for it for an aim or more.
         assert!(
@@ -94,18 +94,18 @@
             start.elapsed()
         );
     }
-    servers[0].hangs.store(false, Ordering::Relaxed);
-    let before = servers[0].opened.load(Ordering::Relaxed);
+    servers[0].unresponsive.store(false, Ordering::Relaxed);
+    let before = servers[0].requests.load(Ordering::Relaxed);
     wait_until("it is used again", || {
-        cluster.open(1, 0xc000, &key);
-        servers[0].opened.load(Ordering::Relaxed) > before
+        cluster.open_connection(1, 0xc000, &key);
+        servers[0].requests.load(Ordering::Relaxed) > before
     });
 }
 
 #[test]
 fn one_watches_discovery_for_all_and_the_rest_ask_when_its_news_is_old() {
-    let servers = servers(3);
-    let discovery = Discovery::new(serving(&servers));
+    let servers = start_servers(3);
+    let discovery = StubDiscovery::new(serving_entries(&servers));
     let duties = r#"{"list":{"every_ms":2500,"max_age_ms":1500}}"#;
     let mut cluster = Cluster::new(PROGRAM, 3, discovery.clone(), duties);
     let relieved = |cluster: &Cluster| -> Vec<usize> {
@@ -124,22 +124,22 @@
     let others = relieved(&cluster);
     let leader = (0..3).find(|i| !others.contains(i)).expect("one watches");
     // A drain told to the one that watches is kept by all within 300 ms.
-    let mut entries = serving(&servers);
+    let mut entries = serving_entries(&servers);
     entries[1] = servers[1].entry("DRAINING");
     entries.remove(2);
-    discovery.tell(entries.clone());
+    discovery.publish(entries.clone());
     std::thread::sleep(Duration::from_millis(300));
-    let told = [1, 2].map(|n: usize| servers[n].opened.load(Ordering::Relaxed));
+    let told = [1, 2].map(|n: usize| servers[n].requests.load(Ordering::Relaxed));
     for i in 0..3 {
         for n in 0..8 {
             assert_eq!(
-                cluster.open(i, 0xd000 + n, &format!("{n:x}")),
+                cluster.open_connection(i, 0xd000 + n, &format!("{n:x}")),
                 "UP r1\r\n",
                 "instance {i}"
             );
         }
     }
-    let after = [1, 2].map(|n: usize| servers[n].opened.load(Ordering::Relaxed));
+    let after = [1, 2].map(|n: usize| servers[n].requests.load(Ordering::Relaxed));
     assert_eq!(told, after, "new work after a drain was told");
     // The one that watches dies: the others ask themselves once its news is too old, and one takes the duty.
     cluster.kill(leader);
@@ -154,23 +154,27 @@
     wait_until("another one takes the watch", || again(&cluster) == 1);
     entries.push(servers[2].entry("SERVING"));
     entries[0] = servers[0].entry("DRAINING");
-    discovery.tell(entries);
+    discovery.publish(entries);
     std::thread::sleep(Duration::from_millis(2500));
-    let before = servers[2].opened.load(Ordering::Relaxed);
+    let before = servers[2].requests.load(Ordering::Relaxed);
     for i in &others {
-        assert_eq!(cluster.open(*i, 0xe000, "1"), "UP r1\r\n", "instance {i}");
+        assert_eq!(
+            cluster.open_connection(*i, 0xe000, "1"),
+            "UP r1\r\n",
+            "instance {i}"
+        );
     }
     assert_eq!(
-        servers[2].opened.load(Ordering::Relaxed) - before,
+        servers[2].requests.load(Ordering::Relaxed) - before,
         others.len()
     );
 }
 
 #[test]
 fn a_key_is_replaced_without_a_stop_and_a_bad_file_changes_nothing() {
-    let servers = servers(3);
-    let discovery = Discovery::new(serving(&servers));
-    let mut cluster = Cluster::new(PROGRAM, 3, discovery, &probes(EVERY));
+    let servers = start_servers(3);
+    let discovery = StubDiscovery::new(serving_entries(&servers));
+    let mut cluster = Cluster::new(PROGRAM, 3, discovery, &probe_duties(EVERY));
     wait_until("every server is probed", || all_probed(&servers));
     let from = Instant::now();
     let steps = [
@@ -181,15 +185,15 @@
     for keys in steps {
         cluster.keys = keys.into();
         for i in 0..3 {
-            cluster.write_operator(i);
+            cluster.write_operator_config(i);
             cluster.signal(i, "-HUP");
             std::thread::sleep(Duration::from_millis(150));
         }
     }
     std::thread::sleep(EVERY * 3);
     // Too fast for a take-over, and a key that nobody knows: both are named, and all stays as it was.
-    cluster.duties = probes(EVERY).replace("\"every_ms\":2000", "\"every_ms\":900,\"odd\":1");
-    cluster.write_operator(1);
+    cluster.duties = probe_duties(EVERY).replace("\"every_ms\":2000", "\"every_ms\":900,\"odd\":1");
+    cluster.write_operator_config(1);
     cluster.signal(1, "-HUP");
     wait_until("the fault is logged", || {
         cluster.log(1).contains("not reloaded")
@@ -200,16 +204,16 @@
         cluster.log(1)
     );
     std::thread::sleep(EVERY * 2);
-    let found = faults(&servers, EVERY, from, Instant::now());
+    let found = find_violations(&servers, EVERY, from, Instant::now());
     assert!(found.is_empty(), "{found:#?}");
-    let counters = &cluster.ask(2, "members").expect("an answer")["counters"];
+    let counters = &cluster.query(2, "members").expect("an answer")["counters"];
     assert_eq!(counters["forged"].as_u64().unwrap_or(0), 0, "{counters}");
 }
 
 #[test]
 fn without_an_operators_file_there_is_one_listener_and_no_datagram_socket() {
-    let discovery = Discovery::new(Vec::new());
-    let listen = free();
+    let discovery = StubDiscovery::new(Vec::new());
+    let listen = free_address();
     let config = std::env::temp_dir().join(format!("spanspur-off-{}.json", std::process::id()));
     let text = include_str!("../../examples/config.json")
         .replace("127.0.0.1:8000", &listen.to_string())
@@ -224,7 +228,7 @@
     wait_until("it listens", || {
         std::net::TcpStream::connect(listen).is_ok()
     });
-    wait_until("it watches", || discovery.calls.load(Ordering::Relaxed) > 0);
+    wait_until("it watches", || discovery.polls.load(Ordering::Relaxed) > 0);
     let proc = std::path::PathBuf::from(format!("/proc/{}", child.id()));
     let held: Vec<String> = std::fs::read_dir(proc.join("fd"))
         .expect("its descriptors")
@@ -258,7 +262,7 @@
     let text = format!(
         r#"{{"cluster":{{"listen":"{}","voters":["a","b"],"keys":["short"],"seed":[]}},
         "duties":{{"probe":{{"every_ms":100}}}}}}"#,
-        free()
+        free_address()
     );
     std::fs::write(&file, text.replace("\"seed\"", "\"seeds\"")).expect("written");
     let run = || {
--- a/tests/distribution/main.rs
+++ b/tests/distribution/main.rs
@@ -25,10 +25,10 @@
 
 struct Fleet {
     cluster: Cluster,
-    servers: Vec<Server>,
+    servers: Vec<StubServer>,
     entries: Vec<String>,
     /// Where the balancers ask, apart from the control instances.
-    outside: Discovery,
+    outside: StubDiscovery,
     sources: Vec<SocketAddr>,
     opened: u64,
 }
@@ -39,13 +39,13 @@
 
 impl Fleet {
     fn new() -> Self {
-        let servers = servers(SERVERS);
-        let entries = serving(&servers);
-        let discovery = Discovery::new(entries.clone());
-        let outside = discovery.beside();
+        let servers = start_servers(SERVERS);
+        let entries = serving_entries(&servers);
+        let discovery = StubDiscovery::new(entries.clone());
+        let outside = discovery.share_list();
         let duties = r#"{"list":{"every_ms":2500,"max_age_ms":1500}}"#;
         let mut cluster = Cluster::prepare(PROGRAM, CONTROLS + BALANCERS, discovery, duties);
-        let sources: Vec<SocketAddr> = (0..CONTROLS).map(|_| free()).collect();
+        let sources: Vec<SocketAddr> = (0..CONTROLS).map(|_| free_address()).collect();
         for (i, listen) in sources.iter().enumerate() {
             let section = format!(
                 r#""distribute":{{"listen":"{listen}","zone":"z{i}","region":"r","rate":{RATE},
@@ -54,7 +54,7 @@
             cluster.sections.insert(i, section);
         }
         for i in followers() {
-            cluster.outside.insert(i, outside.clone());
+            cluster.non_members.insert(i, outside.clone());
         }
         let mut fleet = Self {
             cluster,
@@ -118,14 +118,14 @@
 
     /// A request for this key at a balancer: whether it came to this server.
     fn goes(&mut self, i: usize, key: &str, server: usize) -> bool {
-        let before = self.servers[server].opened.load(Relaxed);
+        let before = self.servers[server].requests.load(Relaxed);
         self.opened += 1;
         assert_eq!(
-            self.cluster.open(i, self.opened, key),
+            self.cluster.open_connection(i, self.opened, key),
             "UP r1\r\n",
             "instance {i}"
         );
-        self.servers[server].opened.load(Relaxed) > before
+        self.servers[server].requests.load(Relaxed) > before
     }
 
     /// A key that leads to this server at all balancers.
@@ -145,7 +145,7 @@
 
     fn tell(&mut self, server: usize, phase: &str) {
         self.entries[server] = self.servers[server].entry(phase);
-        self.cluster.discovery.tell(self.entries.clone());
+        self.cluster.discovery.publish(self.entries.clone());
     }
 
     /// Drains a server and waits until no balancer sends anything new there.
@@ -179,24 +179,24 @@
     }
 
     fn calls(&self) -> usize {
-        self.outside.calls.load(Relaxed)
+        self.outside.polls.load(Relaxed)
     }
 
     /// What a follower says of itself.
     fn status(&self, i: usize) -> serde_json::Value {
-        let answer = self.cluster.ask(i, "changes").unwrap_or_default();
+        let answer = self.cluster.query(i, "changes").unwrap_or_default();
         answer["follower"]["status"].clone()
     }
 
     fn pieces(&self, i: usize) -> Option<u64> {
-        let answer = self.cluster.ask(i, "changes")?;
+        let answer = self.cluster.query(i, "changes")?;
         assert_eq!(answer["source"]["rate"], RATE, "{answer}");
         Some(answer["counters"]["pieces"].as_u64().unwrap_or(0))
     }
 
     /// The control instance that watches discovery for all.
     fn leader(&self) -> usize {
-        let answer = self.cluster.ask(1, "duties").expect("an answer");
+        let answer = self.cluster.query(1, "duties").expect("an answer");
         let holder = answer["duties"][0]["holder"].as_str().map(str::to_owned);
         let holder = holder.unwrap_or_default();
         let found = self.cluster.names.iter().position(|name| *name == holder);
@@ -230,7 +230,7 @@
     );
     fleet.cluster.start(leader);
     wait_until("it has all again", || {
-        let answer = fleet.cluster.ask(leader, "changes").unwrap_or_default();
+        let answer = fleet.cluster.query(leader, "changes").unwrap_or_default();
         answer["source"]["status"]["age"]
             .as_u64()
             .is_some_and(|age| age < 1500)
@@ -251,7 +251,7 @@
         &mut fleet.cluster.keys,
         r#"["a secret of nobody else"]"#.into(),
     );
-    fleet.cluster.write_operator(cut);
+    fleet.cluster.write_operator_config(cut);
     fleet.cluster.signal(cut, "-HUP");
     // If it watched discovery for all, its turn is over by then: what it has is old.
     std::thread::sleep(Duration::from_secs(3));
@@ -269,7 +269,7 @@
     for i in followers() {
         wait_until("it listens", || {
             spent.look(&fleet);
-            std::net::TcpStream::connect(fleet.cluster.listens[i]).is_ok()
+            std::net::TcpStream::connect(fleet.cluster.listen_addresses[i]).is_ok()
         });
     }
     // Discovery's own word comes first, and what the one that is cut off has must not undo it.
@@ -285,7 +285,7 @@
     println!("six started at once: full before {:?}", restarted.elapsed());
     fleet.rests("after they were restarted");
     fleet.cluster.keys = kept;
-    fleet.cluster.write_operator(cut);
+    fleet.cluster.write_operator_config(cut);
     fleet.cluster.signal(cut, "-HUP");
     fleet.stays_drained(&key, 5, Duration::from_secs(2), "one healed");
     fleet.rests("after one was healed");
@@ -294,7 +294,7 @@
     let first = followers().start;
     let kept = fleet.cluster.sections[&first].clone();
     fleet.follow(first, r#"["short"]"#, 1);
-    fleet.cluster.write_operator(first);
+    fleet.cluster.write_operator_config(first);
     fleet.cluster.signal(first, "-HUP");
     wait_until("the fault is logged", || {
         fleet.cluster.log(first).contains("not reloaded")
@@ -304,7 +304,7 @@
         assert!(log.contains(part), "{part}");
     }
     fleet.cluster.sections.insert(first, kept);
-    fleet.cluster.write_operator(first);
+    fleet.cluster.write_operator_config(first);
     fleet.drains(6, "one reloaded in vain");
     fleet.rests("after a reload in vain");
     let status = fleet.status(first);
@@ -331,7 +331,7 @@
         assert!(age > Some(MAX_AGE.as_millis() as u64), "{i}: {status}");
         wait_until("it is in the dark", || fleet.status(i)["dark"] == true);
     }
-    let shown = fleet.cluster.show(first, "changes");
+    let shown = fleet.cluster.query_as_text(first, "changes");
     assert!(shown.contains("in the dark"), "{shown}");
 }
 
@@ -354,13 +354,13 @@
         Some(SERVERS as u64 + 1),
         "rows and their head: {status}"
     );
-    let table = fleet.cluster.show(first, "changes");
+    let table = fleet.cluster.query_as_text(first, "changes");
     for part in ["follower", "age", "first", "second", "n0", "n1", "n2"] {
         assert!(table.contains(part), "{part}: {table}");
     }
     // Each balancer has one first source, and all of them have confirmed the last changes.
     let in_force = |i: usize| {
-        let answer = fleet.cluster.ask(i, "changes").unwrap_or_default();
+        let answer = fleet.cluster.query(i, "changes").unwrap_or_default();
         let status = &answer["source"]["status"];
         let changes = status["changes"].as_array().map_or(0, Vec::len);
         let force = status["changes"][0]["after"].is_u64() && status["lagging"] == 0;
@@ -370,7 +370,7 @@
         let firsts: Option<Vec<u64>> = (0..CONTROLS).map(in_force).collect();
         firsts.is_some_and(|firsts| firsts.iter().sum::<u64>() == BALANCERS as u64)
     });
-    let table = fleet.cluster.show(0, "changes");
+    let table = fleet.cluster.query_as_text(0, "changes");
     for part in [
         "source",
         "in force",
