--- a/crates/fleet-rig/src/capacity/book.rs
+++ b/crates/fleet-rig/src/capacity/book.rs
@@ -2,7 +2,7 @@
 //! in the code itself.
 
 use super::figure::{Figure, Unit, digits};
-use crate::series::{FAR, MIN_SIZES, Measured, Series};
+use crate::series::{FAR_EXTRAPOLATION, MIN_SIZES, MeasuredSeries, Series};
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -41,7 +41,7 @@
     /// The folder of the workspace, whose code is looked into.
     pub root: PathBuf,
     /// What was measured.
-    pub measured: Measured,
+    pub measured: MeasuredSeries,
     /// Single plays at the whole size, of `docs/measured/distribution.json`.
     pub plays: serde_json::Value,
     /// What was not.
@@ -54,7 +54,7 @@
     /// Works with these, and with the code under a folder.
     pub fn new(
         root: &Path,
-        measured: Measured,
+        measured: MeasuredSeries,
         plays: serde_json::Value,
         given: Assumptions,
     ) -> Self {
@@ -70,7 +70,7 @@
 
     /// Reads the files under a workspace; nothing measured where one of those is not there.
     pub fn read(root: &Path) -> Result<Self, String> {
-        let measured = Measured::read(&root.join("docs/measured/scale.json"))?;
+        let measured = MeasuredSeries::read(&root.join("docs/measured/scale.json"))?;
         let given = read(&root.join("docs/measured/assumptions.json"))?;
         let file = root.join("docs/measured/distribution.json");
         let plays = match file.exists() {
@@ -259,7 +259,7 @@
             let (low, high) = (points[i - 1], points[i]);
             Some(low.1 + (high.1 - low.1) * (size - low.0) / (high.0 - low.0))
         }
-        _ => series.at(size),
+        _ => series.predict(size),
     }
 }
 
@@ -278,15 +278,15 @@
         said += &format!(
             "; {} ± {} {} each",
             digits(fit.slope),
-            digits(fit.spread),
+            digits(fit.slope_error),
             series.unit
         );
-        if fit.off > BENT {
-            said += &format!("; bends, off by {:.0}%", fit.off * 100.0);
+        if fit.max_residual > BENT {
+            said += &format!("; bends, off by {:.0}%", fit.max_residual * 100.0);
         }
     }
-    let stretch = series.stretch(size);
-    if stretch > FAR {
+    let stretch = series.extrapolation(size);
+    if stretch > FAR_EXTRAPOLATION {
         said += &format!("; **stretched x{}**", digits(stretch));
     } else if stretch > 1.0 {
         said += &format!("; stretched x{}", digits(stretch));
--- a/crates/fleet-rig/src/charts.rs
+++ b/crates/fleet-rig/src/charts.rs
@@ -7,7 +7,7 @@
 pub type Line = (String, Vec<(f64, f64)>);
 
 /// A chart of lines, its axes named, both from 0 or logarithmic.
-pub fn lines(
+pub fn line_chart(
     file: &Path,
     title: &str,
     (x_name, y_name): (&str, &str),
--- a/crates/fleet-rig/src/data_path.rs
+++ b/crates/fleet-rig/src/data_path.rs
@@ -1,7 +1,7 @@
 //! What the data path costs: memory and processor time of a real balancer process between stand-in clients and
 //! stream servers of this process, and of the decision module and the list, called here.
 
-use crate::series::{Measured, Series};
+use crate::series::{MeasuredSeries, Series};
 use spanspur::Balancer;
 use spanspur::api::*;
 use spanspur::discovery::endpoint_list::EndpointList;
@@ -389,14 +389,14 @@
     let wanted = |part: &str| parts.is_empty() || parts.iter().any(|p| p == part);
     let put = |name: String, series: Series| {
         if let Some(fit) = series.fit() {
-            let (slope, spread, off) = (fit.slope, fit.spread, fit.off * 100.0);
+            let (slope, spread, off) = (fit.slope, fit.slope_error, fit.max_residual * 100.0);
             println!(
                 "{name}: {slope:.4} +- {spread:.4} {} a step, from {:.1}, off {off:.1}%",
-                series.unit, fit.base
+                series.unit, fit.intercept
             );
         }
         println!("  {:?}", series.points);
-        Measured::put(file, [(name, series)])
+        MeasuredSeries::update(file, [(name, series)])
     };
     if wanted("placement") {
         for (name, cold) in [("none", false), ("half", true)] {
--- a/crates/fleet-rig/src/distribution/measure.rs
+++ b/crates/fleet-rig/src/distribution/measure.rs
@@ -6,7 +6,7 @@
 use super::sockets::{self, Play, Sockets};
 use super::world::{self, CONTROLS, Fault, Meter, Plan, REGIONS, VALUE, World, key};
 use crate::charts;
-use crate::series::{Measured, Series};
+use crate::series::{MeasuredSeries, Series};
 use hdrhistogram::Histogram;
 use rand::RngExt;
 use serde::{Deserialize, Serialize};
@@ -940,12 +940,12 @@
             all.insert(name.to_owned(), series);
         }
     }
-    Measured::put(&folder.join("scale.json"), all)
+    MeasuredSeries::update(&folder.join("scale.json"), all)
 }
 
 /// Charts of a balancer's and a control instance's cost, beside the flat cluster's where it is known.
 pub fn draw(folder: &Path) -> Result<(), String> {
-    let measured = Measured::read(&folder.join("scale.json"))?;
+    let measured = MeasuredSeries::read(&folder.join("scale.json"))?;
     for (kind, what) in [
         ("bytes", "bytes a second, sent and received"),
         ("datagrams", "datagrams a second, sent and received"),
@@ -973,7 +973,7 @@
         if lines.is_empty() {
             continue;
         }
-        charts::lines(
+        charts::line_chart(
             &folder.join(format!("distribution-{kind}.svg")),
             &format!("At rest: {what}"),
             ("balancers", what),
@@ -992,7 +992,7 @@
 /// Writes the page of what was measured.
 fn page(folder: &Path, results: &Results) -> Result<(), String> {
     draw(folder)?;
-    let measured = Measured::read(&folder.join("scale.json"))?;
+    let measured = MeasuredSeries::read(&folder.join("scale.json"))?;
     let text = table(results, &measured).map_err(|e| e.to_string())?;
     let file = folder.join("distribution.md");
     std::fs::write(&file, text).map_err(|e| format!("{}: {e}", file.display()))
@@ -1010,7 +1010,7 @@
     }
 }
 
-fn table(results: &Results, measured: &Measured) -> Result<String, std::fmt::Error> {
+fn table(results: &Results, measured: &MeasuredSeries) -> Result<String, std::fmt::Error> {
     let mut text = format!(
         "# Distribution, measured\n\nMade by `cargo run --release -p spanspur-fleet-rig -- distribution PART` with PART \
          `delay`, `cost`, `entries`, `cut`, `start`, `seeds` or `sockets`; each replaces its own part of `{FILE}`, from which this \
@@ -1138,9 +1138,9 @@
                 "| {name} | {} | {:.4} | {:.4} | {:.1} | {:.1}% |",
                 series.unit,
                 fit.slope,
-                fit.spread,
-                fit.base,
-                fit.off * 100.0
+                fit.slope_error,
+                fit.intercept,
+                fit.max_residual * 100.0
             )?;
         }
     }
--- a/crates/fleet-rig/src/distribution/sockets.rs
+++ b/crates/fleet-rig/src/distribution/sockets.rs
@@ -6,7 +6,7 @@
 
 use super::measure::{Spread, spread};
 use super::world::{CONTROLS, PACE, VALUE, key, name, place};
-use crate::meter::thread_ns;
+use crate::meter::thread_cpu_ns;
 use crate::ranking;
 use serde::{Deserialize, Serialize};
 use spanspur_cluster::distribution::{
@@ -153,7 +153,7 @@
         Self {
             user: ticks(),
             kernel: ticks(),
-            ns: thread_ns(),
+            ns: thread_cpu_ns(),
         }
     }
 
--- a/crates/fleet-rig/src/distribution/world.rs
+++ b/crates/fleet-rig/src/distribution/world.rs
@@ -7,7 +7,7 @@
 
 use super::checker::{Checker, is_removed};
 use crate::ranking;
-use crate::world::damage;
+use crate::world::corrupt;
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use spanspur_cluster::node::{self, Node};
@@ -1147,7 +1147,7 @@
                 self.recorded[at].clone()
             }
         };
-        damage(&mut self.random, &mut bytes);
+        corrupt(&mut self.random, &mut bytes);
         if to >= CONTROLS {
             port = DISTRIBUTION;
         }
--- a/crates/fleet-rig/src/measure.rs
+++ b/crates/fleet-rig/src/measure.rs
@@ -199,7 +199,7 @@
             .into()
     };
     let axes = ("instances", "datagrams a second, one instance");
-    charts::lines(
+    charts::line_chart(
         &folder.join("duties-datagrams.svg"),
         "Datagrams sent by one instance",
         axes,
@@ -207,7 +207,7 @@
         &by(|c| c.datagrams),
     )?;
     let axes = ("instances", "bytes a second, one instance");
-    charts::lines(
+    charts::line_chart(
         &folder.join("duties-bytes.svg"),
         "Bytes sent by one instance",
         axes,
@@ -226,7 +226,7 @@
         ("one period".to_owned(), of(|t| t.every_ms)),
     ];
     let axes = ("period, s", "after the kill, s");
-    charts::lines(
+    charts::line_chart(
         &folder.join("duties-takeover.svg"),
         "From a kill to the next act of its duties",
         axes,
--- a/crates/fleet-rig/src/meter.rs
+++ b/crates/fleet-rig/src/meter.rs
@@ -10,7 +10,7 @@
 const READINGS: u32 = 10_000;
 
 /// Processor time of this thread so far, in nanoseconds, whatever else runs beside it.
-pub fn thread_ns() -> u64 {
+pub fn thread_cpu_ns() -> u64 {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     time.tv_sec as u64 * 1_000_000_000 + time.tv_nsec as u64
 }
@@ -28,9 +28,9 @@
     let Some(meter) = meter else {
         return call();
     };
-    let start = thread_ns();
+    let start = thread_cpu_ns();
     let result = call();
-    meter.spent[i] += thread_ns() - start;
+    meter.spent[i] += thread_cpu_ns() - start;
     meter.calls[i] += 1;
     result
 }
@@ -61,8 +61,8 @@
     pub fn new(instances: usize) -> Self {
         let mut between = 0;
         for _ in 0..READINGS {
-            let reading = thread_ns();
-            between += thread_ns() - reading;
+            let reading = thread_cpu_ns();
+            between += thread_cpu_ns() - reading;
         }
         Self {
             spent: vec![0; instances],
--- a/crates/fleet-rig/src/scale.rs
+++ b/crates/fleet-rig/src/scale.rs
@@ -3,8 +3,8 @@
 //! relay, no duties. Each run is a process of its own, so that its memory is its own.
 
 use crate::charts;
-use crate::meter::{Meter, resident, thread_ns};
-use crate::series::{Measured, Series};
+use crate::meter::{Meter, resident, thread_cpu_ns};
+use crate::series::{MeasuredSeries, Series};
 use crate::sockets;
 use crate::world::{Plan, World, name};
 use clap::Args as Arguments;
@@ -186,9 +186,9 @@
     let settled = at + args.settle * 1000;
     world.run_until(settled);
     let (sent_before, cpu, off) = (sent(&world), meter(&world).cpu_us(), put_off(&world));
-    let (downs, thread) = (meter(&world).downs, thread_ns());
+    let (downs, thread) = (meter(&world).downs, thread_cpu_ns());
     world.run_until(settled + args.rest * 1000);
-    let all_us = (thread_ns() - thread) as f64 / 1000.0;
+    let all_us = (thread_cpu_ns() - thread) as f64 / 1000.0;
     let sent_after = sent(&world);
     let rate = per * args.rest as f64;
     point.datagrams = (sent_after.0 - sent_before.0) as f64 / rate;
@@ -282,7 +282,7 @@
     if !args.sockets {
         let series = series(&all.into_inner().expect("whole"), args);
         charts(folder, &series)?;
-        Measured::put(&folder.join("scale.json"), series)?;
+        MeasuredSeries::update(&folder.join("scale.json"), series)?;
     }
     let page = write_page(
         &read(folder, "scale-flat")?,
@@ -449,7 +449,7 @@
         let points = series[name].points.iter().map(|(x, y)| (*x, y / limit));
         (name.to_owned(), points.collect())
     });
-    charts::lines(
+    charts::line_chart(
         &folder.join("scale-limits.svg"),
         "The flat cluster, as a share of the letter's limits (1 is the limit)",
         ("instances", "share of the limit"),
@@ -457,7 +457,7 @@
         &share,
     )?;
     let join = ["flat-join"].map(|name| (name.to_owned(), series[name].points.clone()));
-    charts::lines(
+    charts::line_chart(
         &folder.join("scale-join.svg"),
         "From a start of everybody until all see all",
         ("instances", "s"),
--- a/crates/fleet-rig/src/series.rs
+++ b/crates/fleet-rig/src/series.rs
@@ -8,7 +8,7 @@
 /// The fewest sizes that a slope is taken from.
 pub const MIN_SIZES: usize = 5;
 /// Past this many times the largest size measured, a figure is said to be stretched.
-pub const FAR: f64 = 10.0;
+pub const FAR_EXTRAPOLATION: f64 = 10.0;
 
 /// One quantity, measured at several sizes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -34,11 +34,11 @@
     /// By how much a value grows with one more of the size.
     pub slope: f64,
     /// The value at size 0.
-    pub base: f64,
+    pub intercept: f64,
     /// The standard error of the slope.
-    pub spread: f64,
+    pub slope_error: f64,
     /// The largest distance of a point from the line, as a share of the largest value.
-    pub off: f64,
+    pub max_residual: f64,
 }
 
 impl Series {
@@ -65,19 +65,19 @@
             .fold(0.0, f64::max);
         Some(Fit {
             slope,
-            base,
-            spread,
-            off: if most == 0.0 { 0.0 } else { off / most },
+            intercept: base,
+            slope_error: spread,
+            max_residual: if most == 0.0 { 0.0 } else { off / most },
         })
     }
 
     /// The line's value at a size.
-    pub fn at(&self, size: f64) -> Option<f64> {
-        self.fit().map(|fit| fit.base + fit.slope * size)
+    pub fn predict(&self, size: f64) -> Option<f64> {
+        self.fit().map(|fit| fit.intercept + fit.slope * size)
     }
 
     /// How many times the largest size measured a size is; 1 within what was measured.
-    pub fn stretch(&self, size: f64) -> f64 {
+    pub fn extrapolation(&self, size: f64) -> f64 {
         let most = self.points.iter().map(|p| p.0).fold(0.0, f64::max);
         if most == 0.0 {
             return f64::INFINITY;
@@ -89,9 +89,9 @@
 /// All series, by name.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Measured(pub BTreeMap<String, Series>);
+pub struct MeasuredSeries(pub BTreeMap<String, Series>);
 
-impl Measured {
+impl MeasuredSeries {
     /// Reads the file; nothing measured yet if there is none.
     pub fn read(file: &Path) -> Result<Self, String> {
         let failed = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
@@ -103,7 +103,7 @@
     }
 
     /// Puts series into the file, in place of those of the same names.
-    pub fn put(
+    pub fn update(
         file: &Path,
         series: impl IntoIterator<Item = (String, Series)>,
     ) -> Result<(), String> {
--- a/crates/fleet-rig/src/sockets.rs
+++ b/crates/fleet-rig/src/sockets.rs
@@ -1,7 +1,7 @@
 //! The flat cluster over real loopback sockets in real time: hollow instances in one process, each with the driver
 //! that the balancer has ([`spanspur_cluster::Cluster`]) on a socket of its own. A check of what virtual time says.
 
-use crate::meter::{resident, thread_ns};
+use crate::meter::{resident, thread_cpu_ns};
 use crate::ranking;
 use crate::scale::{Args, NEWS_KEY, Point, VALUE, standing};
 use crate::world::{name, pace};
@@ -117,7 +117,7 @@
     let before = resident();
     let addresses = addresses(instances)?;
     let told = Told::default();
-    let (began, cpu) = (Instant::now(), thread_ns());
+    let (began, cpu) = (Instant::now(), thread_cpu_ns());
     let handles = start(args, &addresses, seed, &told).await?;
     let (per, all) = (instances as f64, instances * (instances - 1));
     let off = |handles: &[ClusterHandle]| counters(handles).get("no-session").copied().unwrap_or(0);
@@ -130,9 +130,9 @@
     let mut looking = 0;
     loop {
         sleep(LOOK).await;
-        let start = thread_ns();
+        let start = thread_cpu_ns();
         let seen = pairs(&handles);
-        looking += thread_ns() - start;
+        looking += thread_cpu_ns() - start;
         point.seen.0 = seen as f64 / all as f64;
         if seen == all {
             point.join_s = Some(began.elapsed().as_secs_f64());
@@ -143,15 +143,15 @@
         }
     }
     point.join_bytes = traffic(&handles).sent_bytes as f64 / per;
-    point.join_cpu_us = (thread_ns() - cpu - looking) as f64 / 1000.0 / per;
+    point.join_cpu_us = (thread_cpu_ns() - cpu - looking) as f64 / 1000.0 / per;
     point.put_off = off(&handles);
 
     sleep(Duration::from_secs(args.settle)).await;
     let put_off = off(&handles);
-    let (sent, cpu, start) = (traffic(&handles), thread_ns(), Instant::now());
+    let (sent, cpu, start) = (traffic(&handles), thread_cpu_ns(), Instant::now());
     sleep(Duration::from_secs(args.rest)).await;
     let rate = per * start.elapsed().as_secs_f64();
-    point.cpu_us = (thread_ns() - cpu) as f64 / 1000.0 / rate;
+    point.cpu_us = (thread_cpu_ns() - cpu) as f64 / 1000.0 / rate;
     let now = traffic(&handles);
     point.datagrams = (now.sent - sent.sent) as f64 / rate;
     point.bytes = (now.sent_bytes - sent.sent_bytes) as f64 / rate;
--- a/crates/fleet-rig/src/world.rs
+++ b/crates/fleet-rig/src/world.rs
@@ -145,7 +145,7 @@
 }
 
 /// Cuts a datagram off, damages one bit of it, or leaves it as it is, to be sent again.
-pub(crate) fn damage(random: &mut ChaCha8Rng, bytes: &mut Vec<u8>) {
+pub(crate) fn corrupt(random: &mut ChaCha8Rng, bytes: &mut Vec<u8>) {
     match random.random_range(0..3) {
         0 => bytes.truncate(random.random_range(0..=bytes.len())),
         1 if !bytes.is_empty() => {
@@ -445,7 +445,7 @@
                 self.recorded[at].clone()
             }
         };
-        damage(&mut self.random, &mut bytes);
+        corrupt(&mut self.random, &mut bytes);
         let from = address(self.random.random_range(0..self.plan.instances));
         self.push(self.now, Event::Datagram(to, from, bytes));
     }
--- a/crates/fleet-rig/tests/capacity.rs
+++ b/crates/fleet-rig/tests/capacity.rs
@@ -5,7 +5,7 @@
 use spanspur_fleet_rig::capacity::{
     Assumptions, Book, PAGE, QUESTIONS, control, data, edges, figure, fill, run, tables, unasked,
 };
-use spanspur_fleet_rig::series::{Measured, Series};
+use spanspur_fleet_rig::series::{MeasuredSeries, Series};
 use std::collections::BTreeMap;
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -54,7 +54,7 @@
 }
 
 fn book_of(series: BTreeMap<String, Series>) -> Book {
-    Book::new(&root(), Measured(series), Value::Null, given())
+    Book::new(&root(), MeasuredSeries(series), Value::Null, given())
 }
 
 fn row<'a>(rows: &'a [Row], what: &str, when: &str) -> &'a Row {
@@ -186,7 +186,7 @@
     for name in given().assumed.keys() {
         let mut changed = given();
         changed.assumed.get_mut(name).expect("there").value *= 1.5;
-        let book = Book::new(&root(), Measured(made_up()), Value::Null, changed);
+        let book = Book::new(&root(), MeasuredSeries(made_up()), Value::Null, changed);
         let after = tables(&book).expect("whole");
         let differ = before
             .iter()
@@ -290,7 +290,7 @@
         "flat-news".into(),
         line("ms", &[100.0, 200.0, 400.0], 0.0, 10.0),
     );
-    let book = Book::new(&root(), Measured(series), Value::Null, small);
+    let book = Book::new(&root(), MeasuredSeries(series), Value::Null, small);
     let flat = control::balancer_flat(&book);
     near(value(row(&flat, news, "at rest")), 3.0);
 }
@@ -333,7 +333,7 @@
     let one = assumed.assumed["servers"].clone();
     assumed.assumed.insert("odd".into(), one);
     assumed.assumed.remove("warm-up");
-    let book = Book::new(&root(), Measured::default(), Value::Null, assumed);
+    let book = Book::new(&root(), MeasuredSeries::default(), Value::Null, assumed);
     let what = refused(&book);
     assert!(
         what.contains("'odd'") && what.contains("'warm-up'"),
@@ -405,7 +405,7 @@
     ], "cuts": [
         {"what": "a region for an hour", "control": null, "followers": 350, "bytes": 7e6, "all": 14e6},
     ]});
-    let book = Book::new(&root(), Measured::default(), plays, given());
+    let book = Book::new(&root(), MeasuredSeries::default(), plays, given());
     let rows = control::balancer_follow(&book);
     let when = "5,700 a day and a burst of 100 in a minute, 1% loss";
     let last = row(
--- a/crates/fleet-rig/tests/scale.rs
+++ b/crates/fleet-rig/tests/scale.rs
@@ -3,7 +3,7 @@
 use clap::Parser;
 use spanspur_fleet_rig::meter::Meter;
 use spanspur_fleet_rig::scale::{self, Args, NEWS_KEY, Point};
-use spanspur_fleet_rig::series::Measured;
+use spanspur_fleet_rig::series::MeasuredSeries;
 use spanspur_fleet_rig::world::{address, name};
 use spanspur_fleet_rig::{Fault, Plan, World};
 use std::collections::BTreeMap;
@@ -73,7 +73,9 @@
     let read = |name: &str| std::fs::read_to_string(folder.join(name)).expect("written");
     let runs: BTreeMap<usize, Vec<Point>> =
         serde_json::from_str(&read("scale-flat.json")).expect("read");
-    let measured = Measured::read(&folder.join("scale.json")).expect("read").0;
+    let measured = MeasuredSeries::read(&folder.join("scale.json"))
+        .expect("read")
+        .0;
     let (page, chart) = (read("scale.md"), read("scale-limits.svg"));
     std::fs::remove_dir_all(&folder).expect("removed");
     runs.values().flatten().for_each(sane);
--- a/crates/fleet-rig/tests/series.rs
+++ b/crates/fleet-rig/tests/series.rs
@@ -1,6 +1,6 @@
 //! The lines through measured points, and the file that keeps them.
 
-use spanspur_fleet_rig::series::{Measured, Series};
+use spanspur_fleet_rig::series::{MeasuredSeries, Series};
 
 fn series(points: &[(f64, f64)]) -> Series {
     Series {
@@ -23,10 +23,13 @@
         (16.0, 35.0),
     ]);
     let fit = exact.fit().expect("five points");
-    assert!((fit.slope - 2.0).abs() < 1e-9 && (fit.base - 3.0).abs() < 1e-9);
-    assert!(fit.spread < 1e-9 && fit.off < 1e-9);
-    assert_eq!(exact.at(100.0).map(f64::round), Some(203.0));
-    assert_eq!((exact.stretch(8.0), exact.stretch(160.0)), (1.0, 10.0));
+    assert!((fit.slope - 2.0).abs() < 1e-9 && (fit.intercept - 3.0).abs() < 1e-9);
+    assert!(fit.slope_error < 1e-9 && fit.max_residual < 1e-9);
+    assert_eq!(exact.predict(100.0).map(f64::round), Some(203.0));
+    assert_eq!(
+        (exact.extrapolation(8.0), exact.extrapolation(160.0)),
+        (1.0, 10.0)
+    );
 
     let bent = series(&[
         (1.0, 5.0),
@@ -37,8 +40,8 @@
     ]);
     let fit = bent.fit().expect("five points");
     // The standard error by hand: residuals of the least-squares line over 3 degrees of freedom.
-    assert!((fit.spread - 0.1244).abs() < 1e-3, "{fit:?}");
-    assert!(fit.off > 0.05 && fit.off < 0.1, "{fit:?}");
+    assert!((fit.slope_error - 0.1244).abs() < 1e-3, "{fit:?}");
+    assert!(fit.max_residual > 0.05 && fit.max_residual < 0.1, "{fit:?}");
 
     assert_eq!(series(&[(3.0, 1.0)]).fit(), None);
     assert_eq!(series(&[(3.0, 1.0), (3.0, 2.0)]).fit(), None);
@@ -47,14 +50,16 @@
 #[test]
 fn a_series_is_put_beside_the_others() {
     let file = std::env::temp_dir().join(format!("spanspur-series-{}.json", std::process::id()));
-    let put = |name: &str, y: f64| Measured::put(&file, [(name.to_owned(), series(&[(1.0, y)]))]);
+    let put = |name: &str, y: f64| {
+        MeasuredSeries::update(&file, [(name.to_owned(), series(&[(1.0, y)]))])
+    };
     put("a", 1.0)
         .and(put("b", 2.0))
         .and(put("a", 3.0))
         .expect("written");
-    let read = Measured::read(&file).expect("read");
+    let read = MeasuredSeries::read(&file).expect("read");
     std::fs::write(&file, "{\"a\": {\"odd\": 1}}").expect("written");
-    let odd = Measured::read(&file);
+    let odd = MeasuredSeries::read(&file);
     std::fs::remove_file(&file).expect("removed");
     let values: Vec<f64> = read.0.values().map(|s| s.points[0].1).collect();
     assert_eq!(values, [3.0, 2.0]);
--- a/tests/sockets/replace.rs
+++ b/tests/sockets/replace.rs
@@ -287,7 +287,7 @@
     std::fs::write(folder.join("service.md"), text).expect("written");
     let chart = folder.join("service-replacement.svg");
     let axes = ("standing connections", "ms");
-    spanspur_fleet_rig::charts::lines(&chart, "A process is replaced", axes, false, &lines)
+    spanspur_fleet_rig::charts::line_chart(&chart, "A process is replaced", axes, false, &lines)
         .expect("drawn");
 }
 
