--- a/src/lifecycle/reload.rs
+++ b/src/lifecycle/reload.rs
@@ -32,7 +32,7 @@
     pub fn run(&mut self) {
         match self.read() {
             Ok((config, operator)) => self.apply(config, operator),
-            Err(error) => tracing::error!(%error, "reload failed, configuration unchanged"),
+            Err(error) => tracing::error!(%error, "not reloaded, configuration unchanged"),
         }
     }
 
