--- a/src/balancer/api/action.rs
+++ b/src/balancer/api/action.rs
@@ -5,7 +5,8 @@
 /// An action for the process to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the request to a server. Attempts of a request are numbered from 0.
+    /// Start the request's next attempt, at this server. The process numbers the attempts of a request from
+    /// 0, in the order of these actions.
     StartAttempt {
         /// The request.
         id: RequestId,
--- a/src/balancer/api/config.rs
+++ b/src/balancer/api/config.rs
@@ -9,7 +9,7 @@
     All,
     /// The servers of one zone.
     Zone,
-    /// The servers of one cell.
+    /// The servers of one cell: a group of servers with a common store of idempotency keys.
     Cell,
 }
 
@@ -66,7 +66,7 @@
     pub balancer_count: u32,
     /// This balancer's index among them, from 0.
     pub balancer_index: u32,
-    /// This balancer's zone.
+    /// This balancer's zone. Not used for decisions.
     pub zone: u32,
     /// The request classes, indexed by [`Request::class`](super::Request::class).
     pub classes: Vec<RequestClass>,
@@ -80,7 +80,8 @@
     pub can_cancel_attempts: bool,
     /// Longest Retry-After that clients honour, in seconds; `None` if rejections carry no Retry-After.
     pub max_retry_after: Option<Time>,
-    /// Whether servers report message latency in addition to load.
+    /// Whether servers report message latency in addition to load. Used by the process to classify reports,
+    /// not for decisions.
     pub reports_latency: bool,
     /// Longest time between polls that discovery allows, in seconds. The backoff after a failed poll is a
     /// fraction of this time. Used with [`DiscoveryMode::Polled`].
--- a/src/balancer/api/endpoint.rs
+++ b/src/balancer/api/endpoint.rs
@@ -4,8 +4,8 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Identifies a server: the XXH3 hash of its id in discovery. The same on every balancer, whereas the address
-/// may differ.
+/// Identifies a server: the XXH3 hash of its id in discovery. All balancers compute the same value, even if
+/// they reach the server at different addresses.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -49,7 +49,7 @@
     pub weight: f64,
     /// When it last started; 0 if it started long ago.
     pub started_at: Time,
-    /// Its cell.
+    /// Its cell, see [`DeduplicationScope::Cell`](super::DeduplicationScope::Cell).
     pub cell: u32,
 }
 
@@ -60,6 +60,6 @@
     Delta,
     /// All endpoints; an absent one has been removed.
     Full,
-    /// All endpoints as cached before a restart, possibly stale.
+    /// All endpoints as cached before a restart, possibly stale. Applied like [`UpdateKind::Full`].
     Cached,
 }
--- a/src/balancer/api/event.rs
+++ b/src/balancer/api/event.rs
@@ -37,8 +37,8 @@
 pub struct AttemptEnded {
     /// The request.
     pub id: RequestId,
-    /// The attempt's number, from 0. Not used for decisions: since a request has one attempt in flight at a
-    /// time, the server identifies it.
+    /// The attempt's number, from 0. Not used for decisions: a request has one attempt in flight at a time,
+    /// so the server identifies the attempt.
     pub attempt: u32,
     /// The server it was sent to.
     pub server: ServerId,
@@ -60,7 +60,8 @@
     },
     /// A poll of discovery or the subscription to it failed; the endpoint list remains in use.
     DiscoveryFailed,
-    /// The configuration was reloaded; it may name another discovery service.
+    /// The configuration was reloaded. Discovery is polled again, as the reload may have replaced the
+    /// discovery service.
     ConfigChanged(BalancerConfig),
     /// A client requests a connection, and must get exactly one final answer.
     Request(Request),
@@ -99,14 +100,15 @@
     HealthChecked {
         /// The server.
         server: ServerId,
-        /// `None` if the check succeeded; otherwise when the ejection ends, unless a check succeeds before.
+        /// `None` if the check succeeded; otherwise when the ejection ends, unless a check succeeds earlier.
         ejected_until: Option<Time>,
     },
     /// The client disconnected and needs no answer.
     ClientDisconnected(RequestId),
-    /// Graceful shutdown: a request without a final answer gets it now.
+    /// The deadline of a graceful shutdown was reached: the request gets its final answer now.
     ShutdownDeadline(RequestId),
-    /// The timer with this token fired ([`Action::SetTimer`](super::Action::SetTimer)).
+    /// The timer with this token fired ([`Action::SetTimer`](super::Action::SetTimer)). An unknown token is
+    /// ignored.
     Timer(u64),
     /// A message from another balancer. Part of the simulator's protocol; ignored.
     PeerMessage(Vec<u8>),
--- a/src/balancer/api/request.rs
+++ b/src/balancer/api/request.rs
@@ -41,7 +41,8 @@
     pub deadline: Time,
     /// Expected load of the connection, in microseconds of work per second.
     pub load_hint: Option<f64>,
-    /// The packets belong to a connection that was established elsewhere, whose server may be draining.
+    /// The request is in the middle of a flow: it belongs to a connection that was established elsewhere,
+    /// whose server may be draining.
     pub mid_flow: bool,
     /// The client had a connection before, which broke or migrated.
     pub is_reconnect: bool,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,10 +5,10 @@
 //! | [`balancer`] | all decisions, sans-I/O; [`api`] is its interface |
 //! | [`protocol`], [`config`], [`discovery`] | protocols, settings and discovery, translated to the types of [`api`] |
 //! | [`runtime`] | owns the balancer and its clock, and dispatches its actions |
-//! | [`proxy`] | the data path: first line, request, attempt, relay |
+//! | [`proxy`] | the data path: a client's first line, its request, the attempts and the relay |
 //! | [`transfer`] | the state that a process hands to its successor in a hot restart |
 //! | [`lifecycle`], [`admin`], [`cluster`], [`cli`] | startup to shutdown, admin interface, cluster membership, command line |
-//! | [`invariants`] | invariants: asserted in debug builds, counted and logged in release builds |
+//! | [`invariants`] | run-time checks, asserted in debug builds, counted and logged in release builds |
 //!
 //! The balancer does no I/O: the caller passes [`Event`](api::Event)s and the time to a [`Balancer`], and carries out the
 //! [`Action`](api::Action)s that it returns.
