--- a/src/balancer/attempt.rs
+++ b/src/balancer/attempt.rs
@@ -76,12 +76,13 @@
         self.attach_request(id, server, load);
     }
 
-    /// Starts the backoff gap after an attempt, if the backoff is active.
+    /// Starts the backoff gap after an attempt, if the backoff is active. The unit of the gap is at most the
+    /// queue interval.
     fn start_backoff_gap(&mut self, now: Time) {
         if self.backoff.is_active() {
             let gap = self
                 .backoff
-                .gap(self.queue_interval, self.arrival_rate.first_attempts);
+                .gap(self.queue_interval, self.arrival_rate.new_clients);
             let jittered_gap = gap * self.random.next_jitter();
             self.backoff.block_until(now + jittered_gap);
         }
@@ -108,6 +109,8 @@
         if let Some(server) = self.server_mut(server) {
             server.record_established();
         }
+        // The excess over the median counts as message latency. It can mark the server as busy, but not as no
+        // longer busy.
         if let Some(excess) = self.setup_time.record(setup_time) {
             let latency_ratio = excess / self.busy_latency_threshold;
             if latency_ratio >= 1.0 {
@@ -116,7 +119,8 @@
         }
     }
 
-    /// Adopts a connection that was established before this balancer started.
+    /// Adopts a connection that was established before this balancer started. Ignored if the request is known
+    /// or its server is not listed.
     pub(super) fn adopt_established(&mut self, now: Time, request: &Request, server: ServerId) {
         if self.requests.contains_key(&request.id) || self.server_index(server).is_none() {
             return;
--- a/src/balancer/backoff.rs
+++ b/src/balancer/backoff.rs
@@ -7,14 +7,14 @@
 
 /// Maximum exponent: the gap is at most 2^7 units.
 const MAX_EXPONENT: u32 = 7;
-/// The unit of the gap, in mean interarrival times of first attempts: in the same gap, more requests arrive
-/// at a busy balancer.
+/// The unit of the gap, in mean interarrival times of requests of new clients: in a gap of a fixed length,
+/// more requests would arrive at a busy balancer.
 const GAP_UNIT_INTERARRIVAL_TIMES: f64 = 1.0 / 12.0;
 
 /// The state of the backoff. Part of the snapshot: the order and the types of the fields are fixed.
 #[derive(Default, Deserialize, Serialize)]
 pub(super) struct Backoff {
-    /// The gap is 2 to this power units; 0 means no gap.
+    /// The gap is `2^backoff_exponent` units; at 0 there is no gap.
     backoff_exponent: u32,
     /// No attempt starts before this time.
     next_attempt_at: Time,
@@ -39,10 +39,10 @@
         self.backoff_exponent > 0
     }
 
-    /// The gap in seconds, before jitter. `max_unit` is in seconds, `first_attempt_rate` in attempts per
-    /// second.
-    pub(super) fn gap(&self, max_unit: Time, first_attempt_rate: f64) -> Time {
-        let unit = max_unit.min(GAP_UNIT_INTERARRIVAL_TIMES / first_attempt_rate);
+    /// The gap in seconds, before jitter. `max_unit`, in seconds, limits the unit where requests are rare.
+    /// `new_client_rate` is in requests per second.
+    pub(super) fn gap(&self, max_unit: Time, new_client_rate: f64) -> Time {
+        let unit = max_unit.min(GAP_UNIT_INTERARRIVAL_TIMES / new_client_rate);
         unit * f64::from(1 << self.backoff_exponent)
     }
 
--- a/src/balancer/discovery_poll.rs
+++ b/src/balancer/discovery_poll.rs
@@ -18,12 +18,13 @@
 #[derive(Default, Deserialize, Serialize)]
 pub(super) struct DiscoveryPoll {
     consecutive_failures: i32,
-    /// Whether the first poll was requested.
-    is_started: bool,
+    /// Whether the first poll since the start or the last configuration change was requested.
+    is_first_poll_requested: bool,
 }
 
 impl DiscoveryPoll {
-    /// Forgets all failures and polls anew: the configuration may name another discovery service.
+    /// Forgets all failures and has the first poll requested again: the discovery service may have been
+    /// replaced along with the configuration.
     pub(super) fn reset(&mut self) {
         *self = Self::default();
     }
@@ -42,10 +43,11 @@
 }
 
 impl Balancer {
-    /// Requests the first poll, unless it was requested before.
-    pub(super) fn poll_discovery_at_start(&mut self, actions: &mut Vec<Action>) {
-        let was_started = std::mem::replace(&mut self.discovery_poll.is_started, true);
-        if !was_started && self.config.discovery_mode == DiscoveryMode::Polled {
+    /// Requests the first poll after the start and after each configuration change.
+    pub(super) fn request_first_poll(&mut self, actions: &mut Vec<Action>) {
+        let was_requested =
+            std::mem::replace(&mut self.discovery_poll.is_first_poll_requested, true);
+        if !was_requested && self.config.discovery_mode == DiscoveryMode::Polled {
             actions.push(Action::PollDiscovery);
         }
     }
--- a/src/balancer/load_estimate.rs
+++ b/src/balancer/load_estimate.rs
@@ -24,8 +24,8 @@
 /// are fixed.
 #[derive(Default, Deserialize, Serialize)]
 pub(super) struct ArrivalRate {
-    /// Requests per second, without reconnects.
-    pub(super) first_attempts: f64,
+    /// Requests of new clients per second, that is, without reconnects.
+    pub(super) new_clients: f64,
     /// Requests per second, including reconnects.
     pub(super) total: f64,
     /// When the last request was recorded.
@@ -36,8 +36,8 @@
     pub(super) fn record(&mut self, now: Time, is_reconnect: bool) {
         let decay = libm::exp((self.updated_at - now) / ARRIVAL_RATE_TIME_CONSTANT);
         let arrival = 1.0 / ARRIVAL_RATE_TIME_CONSTANT;
-        let first_attempt = if is_reconnect { 0.0 } else { arrival };
-        self.first_attempts = self.first_attempts * decay + first_attempt;
+        let new_client = if is_reconnect { 0.0 } else { arrival };
+        self.new_clients = self.new_clients * decay + new_client;
         self.total = self.total * decay + arrival;
         self.updated_at = now;
     }
@@ -81,12 +81,12 @@
     /// Adds a request and its load to a server.
     pub(super) fn attach_request(&mut self, id: RequestId, server: ServerId, load: f64) {
         if let Some(server) = self.server_mut(server) {
-            server.in_flight.insert(id);
+            server.attached_requests.insert(id);
             server.load += load;
         }
     }
 
-    /// Mean load of a connection, in microseconds of work per second.
+    /// Mean load of a connection, in microseconds of work per second; a default before the first load report.
     pub(super) fn mean_load(&self) -> f64 {
         let mean = self.mean_load.mean;
         if mean > 0.0 {
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -61,7 +61,7 @@
     servers: Vec<Server>,
     #[serde(skip)]
     requests: BTreeMap<RequestId, RequestState>,
-    /// Seconds between two passes over the queue, before jitter.
+    /// Seconds between two passes over the queue, before jitter. Also the maximum unit of the backoff gap.
     queue_interval: Time,
     /// Message latency, in seconds, at or above which a server is busy.
     busy_latency_threshold: Time,
@@ -97,7 +97,7 @@
         if let Event::ConfigChanged(config) = event {
             self.apply_config(config);
         }
-        self.poll_discovery_at_start(actions);
+        self.request_first_poll(actions);
         match event {
             Event::EndpointsUpdated { kind, endpoints } => {
                 self.update_endpoints(now, *kind, endpoints);
@@ -146,6 +146,7 @@
             .ok()
     }
 
+    /// The class of a request; `None` if the configuration has no such class.
     fn class(&self, state: &RequestState) -> Option<&RequestClass> {
         self.config.classes.get(state.request.class)
     }
--- a/src/balancer/outlier_ejection.rs
+++ b/src/balancer/outlier_ejection.rs
@@ -32,7 +32,7 @@
     fn eject(&mut self, now: Time, base_ejection: Time) {
         let doublings = self.consecutive_failures.min(MAX_EJECTION_DOUBLINGS);
         let ejection = base_ejection * f64::from(1 << doublings);
-        self.ejected_until = self.ejected_until.max(now + ejection);
+        self.avoided_until = self.avoided_until.max(now + ejection);
         self.consecutive_failures += 1;
         self.last_unhealthy_at = now;
     }
@@ -47,7 +47,8 @@
 }
 
 impl Balancer {
-    /// Records the outcome of an attempt or a connection, and ejects the server if it fails.
+    /// Records the outcome of an attempt or a connection, and ejects the server if the outcome is a
+    /// failure of the server.
     pub(super) fn record_outcome(&mut self, now: Time, server: ServerId, outcome: Outcome) {
         let base_ejection = BASE_EJECTION_CONNECT_TIMEOUTS * self.config.connect_timeout;
         let Some(server) = self.server_mut(server) else {
@@ -61,9 +62,9 @@
         }
         // An attempt or connection that ends during an ejection began before it: many connections that break
         // at once count as one failure.
-        if server.consecutive_failures == 0 || now >= server.ejected_until {
+        if server.consecutive_failures == 0 || now >= server.avoided_until {
             server.eject(now, base_ejection);
-            // Attempts do no harm to a server that cannot be reached.
+            // A server that cannot be reached is not overloaded by attempts, so no backoff is needed.
             if outcome != Outcome::ConnectFailed {
                 self.backoff.increase();
             }
@@ -81,12 +82,12 @@
             return;
         };
         if let Some(ejected_until) = ejected_until {
-            server.ejected_until = server.ejected_until.max(ejected_until);
+            server.avoided_until = server.avoided_until.max(ejected_until);
             server.consecutive_failures = server.consecutive_failures.max(1);
             server.last_unhealthy_at = now;
         } else if server.consecutive_failures > 0 {
             server.consecutive_failures = 0;
-            server.ejected_until = now;
+            server.avoided_until = now;
         }
     }
 }
--- a/src/balancer/overload.rs
+++ b/src/balancer/overload.rs
@@ -8,8 +8,8 @@
 use super::api::{Action, BalancerConfig, RequestId, ServerId, Time};
 use super::request_state::{Phase, RequestState};
 
-/// The busy threshold as a fraction of the strictest message latency objective. Servers report latency above
-/// it.
+/// The busy threshold as a fraction of the strictest message latency objective. The process reports message
+/// latency above the same threshold (`runtime::latency_tracker`).
 const BUSY_THRESHOLD_OBJECTIVES: f64 = 1.0 / 3.0;
 /// Latency ratio at or above which a server gets no attempts, even if all others are busy too.
 pub(super) const OVERLOADED_RATIO: f64 = 1.5;
@@ -34,11 +34,12 @@
     strictest_objective * BUSY_THRESHOLD_OBJECTIVES
 }
 
-/// Number of a busy server's connections to migrate on a report, before rounding.
-fn migration_count(in_flight: usize, latency_ratio: f64) -> f64 {
-    let boost = SINGLE_CONNECTION_MIGRATION_BOOST * libm::exp(1.0 - in_flight as f64);
+/// Number of a busy server's connections to migrate on a report, before rounding. `attached` is the number of
+/// this balancer's requests at the server.
+fn migration_count(attached: usize, latency_ratio: f64) -> f64 {
+    let boost = SINGLE_CONNECTION_MIGRATION_BOOST * libm::exp(1.0 - attached as f64);
     let share = MIGRATION_SHARE * (1.0 + boost);
-    in_flight as f64 * share * ((latency_ratio - 1.0) / (SATURATED_RATIO - 1.0)).min(1.0)
+    attached as f64 * share * ((latency_ratio - 1.0) / (SATURATED_RATIO - 1.0)).min(1.0)
 }
 
 impl Balancer {
@@ -65,8 +66,9 @@
         if let Some(server) = self.server_mut(id) {
             let is_busy = latency_ratio >= 1.0;
             server.latency_ratio = latency_ratio;
-            // This also ends an ejection for failures, since the server responds.
-            server.ejected_until = if is_busy { now + BUSY_REPORT_TTL } else { now };
+            // A server that is not busy is no longer ejected for failures either, since it responds. A busy
+            // server that is ejected stays so until the report expires.
+            server.avoided_until = if is_busy { now + BUSY_REPORT_TTL } else { now };
             if latency_ratio >= OVERLOADED_RATIO {
                 server.last_unhealthy_at = now;
             }
@@ -89,12 +91,16 @@
         rounding: f64,
         actions: &mut Vec<Action>,
     ) {
-        let in_flight: Vec<RequestId> = match self.server_index(from) {
-            Some(index) => self.servers[index].in_flight.iter().copied().collect(),
+        let attached: Vec<RequestId> = match self.server_index(from) {
+            Some(index) => self.servers[index]
+                .attached_requests
+                .iter()
+                .copied()
+                .collect(),
             None => Vec::new(),
         };
-        let count = migration_count(in_flight.len(), latency_ratio);
-        let mut heaviest: Vec<&RequestState> = in_flight
+        let count = migration_count(attached.len(), latency_ratio);
+        let mut heaviest: Vec<&RequestState> = attached
             .iter()
             .filter_map(|id| self.requests.get(id))
             .filter(|state| state.phase == Phase::Established(from))
--- a/src/balancer/rendezvous.rs
+++ b/src/balancer/rendezvous.rs
@@ -6,7 +6,8 @@
 use super::servers::Server;
 
 /// The weighted rendezvous score of a server for a key. The server with the highest score gets the key, so
-/// that each server gets a share of the keys proportional to its weight.
+/// that each server gets a share of the keys proportional to its weight. The weight must be finite and
+/// positive; the score is positive.
 pub fn score(key: Key, server: ServerId, weight: f64) -> f64 {
     score_of_hash(hash(key, server), weight)
 }
--- a/src/balancer/request_state.rs
+++ b/src/balancer/request_state.rs
@@ -3,7 +3,7 @@
 use super::Balancer;
 use super::api::{Key, Request, RequestId, ServerId, Time};
 
-/// The phase of a request.
+/// The phase of a request that has not ended.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Phase {
     /// Between attempts, or queued for capacity.
@@ -36,16 +36,16 @@
 pub(super) struct RequestState {
     pub(super) request: Request,
     pub(super) phase: Phase,
-    /// Number of attempts started.
+    /// Number of attempts started; 1 for an adopted connection.
     pub(super) attempts: u32,
-    /// The servers of these attempts.
+    /// The servers of these attempts, without that of an adopted connection.
     pub(super) attempted: Vec<ServerId>,
-    /// When the last attempt started.
+    /// When the last attempt started; before the first one, when the request arrived.
     pub(super) sent_at: Time,
     pub(super) first_possible_execution: Option<PossibleExecution>,
     /// Load in microseconds of work per second: the last reported one, else the hint, else the mean.
     pub(super) load: f64,
-    /// Number of servers that answered with an error.
+    /// Number of attempts that a server answered with an error.
     pub(super) error_responses: u32,
 }
 
@@ -86,7 +86,7 @@
         if let Some(server) = phase.server()
             && let Some(server) = self.server_mut(server)
         {
-            server.in_flight.remove(&id);
+            server.attached_requests.remove(&id);
             server.load -= load;
         }
     }
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -34,7 +34,7 @@
 }
 
 impl Balancer {
-    /// Decides whether an attempt of a request may start now.
+    /// Decides whether an attempt of a request, the first or a retry, may start now.
     pub(super) fn decide_retry(&self, now: Time, state: &RequestState) -> RetryDecision {
         if state.attempts >= self.config.max_attempts {
             return RetryDecision::AttemptsExhausted;
@@ -68,7 +68,8 @@
         state.request.deadline.min(now + timeout)
     }
 
-    /// The latency objective in seconds. For a request whose class does not exist, its deadline.
+    /// The latency objective in seconds. For a request whose class does not exist, its deadline, which is
+    /// too long for the request to be queued.
     pub(super) fn latency_objective(&self, state: &RequestState) -> Time {
         self.class(state)
             .map_or(state.request.deadline, |class| class.latency_objective)
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -16,9 +16,11 @@
 const WARMING_UP_LEVEL: f64 = -1.0;
 /// Highest load level that estimated load alone leads to, below the level of a server that is reported busy.
 const MAX_ESTIMATED_LEVEL: f64 = 0.95;
-/// A server that warms up is preferred by the keys that rank it within at least this share of the servers.
+/// A key prefers a server that warms up if it ranks the server within a leading share of all servers. This is
+/// the minimum of that share.
 const MIN_PREFERRED_SHARE: f64 = 0.2;
-/// With few arrivals in an overload window, the share is this factor divided by the square of the arrivals.
+/// The share is this factor divided by the square of the arrivals in an overload window. With few arrivals it
+/// thus exceeds [`MIN_PREFERRED_SHARE`].
 const FEW_ARRIVALS_PREFERRED_FACTOR: f64 = 0.27;
 
 /// Why a server gets no attempt of a request.
@@ -50,7 +52,7 @@
     now: Time,
     state: &'a RequestState,
     key: Key,
-    /// The scope that discards duplicates, and the attempt that may have executed in it.
+    /// The first attempt that may have executed, and the scope in which its duplicates are discarded.
     deduplication: Option<(DeduplicationScope, PossibleExecution)>,
     /// The server that the connection is to migrate off.
     migrating_from: Option<ServerId>,
@@ -61,6 +63,7 @@
     server: ServerId,
     load_level: f64,
     score: f64,
+    /// The endpoint's weight times the capacity share.
     weight: f64,
     hash: f64,
 }
@@ -181,6 +184,7 @@
         server: &Server,
         capacity_share: f64,
     ) -> Result<f64, Ineligible> {
+        // The server may have the request's connection, whatever its load and even if it is ejected.
         if selection.state.request.mid_flow {
             return Ok(NORMAL_LEVEL);
         }
@@ -198,7 +202,7 @@
             .min(MAX_ESTIMATED_LEVEL))
     }
 
-    /// Whether the key ranks a server that warms up among the first, by the server's full weight.
+    /// Whether the key prefers a server that warms up, see [`MIN_PREFERRED_SHARE`]. Ranks are by full weight.
     fn is_preferred_by(&self, key: Key, server: &Server) -> bool {
         let arrivals = self.arrival_rate.total * self.config.overload_window;
         let share =
--- a/src/balancer/servers.rs
+++ b/src/balancer/servers.rs
@@ -16,16 +16,16 @@
     pub(super) endpoint: Endpoint,
     /// Requests of this balancer at the server: attempts in flight and established connections.
     #[serde(skip)]
-    pub(super) in_flight: BTreeSet<RequestId>,
+    pub(super) attached_requests: BTreeSet<RequestId>,
     /// Message latency divided by the busy threshold: the server is busy at 1 or more.
     pub(super) latency_ratio: f64,
-    /// Until when the server is ejected, or counts as busy if `consecutive_failures` is 0.
-    pub(super) ejected_until: Time,
+    /// Until when the server is ejected, or busy if `consecutive_failures` is 0.
+    pub(super) avoided_until: Time,
     /// Consecutive ejections for failures.
     pub(super) consecutive_failures: u32,
-    /// Moving average of the share of answers that are errors or resets.
+    /// Moving average of the share of errors and resets among errors, resets and established connections.
     pub(super) error_rate: f64,
-    /// Load of the requests in `in_flight`, in microseconds of work per second.
+    /// Load of the requests in `attached_requests`, in microseconds of work per second.
     #[serde(skip)]
     pub(super) load: f64,
     /// When the server was last overloaded or ejected for a failure. Its recovery takes a slow-start window
@@ -47,12 +47,12 @@
 
     /// Whether the server is ejected because of failures, and so gets no attempts.
     pub(super) fn is_ejected(&self, now: Time) -> bool {
-        self.ejected_until > now && self.consecutive_failures > 0
+        self.avoided_until > now && self.consecutive_failures > 0
     }
 
     /// Whether the server is reported busy, and so gets attempts only if no other server is less busy.
     pub(super) fn is_busy(&self, now: Time) -> bool {
-        self.ejected_until > now && self.consecutive_failures == 0
+        self.avoided_until > now && self.consecutive_failures == 0
     }
 }
 
@@ -104,7 +104,7 @@
                 } else {
                     // A restart: failures and latency of the old process do not apply to the new one.
                     let old = std::mem::replace(known, new);
-                    known.in_flight = old.in_flight;
+                    known.attached_requests = old.attached_requests;
                     known.load = old.load;
                 }
             }
@@ -122,11 +122,11 @@
     /// Forgets removed servers, except those that have requests or would still be warming up: a server that
     /// is listed again must not get a new slow-start budget.
     fn forget_removed_servers(&mut self, now: Time) {
-        let warming_up_since = now - self.config.slow_start_window;
+        let earliest_warm_up_start = now - self.config.slow_start_window;
         self.servers.retain(|server| {
             server.endpoint.state != EndpointState::Removed
-                || !server.in_flight.is_empty()
-                || server.endpoint.started_at > warming_up_since
+                || !server.attached_requests.is_empty()
+                || server.endpoint.started_at > earliest_warm_up_start
         });
     }
 }
--- a/src/balancer/setup_time.rs
+++ b/src/balancer/setup_time.rs
@@ -1,5 +1,5 @@
-//! The median set-up time of a connection. Where no message latency is reported, a set-up time far above the
-//! median shows that a server is busy.
+//! The median set-up time of a connection. A set-up time far above the median shows that a server is busy,
+//! even if no message latency is reported.
 
 use super::api::Time;
 use serde::{Deserialize, Serialize};
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -7,10 +7,12 @@
 use super::servers::Server;
 use serde::{Deserialize, Serialize};
 
-/// Used share of what a server that warms up withstands; the rest is a margin for errors of other balancers.
+/// Share of what a server that warms up withstands that all balancers together may use. The rest is a margin
+/// for errors of other balancers.
 const WARM_UP_BUDGET_SHARE: f64 = 0.85;
-/// Refill rate at the start of a recovery, as a multiple of the server's share of first attempts.
-const RECOVERY_INITIAL_RATE: f64 = 2.0;
+/// Refill rate at the start of a recovery, as a multiple of the server's share of the requests of new
+/// clients.
+const RECOVERY_INITIAL_MULTIPLE: f64 = 2.0;
 /// Number of times the refill rate doubles during a recovery, which takes a slow-start window.
 const RECOVERY_DOUBLINGS: f64 = 2.0;
 /// A fleet has spare capacity if its load, as estimated from this balancer's connections, is below this share
@@ -87,7 +89,8 @@
         };
         let tokens = server.slow_start_tokens.accrued(now, refill_rate);
         let burst = refill_rate * self.config.overload_window;
-        // Whole tokens expire if unused: saved up on all balancers, they could be spent in one burst.
+        // A whole token expires if it is not used within an overload window: saved up on all balancers, such
+        // tokens could be spent in one burst.
         if warms_up && tokens >= 1.0 && tokens.fract() > burst {
             return tokens.fract();
         }
@@ -105,12 +108,12 @@
             * self.full_capacity_rate(server)
     }
 
-    /// A multiple of the server's share of first attempts, in attempts per second. The multiple grows
-    /// exponentially during the recovery.
+    /// A multiple of the server's share of the requests of new clients, in attempts per second. The multiple
+    /// grows exponentially during the recovery.
     fn recovery_refill_rate(&self, now: Time, server: &Server) -> f64 {
         let progress = (now - server.last_unhealthy_at) / self.config.slow_start_window;
         let growth = libm::exp2(RECOVERY_DOUBLINGS * progress);
-        let rate = RECOVERY_INITIAL_RATE * (self.arrival_rate.first_attempts * growth);
+        let rate = RECOVERY_INITIAL_MULTIPLE * (self.arrival_rate.new_clients * growth);
         let min_rate = if self.recovers_with_spare_capacity(server) {
             self.full_capacity_rate(server)
         } else {
