--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -18,7 +18,7 @@
     }
 }
 
-/// Many balancers, each with connections to the warm servers in turn.
+/// Many balancers. The connections of each are spread evenly over the warm servers.
 struct Fleet {
     balancers: Vec<TestBalancer>,
     random: Random,
@@ -78,8 +78,8 @@
         }
     }
 
-    /// A client of the group requests a connection from the balancer. If there is an attempt, its connection is
-    /// established at once. Returns its server.
+    /// A client of the group requests a connection from the balancer. If an attempt starts, its connection is
+    /// established at once. Returns the server of the attempt.
     fn connect(&mut self, now: Time, balancer: usize, group: u64) -> Option<ServerId> {
         let id = self.balancers[balancer].next_id();
         let request = Request {
@@ -105,7 +105,8 @@
     }
 }
 
-/// Number of attempts that a server of weight [`WEIGHT`] withstands in two seconds, starting at `age`.
+/// Number of attempts that a server of weight [`WEIGHT`] withstands in two seconds, starting `age` seconds after
+/// its start. The numbers are those of the configuration in [`Fleet::with_size`].
 fn withstood_attempts(age: Time) -> f64 {
     let capacity_share = 0.13 + 0.87 * (age / SLOW_START_WINDOW).min(1.0);
     3.0 * capacity_share * (WEIGHT * 1e6 / CONNECTION_LOAD) / SLOW_START_WINDOW * 2.0
@@ -206,8 +207,9 @@
     );
 }
 
-/// Maximum number of attempts that a cold server may get in two seconds, starting at `age`, whatever the number of
-/// balancers: what the server withstands, plus a margin for chance. The operators state this bound.
+/// Maximum number of attempts that a cold server may get in two seconds, starting `age` seconds after its start,
+/// whatever the number of balancers: what the server withstands, plus a margin for chance. The operators state this
+/// bound.
 fn max_allowed_attempts(age: Time) -> f64 {
     let withstood = withstood_attempts(age);
     withstood + 2.0 * withstood.sqrt() + 2.0
--- a/tests/life.rs
+++ b/tests/life.rs
@@ -4,6 +4,9 @@
 use common::*;
 use spanspur::api::*;
 
+/// Token of the timer that retries the queue.
+const QUEUE_TIMER: u64 = 2;
+
 fn config_with(idempotency: Idempotency) -> BalancerConfig {
     BalancerConfig {
         classes: vec![RequestClass {
@@ -65,7 +68,7 @@
         // Rejections raise the backoff, so the request may be queued before its third attempt.
         let mut actions = balancer.end_attempt(1.2, id, 1, second, Outcome::ConnectFailed);
         if attempted_server(&actions).is_none() {
-            actions = balancer.handle(1.5, Event::Timer(2));
+            actions = balancer.handle(1.5, Event::Timer(QUEUE_TIMER));
         }
         let third = attempted_server(&actions).expect("a retry");
         assert!(first != second && second != third && first != third);
@@ -88,7 +91,7 @@
                 matches!(actions[..], [Action::SetTimer { .. }]),
                 "{actions:?}"
             );
-            actions = balancer.handle(now + 0.15, Event::Timer(2));
+            actions = balancer.handle(now + 0.15, Event::Timer(QUEUE_TIMER));
         }
         match attempted_server(&actions) {
             Some(next) => to = next,
@@ -150,7 +153,7 @@
         let actions = balancer.end_attempt(1.6, id, 1, second, Outcome::Rejected);
         assert_eq!(attempted_server(&actions), None);
         let actions = balancer
-            .handle(1.99, Event::Timer(2))
+            .handle(1.99, Event::Timer(QUEUE_TIMER))
             .into_iter()
             .chain(actions);
         let last: Vec<Action> = actions
@@ -178,7 +181,7 @@
 }
 
 #[test]
-fn at_the_shutdown_deadline_each_request_is_answered_once_by_whether_it_may_have_executed() {
+fn at_the_shutdown_deadline_a_request_is_rejected_if_a_retry_is_harmless_and_failed_otherwise() {
     let keyed = |scope| Idempotency::Keyed { scope, window: 5.0 };
     for (idempotency, is_retry_harmless) in [
         (Idempotency::Idempotent, true),
@@ -213,7 +216,7 @@
             is_rejection(&balancer.handle(1.4, Event::ShutdownDeadline(queued))),
             "{idempotency:?}"
         );
-        assert!(balancer.handle(1.5, Event::Timer(2)).is_empty());
+        assert!(balancer.handle(1.5, Event::Timer(QUEUE_TIMER)).is_empty());
     }
 }
 
@@ -226,8 +229,8 @@
         matches!(actions[..], [Action::StartAttempt { timeout_at, .. }] if timeout_at > 1.0 && timeout_at < 3.0),
         "{actions:?}"
     );
-    let late = balancer.next_id();
-    let actions = balancer.handle(1.0, Event::Request(Request::new(late, 0, 1.2)));
+    let short_deadline = balancer.next_id();
+    let actions = balancer.handle(1.0, Event::Request(Request::new(short_deadline, 0, 1.2)));
     assert!(
         matches!(actions[..], [Action::StartAttempt { timeout_at, .. }] if timeout_at == 1.2),
         "{actions:?}"
@@ -250,7 +253,7 @@
     let mut now = 1.0;
     loop {
         now += 0.1;
-        let actions = balancer.handle(now, Event::Timer(2));
+        let actions = balancer.handle(now, Event::Timer(QUEUE_TIMER));
         if actions.iter().any(|a| matches!(a, Action::Reject { .. })) {
             break assert!(now < 3.0);
         }
@@ -260,7 +263,7 @@
     let id = balancer.next_id();
     balancer.handle(4.0, Event::Request(Request::new(id, 0, 6.0)));
     balancer.update_endpoints(4.05, UpdateKind::Full, &endpoints(3));
-    assert!(attempted_server(&balancer.handle(4.2, Event::Timer(2))).is_some());
+    assert!(attempted_server(&balancer.handle(4.2, Event::Timer(QUEUE_TIMER))).is_some());
 }
 
 #[test]
@@ -353,7 +356,7 @@
         is_final: true,
     };
     assert!(balancer.handle(5.0, Event::AttemptEnded(ended)).is_empty());
-    let (other, unlisted) = (balancer.next_id(), ServerId::of("nobody:1"));
+    let (other, unlisted) = (balancer.next_id(), ServerId::of("unlisted:1"));
     assert!(
         balancer
             .handle(
@@ -398,7 +401,7 @@
     for i in 0..200 {
         let key = Some(Key::of(&format!("key {i}")));
         let id = balancer.next_id();
-        let home = balancer
+        let ranked_first = balancer
             .request(
                 1.0,
                 Request {
@@ -411,7 +414,7 @@
             state: EndpointState::Draining,
             ..*entry
         });
-        let one: Vec<Endpoint> = draining.filter(|entry| entry.id == home).collect();
+        let one: Vec<Endpoint> = draining.filter(|entry| entry.id == ranked_first).collect();
         balancer.update_endpoints(1.0, UpdateKind::Delta, &one);
         let id = balancer.next_id();
         assert_eq!(
@@ -423,7 +426,7 @@
                     ..Request::new(id, 0, 3.0)
                 }
             ),
-            Some(home)
+            Some(ranked_first)
         );
         let id = balancer.next_id();
         assert_ne!(
@@ -434,7 +437,7 @@
                     ..Request::new(id, 0, 3.0)
                 }
             ),
-            Some(home)
+            Some(ranked_first)
         );
         balancer.update_endpoints(1.0, UpdateKind::Full, &entries);
     }
@@ -504,7 +507,7 @@
     let mut balancer = balancer_with(config(), 3);
     let id = balancer.next_id();
     let mut actions = balancer.handle(1.0, Event::Request(Request::new(id, 9, 1.1)));
-    actions.extend(balancer.handle(1.09, Event::Timer(2)));
+    actions.extend(balancer.handle(1.09, Event::Timer(QUEUE_TIMER)));
     assert!(
         actions.iter().any(|a| matches!(a, Action::Reject { .. })),
         "{actions:?}"
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -5,6 +5,9 @@
 use spanspur::api::*;
 use std::collections::BTreeMap;
 
+/// Token of the timer that retries the queue.
+const QUEUE_TIMER: u64 = 2;
+
 fn endpoints(count: u64) -> Vec<Endpoint> {
     (0..count).map(endpoint).collect()
 }
@@ -161,7 +164,8 @@
     };
     let (cold, half, warm) = (share(0.01), share(5.0), share(10.0));
     // One of ten servers has weight 0.3, 0.65, then 1. A new balancer's token bucket starts with a pseudo-random
-    // fraction of a token. A whole token, which 0.16 of the balancers have half way, takes precedence over the ranking.
+    // fraction of a token. Half way through the window, 0.16 of the balancers have a whole token, with which the server
+    // takes precedence over the ranking.
     assert!(cold < 0.045, "{cold}");
     assert!(half > 0.05 && half < 0.18, "{half}");
     assert!(warm > 0.085 && warm < 0.115, "{warm}");
@@ -182,7 +186,7 @@
     let at_start = (0..20)
         .filter(|_| balancer.place(50.0, key) == Some(endpoint(0).id))
         .count();
-    assert!(at_start <= 1, "{at_start} at once");
+    assert!(at_start <= 1, "{at_start} attempts at once");
     assert_eq!(
         balancer.place(65.0, key),
         Some(endpoint(0).id),
@@ -201,7 +205,7 @@
         .count();
     assert!(
         after_restart <= 1,
-        "{after_restart} at once after the restart"
+        "{after_restart} attempts at once after the restart"
     );
 }
 
@@ -222,7 +226,7 @@
         let id = balancer.next_id();
         deadlines.insert(id, now + 2.0);
         let mut actions = balancer.handle(now, Event::Request(Request::new(id, 0, now + 2.0)));
-        actions.extend(balancer.handle(now, Event::Timer(2)));
+        actions.extend(balancer.handle(now, Event::Timer(QUEUE_TIMER)));
         for action in actions {
             match action {
                 Action::StartAttempt { id, server, .. } => {
@@ -598,7 +602,7 @@
 }
 
 #[test]
-fn requests_without_hints_or_groups_are_placed_on_a_single_server() {
+fn requests_without_hints_or_groups_are_placed_where_only_one_server_is_listed() {
     let mut balancer = TestBalancer::new(config());
     balancer.update_endpoints(0.0, UpdateKind::Full, &endpoints(1));
     for i in 0..100 {
@@ -611,7 +615,7 @@
 
 #[test]
 fn the_backoff_of_a_single_busy_balancer_does_not_starve_its_fleet() {
-    // One balancer with 40 first attempts per second; a server resets 20 connections at once.
+    // One balancer with 40 requests of new clients per second; a server resets 20 connections at once.
     let mut balancer = with_connections(
         BalancerConfig {
             balancer_count: 1,
@@ -639,7 +643,7 @@
         }
         let id = balancer.next_id();
         let mut actions = balancer.handle(now, Event::Request(Request::new(id, 0, now + 2.0)));
-        actions.extend(balancer.handle(now, Event::Timer(2)));
+        actions.extend(balancer.handle(now, Event::Timer(QUEUE_TIMER)));
         for action in actions {
             if let Action::StartAttempt { id, server, .. } = action {
                 placed += usize::from((400..480).contains(&i));
