--- a/crates/cluster/src/control.rs
+++ b/crates/cluster/src/control.rs
@@ -1,5 +1,5 @@
-//! The control socket: a Unix socket that only its owner may open. One line asks, one line of JSON answers. The
-//! fields of the answers carry their names in JSON, which staff and programs read.
+//! The control socket: a Unix socket that only its owner may connect to. A connection carries a query of one line and
+//! its answer, one line of JSON. Operators and their tools read the JSON names of the fields, which must not change.
 
 use crate::driver::ClusterHandle;
 use crate::node::{Member, Node};
@@ -18,40 +18,40 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// Bytes of a query at most.
+/// Maximum size of a query, in bytes.
 const MAX_QUERY_BYTES: u64 = 1024;
-/// How long a query and its answer may take.
+/// Maximum time for a query and its answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Connections served at the same time; further ones wait.
+/// Maximum number of connections served at the same time; further connections wait.
 const MAX_CONNECTIONS: usize = 8;
-/// The pause after a failure to accept a connection.
+/// How long the listener pauses after it failed to accept a connection.
 const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(50);
-/// The mode of the socket: only its owner may connect.
+/// The mode of the socket: read and write for its owner only.
 const OWNER_ONLY: u32 = 0o600;
 
-/// The status of a lease (`duty` in the answer).
+/// The status of a lease, which the JSON calls a duty.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeaseRow {
     /// The lease's name.
     #[serde(rename = "duty")]
     pub name: String,
-    /// Its interval in milliseconds.
+    /// The lease's interval in milliseconds.
     #[serde(rename = "every_ms")]
     pub interval_ms: u64,
-    /// Its holder, as far as the instance asked knows.
+    /// The lease's holder, as far as the answering instance knows.
     pub holder: Option<String>,
-    /// The last term known there.
+    /// The last term that the answering instance knows.
     #[serde(rename = "period")]
     pub term: u64,
-    /// How long ago that was, in milliseconds.
+    /// The age of that term, in milliseconds.
     #[serde(rename = "since_ms")]
     pub term_age_ms: Option<u64>,
-    /// Terms in which the instance asked carried out the task.
+    /// The number of terms in which the answering instance ran the task.
     #[serde(rename = "done")]
     pub completed: u64,
-    /// Terms that passed without the task, as far as that instance knows.
+    /// The number of terms that passed without a run of the task, as far as the answering instance knows.
     pub missed: u64,
-    /// Whether that instance should hold the lease and cannot reach a majority.
+    /// Whether the answering instance should hold the lease but cannot reach a quorum.
     #[serde(rename = "minority")]
     pub is_quorum_lost: bool,
 }
@@ -62,7 +62,8 @@
     /// Every lease.
     #[serde(rename = "duties")]
     pub leases: Vec<LeaseRow>,
-    /// How long, in milliseconds, this instance still abstains from votes on the one with the longest interval.
+    /// How long the answering instance still abstains from votes on the lease with the longest interval, in
+    /// milliseconds.
     #[serde(rename = "abstains_ms")]
     pub remaining_abstention_ms: u64,
 }
@@ -70,16 +71,16 @@
 /// The answer to `members`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MembersAnswer {
-    /// Every instance that was ever known.
+    /// The answering instance, and every other that was ever a member or answered a greeting.
     pub members: Vec<Member>,
-    /// What was dropped or rejected, and what went over the socket.
+    /// The numbers of dropped and rejected datagrams and entries, and the traffic of the cluster's socket.
     pub counters: BTreeMap<String, u64>,
 }
 
-/// Answers a query with a line of JSON, see [`to_json`]; `None` for an unknown query.
+/// Answers a query with a line of JSON as [`to_json`] formats it; `None` for an unknown query.
 pub type QueryHandler = Rc<dyn Fn(&str) -> Option<String>>;
 
-/// Answers the queries about a cluster's instance.
+/// Returns the handler of the queries about an instance of a cluster.
 pub fn answer_queries(handle: ClusterHandle) -> QueryHandler {
     Rc::new(move |query| match query {
         "duties" => Some(to_json(&describe_leases(&handle))),
@@ -88,11 +89,12 @@
     })
 }
 
-/// Opens the socket and answers on the current `LocalSet`. A socket that an earlier process left is replaced.
+/// Opens the socket and answers queries on the current `LocalSet`. Replaces a socket file that an earlier process left
+/// behind.
 ///
 /// # Errors
 ///
-/// If another process answers there, or the socket cannot be opened.
+/// If another process listens on the socket, or the socket cannot be opened.
 pub fn serve(handler: QueryHandler, path: &Path) -> io::Result<()> {
     remove_stale_socket(path)?;
     let listener = UnixListener::bind(path)?;
@@ -105,7 +107,7 @@
     match std::os::unix::net::UnixStream::connect(path) {
         Ok(_) => Err(io::Error::new(
             io::ErrorKind::AddrInUse,
-            "another process answers there",
+            "another process listens on this socket",
         )),
         Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => std::fs::remove_file(path),
         Err(_) => Ok(()),
@@ -113,9 +115,9 @@
 }
 
 async fn accept_connections(listener: UnixListener, handler: QueryHandler) {
-    let connections = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
-        let Ok(turn) = connections.clone().acquire_owned().await else {
+        let Ok(permit) = permits.clone().acquire_owned().await else {
             return;
         };
         match listener.accept().await {
@@ -123,7 +125,7 @@
                 let handler = handler.clone();
                 spawn_local(async move {
                     let _ = timeout(ANSWER_TIMEOUT, answer_connection(handler, stream)).await;
-                    drop(turn);
+                    drop(permit);
                 });
             }
             Err(_) => tokio::time::sleep(ACCEPT_ERROR_PAUSE).await,
@@ -182,7 +184,7 @@
     }
 }
 
-/// The members, and the counters of the instance.
+/// The members, and the counters of the answering instance.
 pub fn describe_members(handle: &ClusterHandle) -> MembersAnswer {
     let traffic = handle.traffic().named_counters();
     let dropped = ("news-dropped", handle.dropped_updates());
@@ -201,7 +203,7 @@
 ///
 /// # Errors
 ///
-/// If no process listens there, or it does not answer in time.
+/// If no process listens on the socket, or its answer does not arrive in time.
 pub fn query(path: &Path, query: &str) -> io::Result<String> {
     use std::io::{BufRead, BufReader, Write};
     let mut stream = std::os::unix::net::UnixStream::connect(path)?;
--- a/crates/cluster/src/distribution.rs
+++ b/crates/cluster/src/distribution.rs
@@ -1,4 +1,4 @@
-//! Drives both sides of the replication over sockets: a control instance's source, and a balancer's follower.
+//! Drives both sides of the distribution on their sockets: a control instance's source and a balancer's follower.
 
 use crate::udp_endpoint::{self, DatagramHandler, UdpEndpoint};
 use serde::{Deserialize, Serialize};
@@ -14,31 +14,32 @@
 use std::rc::Rc;
 use tokio::task::spawn_local;
 
-/// The answer to the control request `changes`. The JSON names are read by tools and stay.
+/// The answer to the control socket's query `changes`. The JSON names are read by operators' tools.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ChangesAnswer {
-    /// The status of the side that was asked.
+    /// The status of the source or follower that answers.
     #[serde(flatten)]
     pub status: ReplicationStatus,
-    /// What was dropped, rejected and spent, and the traffic of the socket.
+    /// The counters of the source or follower, and the traffic of its socket.
     pub counters: BTreeMap<String, u64>,
 }
 
-/// The status of one side of the replication.
+/// The status of one side of the distribution.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ReplicationStatus {
-    /// A control instance.
+    /// The answer of a control instance.
     Source {
-        /// Its status.
+        /// The source's status.
         status: SourceStatus,
-        /// The most datagrams with rows that it sends in a second: `distribute.rate` of the operator's file.
+        /// Maximum number of datagrams with entries that the source sends per second: `distribute.rate` of the
+        /// operator's file.
         #[serde(rename = "rate")]
         datagrams_per_second: u32,
     },
-    /// A balancer.
+    /// The answer of a balancer outside the cluster.
     Follower {
-        /// Its status.
+        /// The follower's status.
         status: FollowerStatus,
     },
 }
@@ -57,7 +58,8 @@
     /// Binds the socket at the configured address and serves followers on the current `LocalSet`.
     ///
     /// # Errors
-    /// The address can't be bound.
+    ///
+    /// If the address cannot be bound.
     pub async fn start(config: SourceConfig) -> io::Result<Self> {
         let endpoint = UdpEndpoint::open(config.identity.address).await?;
         let driver = Self(Rc::new(SourceTask {
@@ -69,13 +71,14 @@
         Ok(driver)
     }
 
-    /// Takes entries from the cluster's gossip store; those that are not newer change nothing.
+    /// Publishes entries of the cluster's gossip store to the followers. Entries that are not newer than the source's
+    /// are ignored.
     pub fn publish(&self, entries: &[Entry]) {
         let now = self.0.endpoint.now();
         self.0.source.borrow_mut().publish(now, entries);
     }
 
-    /// All that was published is all that exists, as of now.
+    /// Confirms that the published entries are complete as of now.
     pub fn confirm_complete(&self) {
         let now = self.0.endpoint.now();
         self.0.source.borrow_mut().confirm_complete(now);
@@ -86,7 +89,7 @@
         self.0.source.borrow_mut().rekey(keys);
     }
 
-    /// The answer to the control request `changes`.
+    /// The answer to the control socket's query `changes`.
     pub fn answer(&self) -> ChangesAnswer {
         let source = self.0.source.borrow();
         ChangesAnswer {
@@ -130,8 +133,8 @@
     }
 }
 
-/// Called after each turn with the entries that were updated, of most turns none, and the age of the data in
-/// milliseconds, if it is known.
+/// Called after each iteration of the loop with the entries that were updated, usually none, and the age of the data in
+/// milliseconds, if known.
 pub type UpdateHandler = Box<dyn Fn(&[Entry], Option<Millis>)>;
 
 /// A running follower. Clones refer to the same follower.
@@ -145,10 +148,12 @@
 }
 
 impl FollowerDriver {
-    /// Binds the socket at the configured address, port 0 for any, and polls the sources on the current `LocalSet`.
+    /// Binds the socket at the configured address, where port 0 selects any free port, and polls the sources on the
+    /// current `LocalSet`.
     ///
     /// # Errors
-    /// The address can't be bound.
+    ///
+    /// If the address cannot be bound.
     pub async fn start(mut config: FollowerConfig, on_update: UpdateHandler) -> io::Result<Self> {
         let endpoint = UdpEndpoint::open(config.identity.address).await?;
         config.identity.address = endpoint.address()?;
@@ -166,7 +171,7 @@
         self.0.follower.borrow_mut().rekey(keys);
     }
 
-    /// The answer to the control request `changes`.
+    /// The answer to the control socket's query `changes`.
     pub fn answer(&self) -> ChangesAnswer {
         let follower = self.0.follower.borrow();
         ChangesAnswer {
@@ -211,7 +216,7 @@
     }
 }
 
-/// The counters of one side, and those of its socket.
+/// The counters of a source or follower, and those of its socket.
 fn all_counters(own: BTreeMap<&'static str, u64>, endpoint: &UdpEndpoint) -> BTreeMap<String, u64> {
     let traffic = endpoint.traffic().named_counters();
     let all = own.into_iter().chain(traffic);
--- a/crates/cluster/src/driver.rs
+++ b/crates/cluster/src/driver.rs
@@ -1,4 +1,4 @@
-//! Carries out a node's effects: one UDP socket, one clock, one asynchronous task for each grant in use.
+//! Carries out a node's effects with one UDP socket, one clock and one asynchronous task per grant.
 
 use crate::lease_task::{GrantClock, LeaseTask};
 use crate::node::{Effect, Node, NodeConfig, Notice};
@@ -16,10 +16,10 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// Tasks that run at the same time. Each may hold a descriptor, and those come out of the few that the balancer keeps
-/// for itself; further ones wait while their grants are valid.
+/// Maximum number of tasks that run at the same time. Each may hold a file descriptor, and these are taken from the few
+/// that the balancer reserves for itself. Further tasks wait while their grants are valid.
 const MAX_RUNNING_TASKS: usize = 16;
-/// Updated entries that wait for the receiver.
+/// Maximum number of updated entries queued for the receiver.
 const MAX_QUEUED_UPDATES: usize = 16_384;
 
 struct ClusterState {
@@ -27,12 +27,12 @@
     tasks: RefCell<BTreeMap<String, Rc<dyn LeaseTask>>>,
     clock: GrantClock,
     endpoint: UdpEndpoint,
-    running_tasks: Semaphore,
+    task_permits: Semaphore,
     updates: mpsc::Sender<GossipEntry>,
     dropped_updates: Cell<u64>,
 }
 
-/// Starts an instance of a cluster.
+/// Starts instances of a cluster.
 pub struct Cluster;
 
 /// A running instance of a cluster.
@@ -40,12 +40,13 @@
 pub struct ClusterHandle(Rc<ClusterState>);
 
 impl Cluster {
-    /// Opens the socket and starts the instance on the current `LocalSet`. The receiver gets every entry that is new
-    /// in the gossip store.
+    /// Opens the socket and starts the instance on the current `LocalSet`. The returned receiver gets every entry that
+    /// is new in the gossip store, except updates dropped while its queue is full
+    /// ([`ClusterHandle::dropped_updates`]).
     ///
     /// # Errors
     ///
-    /// If the address is taken or not of this machine.
+    /// If the address is in use or does not belong to this machine.
     pub async fn start(
         config: NodeConfig,
     ) -> io::Result<(ClusterHandle, mpsc::Receiver<GossipEntry>)> {
@@ -59,7 +60,7 @@
             tasks: RefCell::default(),
             clock,
             endpoint,
-            running_tasks: Semaphore::new(MAX_RUNNING_TASKS),
+            task_permits: Semaphore::new(MAX_RUNNING_TASKS),
             updates,
             dropped_updates: Cell::new(0),
         });
@@ -77,15 +78,16 @@
     }
 }
 
-/// How a task ended.
+/// The outcome of a grant.
 struct TaskOutcome {
-    /// Whether it began before its grant expired.
+    /// Whether the task was started before its grant expired.
     in_time: bool,
+    /// The entries to be published.
     entries: Vec<GossipEntry>,
 }
 
 impl ClusterHandle {
-    /// Replaces the tasks: the leases of new ones begin, those of missing ones are released.
+    /// Replaces the tasks. Leases of added tasks are created, and leases of removed tasks are released.
     pub fn set_tasks(&self, tasks: Vec<Rc<dyn LeaseTask>>) {
         let tasks: BTreeMap<String, Rc<dyn LeaseTask>> =
             tasks.into_iter().map(|task| (task.name(), task)).collect();
@@ -97,7 +99,7 @@
         self.with_node(|node, now| node.configure(now, &intervals));
     }
 
-    /// Replaces the keys and the seeds.
+    /// Replaces the cluster's keys and the seeds.
     pub fn rekey(&self, keys: Keys, seeds: Vec<SocketAddr>) {
         self.with_node(|node, _| node.rekey(keys, seeds));
     }
@@ -112,22 +114,23 @@
         self.with_node(|node, now| node.leave(now));
     }
 
-    /// The clock of the grants.
+    /// The clock on which grants expire.
     pub fn clock(&self) -> GrantClock {
         self.0.clock
     }
 
-    /// What went over the socket.
+    /// The traffic of the socket so far.
     pub fn traffic(&self) -> Traffic {
         self.0.endpoint.traffic()
     }
 
-    /// Updates dropped because the receiver was full; the gossip store has them all the same.
+    /// The number of updates that were dropped because the receiver's queue was full. The gossip store has their entries
+    /// nevertheless.
     pub fn dropped_updates(&self) -> u64 {
         self.0.dropped_updates.get()
     }
 
-    /// Reads or changes the node, and carries out the effects.
+    /// Reads or changes the node, and carries out the resulting effects.
     pub fn with_node<T>(&self, change: impl FnOnce(&mut Node, Clocks) -> T) -> T {
         let now = read_clocks(self.0.clock);
         let result = change(&mut self.0.node.borrow_mut(), now);
@@ -150,9 +153,9 @@
         let handle = self.clone();
         spawn_local(async move {
             let started_at = handle.0.clock.now();
-            // Held until the results are published.
-            let turn = handle.await_turn(&grant).await;
-            let outcome = match &turn {
+            // The permit is held until the results are published.
+            let permit = handle.acquire_permit(&grant).await;
+            let outcome = match &permit {
                 Some(_) => handle.run_task(&name, task.as_ref(), grant).await,
                 None => handle.skip_task(&name, grant),
             };
@@ -166,18 +169,18 @@
                 node.record_completion(&grant, outcome.in_time);
                 node.publish(now, outcome.entries.clone());
             });
-            // This instance's own results count here as well.
+            // The receiver gets this instance's own results as well.
             for entry in outcome.entries {
                 handle.queue_update(entry);
             }
         });
     }
 
-    /// Waits for its turn among the running tasks; `None` if the grant expires before.
-    async fn await_turn(&self, grant: &LeaseGrant) -> Option<SemaphorePermit<'_>> {
-        let turn = timeout(self.remaining(grant), self.0.running_tasks.acquire()).await;
-        let turn = turn.ok()?.ok()?;
-        self.0.clock.is_valid(grant).then_some(turn)
+    /// Waits until another task may run; `None` if the grant expires first.
+    async fn acquire_permit(&self, grant: &LeaseGrant) -> Option<SemaphorePermit<'_>> {
+        let acquired = timeout(self.remaining(grant), self.0.task_permits.acquire()).await;
+        let permit = acquired.ok()?.ok()?;
+        self.0.clock.is_valid(grant).then_some(permit)
     }
 
     fn skip_task(&self, name: &str, grant: LeaseGrant) -> TaskOutcome {
@@ -206,6 +209,7 @@
         }
     }
 
+    /// The remaining validity of a grant.
     fn remaining(&self, grant: &LeaseGrant) -> Duration {
         Duration::from_millis(grant.valid_until.saturating_sub(self.0.clock.now()))
     }
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,14 +1,14 @@
-//! The driver of a cluster of balancers: one UDP socket on which instances find each other, divide leases and share
-//! results, and a control socket for the staff.
+//! The driver of a cluster of balancers: one UDP socket over which instances find each other, distribute leases and
+//! share results, and a control socket for operators.
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | [`node`] | membership, leases and gossip store of one instance joined, without I/O: datagrams in, effects out |
-//! | [`udp_endpoint`] | a UDP socket with a clock, and the loop that serves what lives on it |
-//! | [`driver`] | carries out a node's effects: datagrams, tasks, updates, log |
-//! | [`lease_task`] | how a part of the program registers a task that one instance carries out per interval |
-//! | [`distribution`] | both ends of the distribution on their sockets |
-//! | [`control`] | the control socket: one line asked, one line of JSON answered |
+//! | [`node`] | one instance without I/O, which combines membership, leases and gossip store |
+//! | [`udp_endpoint`] | a UDP socket with a clock, and the loop that drives a state machine on it |
+//! | [`driver`] | carries out a node's effects: sends datagrams, runs tasks, queues updates, logs events |
+//! | [`lease_task`] | the interface of a task that one instance of the cluster runs per interval |
+//! | [`distribution`] | the drivers of the distribution's source and follower |
+//! | [`control`] | the control socket: a query of one line, an answer of one line of JSON |
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -1,12 +1,12 @@
-//! One instance of a cluster without I/O: membership, leases and the gossip store joined, and the datagrams in which
-//! all three travel. Everything of an instance but its sockets can be replayed in virtual time.
+//! One instance of a cluster without I/O: combines membership, leases and the gossip store, and encodes their messages
+//! into datagrams. Everything of an instance except its sockets can be replayed in virtual time.
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | `interface` | what a node is given at its start, and what its driver has to do |
-//! | `handshake` | greetings and their answers |
-//! | `sending` | the content of datagrams, and how much of it fits into one |
-//! | `status` | what is known of members and leases, for the staff |
+//! | `interface` | a node's configuration, and the effects that its driver carries out |
+//! | `handshake` | greetings and answers |
+//! | `sending` | the payloads of datagrams, and how lists are split between datagrams |
+//! | `status` | the status of members and leases, for operators |
 
 mod handshake;
 mod interface;
@@ -28,36 +28,38 @@
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Seeds that are not members are greeted once in this time.
+/// The interval between greetings to the seeds that are not members, in milliseconds.
 const SEED_GREETING_INTERVAL_MS: Millis = 1000;
-/// A digest of the gossip store goes to one other instance once in this time.
+/// The interval between digests of the gossip store, each sent to one other instance, in milliseconds.
 const DIGEST_INTERVAL_MS: Millis = 1000;
-/// Greetings answered in a second at most, which bounds the cost of a flood of them.
+/// Maximum number of greetings answered per second, which bounds the cost of a flood of greetings.
 const MAX_ANSWERS_PER_SECOND: u32 = 256;
 
-/// One instance of a cluster, without I/O: the driver passes time and datagrams in, and takes the effects.
+/// One instance of a cluster, without I/O. The driver passes in the time and datagrams, and carries out the effects.
 pub struct Node {
     config: NodeConfig,
+    /// See [`hash_voters`].
     voters_hash: u64,
     sessions: Sessions,
     membership: Membership,
     leases: LeaseManager,
     gossip_store: GossipStore,
-    /// Every instance that was ever a member or answered a greeting.
+    /// Every instance that was ever a member or answered a greeting, with its last known identity.
     known_instances: BTreeMap<InstanceId, Identity>,
+    /// The other members that are alive, sorted.
     alive: Vec<InstanceId>,
     lease_names: BTreeMap<LeaseId, String>,
     handshakes: Handshakes,
     next_seed_greeting: Millis,
     next_digest: Millis,
-    /// The position in `alive` of the instance that got the last digest.
-    digest_position: usize,
+    /// The position in `alive` of the recipient of the last digest.
+    last_digest_position: usize,
     effects: Vec<Effect>,
     counters: BTreeMap<&'static str, u64>,
 }
 
 impl Node {
-    /// An instance that has met no other yet.
+    /// Creates an instance that knows no other instance yet.
     pub fn new(now: Clocks, config: NodeConfig) -> Self {
         let own_id = InstanceId::of(&config.identity.name);
         let incarnation = config.identity.incarnation;
@@ -83,35 +85,36 @@
             handshakes: Handshakes::new(MAX_ANSWERS_PER_SECOND),
             next_seed_greeting: now.monotonic,
             next_digest: now.monotonic + DIGEST_INTERVAL_MS,
-            digest_position: 0,
+            last_digest_position: 0,
             effects: Vec::new(),
             counters: BTreeMap::new(),
             config,
         }
     }
 
-    /// Sets the leases by name, each with its interval.
+    /// Replaces the leases: each name with its interval in milliseconds.
     pub fn configure(&mut self, now: Clocks, intervals: &BTreeMap<String, Millis>) {
         let names = intervals.keys();
         self.lease_names = names.map(|n| (LeaseId::of(n), n.clone())).collect();
         let by_id = intervals.iter().map(|(n, ms)| (LeaseId::of(n), *ms));
         self.leases.configure(now, &by_id.collect());
-        self.settle(now);
+        self.process_outputs(now);
     }
 
-    /// Replaces the keys and the seeds.
+    /// Replaces the cluster's keys and the seeds.
     pub fn rekey(&mut self, keys: Keys, seeds: Vec<SocketAddr>) {
         self.sessions.rekey(keys);
         self.config.seeds = seeds;
     }
 
-    /// Handles a datagram. One that is not authentic is counted and dropped.
+    /// Handles a received datagram. A datagram that is not authentic is counted and dropped.
     pub fn receive(&mut self, now: Clocks, from: SocketAddr, bytes: &[u8]) {
         let datagram = match self.sessions.open(bytes) {
             Ok(datagram) => datagram,
             Err(error) => {
                 self.count(error.counter_name());
-                // Sealed by a member for an earlier incarnation of ours: the greeting tells it the new one.
+                // A member sealed the datagram for an earlier incarnation of this instance. The greeting carries the
+                // current one.
                 if error == DatagramError::OtherIncarnation {
                     self.greet(now, from);
                 }
@@ -126,11 +129,11 @@
             }
             DatagramKind::Data => self.handle_data(now, from, &datagram),
         }
-        self.settle(now);
+        self.process_outputs(now);
     }
 
     fn handle_data(&mut self, now: Clocks, from: SocketAddr, datagram: &OpenedDatagram<'_>) {
-        // A new incarnation whose identity is not known yet.
+        // The identity of a new incarnation is not known yet; its answer to the greeting has it.
         if datagram.is_new_incarnation {
             self.greet(now, from);
         }
@@ -151,14 +154,14 @@
         }
     }
 
-    /// When [`Node::wake`] is due at the latest, on the monotonic clock.
+    /// The time on the monotonic clock by which [`Node::wake`] has to be called.
     pub fn next_wake(&self) -> Millis {
-        let own = self.next_seed_greeting.min(self.next_digest);
-        let others = [self.membership.next_wake(), self.leases.next_wake()];
-        others.into_iter().flatten().fold(own, Millis::min)
+        let own_timers = self.next_seed_greeting.min(self.next_digest);
+        let timers = [self.membership.next_wake(), self.leases.next_wake()];
+        timers.into_iter().flatten().fold(own_timers, Millis::min)
     }
 
-    /// Handles what has fallen due.
+    /// Handles expired timers.
     pub fn wake(&mut self, now: Clocks) {
         if now.monotonic >= self.next_seed_greeting {
             self.next_seed_greeting = now.monotonic + SEED_GREETING_INTERVAL_MS;
@@ -170,15 +173,15 @@
         }
         self.membership.wake(now.monotonic);
         self.leases.wake(now);
-        self.settle(now);
+        self.process_outputs(now);
     }
 
     fn send_digest(&mut self, now: Clocks) {
         if self.alive.is_empty() {
             return;
         }
-        self.digest_position = (self.digest_position + 1) % self.alive.len();
-        let recipient = self.alive[self.digest_position];
+        self.last_digest_position = (self.last_digest_position + 1) % self.alive.len();
+        let recipient = self.alive[self.last_digest_position];
         self.send_gossip(now, vec![(recipient, self.gossip_store.digest())]);
     }
 
@@ -193,12 +196,12 @@
         &self.gossip_store
     }
 
-    /// The gossip store, to drop entries that are not wanted any more.
+    /// The gossip store, for the removal of entries that are no longer needed.
     pub fn gossip_store_mut(&mut self) -> &mut GossipStore {
         &mut self.gossip_store
     }
 
-    /// Records that a task was carried out, or (`false`) that its grant expired before that.
+    /// Records that a grant's task was run (`in_time`), or that the grant expired before the task was started.
     pub fn record_completion(&mut self, grant: &LeaseGrant, in_time: bool) {
         self.leases.record_completion(grant, in_time);
     }
@@ -206,18 +209,19 @@
     /// Releases all leases and leaves the cluster.
     pub fn leave(&mut self, now: Clocks) {
         self.leases.release_all(now);
-        self.settle(now);
+        self.process_outputs(now);
         self.membership.leave(now.monotonic);
-        self.settle(now);
+        self.process_outputs(now);
     }
 
-    /// Takes what is to be done, in order.
+    /// Takes the effects to be carried out, in order.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// Passes the parts' outputs on until there are no more.
-    fn settle(&mut self, now: Clocks) {
+    /// Processes the outputs of membership and leases until there are none left: a change of the membership may cause
+    /// outputs of the leases.
+    fn process_outputs(&mut self, now: Clocks) {
         loop {
             let changes = self.membership.take_changes();
             let is_changed = !changes.is_empty();
@@ -283,7 +287,7 @@
     }
 }
 
-/// A hash by which instances notice that their lists of voters differ.
+/// A hash over the set of voters, by which instances detect that their lists of voters differ.
 fn hash_voters(voters: &[InstanceId]) -> u64 {
     let mut sorted = voters.to_vec();
     sorted.sort();
--- a/crates/cluster/src/node/handshake.rs
+++ b/crates/cluster/src/node/handshake.rs
@@ -1,4 +1,4 @@
-//! Greetings and their answers, by which a node finds other instances and joins their cluster.
+//! Greetings and answers, through which a node finds other instances and joins their cluster.
 
 use super::{Effect, Node};
 use spanspur_leases::{Clocks, InstanceId};
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 
 impl Node {
-    /// Greets the seeds that are not members.
+    /// Sends a greeting to each seed that is not the address of a live member.
     pub(super) fn greet_absent_seeds(&mut self, now: Clocks) {
         let members = self.membership.alive().values();
         let alive: BTreeSet<SocketAddr> = members.map(|member| member.address).collect();
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Sends a greeting, unless the address was greeted a moment ago.
+    /// Sends a greeting, within the rate limits of [`Handshakes`](spanspur_membership::Handshakes).
     pub(super) fn greet(&mut self, now: Clocks, to: SocketAddr) {
         let own_identity = self.membership.own_identity();
         let greeting =
@@ -35,7 +35,11 @@
         }
     }
 
-    /// Handles a greeting or an answer. A rejected one is counted.
+    /// Handles a greeting or an answer.
+    ///
+    /// # Errors
+    ///
+    /// If the sender's identity is rejected; the rejection is counted.
     pub(super) fn handle_handshake(
         &mut self,
         now: Clocks,
@@ -46,7 +50,7 @@
         let identity = verified.inspect_err(|error| self.count(error.counter_name()))?;
         match datagram.kind {
             DatagramKind::Greeting => self.answer_greeting(now, from, datagram.incarnation),
-            _ => self.meet_instance(now, identity, datagram.is_new_incarnation),
+            _ => self.handle_answer(now, identity, datagram.is_new_incarnation),
         }
         Ok(())
     }
@@ -62,8 +66,9 @@
         }
     }
 
-    /// An instance has proved its presence: answers a new incarnation, and joins through it unless it is a member.
-    fn meet_instance(&mut self, now: Clocks, identity: Identity, is_new_incarnation: bool) {
+    /// Handles the answer of an instance, which proves that the instance is running: answers a new incarnation in turn,
+    /// and joins the cluster through the instance unless it is a member.
+    fn handle_answer(&mut self, now: Clocks, identity: Identity, is_new_incarnation: bool) {
         let id = InstanceId::of(&identity.name);
         self.known_instances.insert(id, identity.clone());
         if is_new_incarnation {
--- a/crates/cluster/src/node/interface.rs
+++ b/crates/cluster/src/node/interface.rs
@@ -1,4 +1,4 @@
-//! What a node is given at its start, and what its driver has to do.
+//! A node's configuration, and the effects that its driver carries out.
 
 use serde::{Deserialize, Serialize};
 use spanspur_leases::ranking::Ranking;
@@ -6,68 +6,68 @@
 use spanspur_membership::{Identity, Keys, ProbeTiming};
 use std::net::SocketAddr;
 
-/// What an instance is given at its start.
+/// The configuration of a node.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
-    /// Its name, where it receives datagrams, and its incarnation.
+    /// The instance's name, the address at which it receives datagrams, and its incarnation.
     pub identity: Identity,
     /// The cluster's keys.
     pub keys: Keys,
-    /// Addresses at which other instances may be found.
+    /// Addresses of other instances through which this one joins the cluster.
     pub seeds: Vec<SocketAddr>,
-    /// The names of the voters, the same at all instances.
+    /// The names of the voters, which must be the same at all instances.
     pub voters: Vec<String>,
-    /// How far wall clocks may differ.
+    /// The maximum difference between the wall clocks of two instances, in milliseconds.
     pub max_clock_skew: Millis,
     /// The timing of failure detection.
     pub probe_timing: ProbeTiming,
-    /// Ranks instances for a lease.
+    /// The scores by which leases are assigned to instances; the same function at all instances.
     pub ranking: Ranking,
-    /// The seed of the membership's random numbers.
+    /// The seed of the membership's random number generator.
     pub random_seed: u64,
 }
 
-/// What the driver has to do.
+/// An effect that the driver carries out.
 #[derive(Debug)]
 pub enum Effect {
     /// Send a datagram.
     Datagram(SocketAddr, Vec<u8>),
-    /// Carry out a lease's task while the grant is valid.
+    /// Run a lease's task while the grant is valid.
     Granted(LeaseGrant),
-    /// An entry of another instance that is new in the gossip store.
+    /// Pass on an entry from another instance that is new in the gossip store.
     EntryUpdated(GossipEntry),
-    /// An event for the log.
+    /// Log an event.
     Notice(Notice),
 }
 
-/// An event that an operator may want to know of.
+/// An event for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
-    /// A member is alive.
+    /// A member is alive, or has a new identity.
     MemberUp(Identity),
-    /// A member is down.
+    /// A member is down: it failed, was partitioned off or left the cluster.
     MemberDown(Identity),
-    /// This instance was declared down and has refuted it.
+    /// Other instances declared this instance down, which it has refuted.
     DownRefuted,
-    /// Terms of a lease passed without its task being carried out.
+    /// Terms of a lease passed without a run of its task.
     TermsMissed {
         /// The lease.
         lease: LeaseId,
-        /// How many terms.
+        /// The number of terms.
         terms: u64,
     },
-    /// The quorum for a lease that this instance should hold was lost, or is reachable again.
+    /// The quorum for a lease that this instance should hold was lost or restored.
     QuorumChanged {
         /// The lease.
         lease: LeaseId,
-        /// Whether it was lost.
+        /// Whether the quorum was lost.
         is_lost: bool,
     },
-    /// This instance acquired a lease or ceased to hold it.
+    /// This instance acquired a lease, or no longer holds it.
     HoldingChanged {
         /// The lease.
         lease: LeaseId,
-        /// Whether it is held now.
+        /// Whether the lease is held now.
         is_held: bool,
     },
 }
@@ -75,15 +75,15 @@
 /// A member as the control socket lists it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name.
+    /// The member's name.
     pub name: String,
-    /// Where it receives datagrams.
+    /// The address at which the member receives datagrams.
     pub address: SocketAddr,
-    /// Whether it is alive.
+    /// Whether the member is alive.
     pub alive: bool,
-    /// Whether it votes.
+    /// Whether the member is a voter.
     pub voter: bool,
-    /// Whether it is the instance that was asked.
+    /// Whether this is the instance that answers the query.
     #[serde(rename = "me")]
     pub is_self: bool,
 }
--- a/crates/cluster/src/node/sending.rs
+++ b/crates/cluster/src/node/sending.rs
@@ -1,4 +1,4 @@
-//! The content of datagrams, and how much of it fits into one.
+//! The payloads of datagrams, and how lists are split between datagrams.
 
 use super::{Effect, Node};
 use serde::{Deserialize, Serialize};
@@ -7,17 +7,17 @@
 use spanspur_membership::authentication::{DatagramKind, MAX_DATAGRAM, OVERHEAD};
 use std::net::SocketAddr;
 
-/// Bytes that the numbers in front of a payload's list may take.
+/// Reserve for the variable-length integers in front of a payload's list, in bytes.
 const PREFIX_RESERVE_BYTES: usize = 16;
-/// Bytes of a payload at most.
+/// Maximum size of a payload, in bytes.
 const MAX_PAYLOAD_BYTES: usize = MAX_DATAGRAM - OVERHEAD - PREFIX_RESERVE_BYTES;
 
-/// What a datagram carries. It travels as postcard: variants and fields keep their order.
+/// The payload of a datagram, encoded as postcard: the order of variants and fields must not change.
 #[derive(Serialize, Deserialize)]
 pub(super) enum Payload {
     /// A message of the membership.
     Membership(Vec<u8>),
-    /// The hash of the voters, which have to be the same at both ends, and messages about leases.
+    /// The sender's hash of the voters, which must match the recipient's, and messages about leases.
     Leases(u64, Vec<Message>),
     /// A message of the gossip store.
     Gossip(GossipMessage),
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Sends items in as few datagrams as hold them, in their order.
+    /// Sends items in their order, each datagram filled up before the next begins.
     fn send_parts<T: Serialize>(
         &mut self,
         now: Clocks,
@@ -94,7 +94,7 @@
             return self.count("not-encoded");
         };
         if self.sessions.incarnation_of(to.0).is_none() {
-            // Dropped: senders repeat themselves, and after the handshake the datagram can be sealed.
+            // The payload is dropped. Its sender repeats it, and can seal it once the handshake is complete.
             self.count("no-session");
             return self.greet(now, address);
         }
@@ -111,7 +111,7 @@
     }
 }
 
-/// The size of a value as postcard; one that does not encode counts as too large.
+/// The size of a value as postcard. A value that cannot be encoded counts as the maximum payload.
 fn encoded_size(value: &impl Serialize) -> usize {
     postcard::experimental::serialized_size(value).unwrap_or(MAX_PAYLOAD_BYTES)
 }
--- a/crates/cluster/src/node/status.rs
+++ b/crates/cluster/src/node/status.rs
@@ -1,4 +1,4 @@
-//! What a node knows of members and leases, for the staff.
+//! The status of members and leases as this node sees it, for operators.
 
 use super::{Member, Node};
 use spanspur_leases::{Clocks, InstanceId, LeaseId, LeaseStatus, Millis};
@@ -15,17 +15,17 @@
         self.leases.status(now).filter_map(with_name).collect()
     }
 
-    /// The whole state of a lease in Rust's debug format, for tracing a fault.
+    /// The whole state of a lease in Rust's debug format, for debugging.
     pub fn describe(&self, lease: LeaseId) -> String {
         self.leases.describe(lease)
     }
 
-    /// The name of a lease; `?` if it is not known.
+    /// The name of a lease; `?` if the lease is not configured.
     pub fn lease_name(&self, lease: LeaseId) -> &str {
         self.lease_names.get(&lease).map_or("?", String::as_str)
     }
 
-    /// The name of an instance, where it is known.
+    /// The name of an instance, if known.
     pub fn instance_name(&self, id: InstanceId) -> Option<&str> {
         let own_name = &self.config.identity.name;
         if id == InstanceId::of(own_name) {
@@ -40,7 +40,7 @@
             .map(String::as_str)
     }
 
-    /// This instance and every other that was ever known, ordered by name.
+    /// This instance and every other that was ever a member or answered a greeting, sorted by name.
     pub fn members(&self) -> Vec<Member> {
         let own_identity = self.membership.own_identity();
         let mut members = vec![Member {
@@ -64,12 +64,12 @@
         }
     }
 
-    /// How long this instance still abstains from votes on leases with this interval.
+    /// How long this instance still abstains from votes on leases with this interval, in milliseconds.
     pub fn remaining_abstention(&self, now: Clocks, interval: Millis) -> Millis {
         self.leases.remaining_abstention(now, interval)
     }
 
-    /// What was dropped or rejected, and how often.
+    /// The numbers of dropped and rejected datagrams and entries, by counter name.
     pub fn counters(&self) -> BTreeMap<&'static str, u64> {
         let mut counters = self.counters.clone();
         counters.insert("gossip-refused", self.membership.rejected);
--- a/crates/cluster/src/udp_endpoint.rs
+++ b/crates/cluster/src/udp_endpoint.rs
@@ -1,4 +1,4 @@
-//! A UDP socket with a clock, and the loop that serves a state machine without I/O of its own on it.
+//! A UDP socket with a clock, and the loop that drives a state machine without I/O on it.
 
 use spanspur_leases::Millis;
 use spanspur_membership::authentication::MAX_DATAGRAM;
@@ -10,25 +10,26 @@
 use tokio::sync::Notify;
 use tokio::time::sleep_until;
 
-/// Datagrams handled in one turn of the loop, so that a flood of them leaves time to the balancer.
+/// Maximum number of datagrams handled in one iteration of the loop, so that a flood of them leaves time for the
+/// balancer's other work.
 const MAX_BATCH: usize = 64;
-/// The longest sleep, also without a timer.
+/// Maximum time that the loop sleeps, in milliseconds, even if no timer is due.
 const MAX_SLEEP_MS: Millis = 60_000;
-/// The pause after an error of the socket itself.
+/// How long the loop pauses after an error of the socket.
 const SOCKET_ERROR_PAUSE: Duration = Duration::from_millis(20);
 
-/// What went over a socket.
+/// The traffic of a socket.
 #[derive(Clone, Copy, Debug, Default, serde::Serialize)]
 pub struct Traffic {
     /// Datagrams sent.
     pub sent: u64,
-    /// Their bytes.
+    /// Bytes sent.
     pub sent_bytes: u64,
     /// Datagrams received.
     pub received: u64,
-    /// Their bytes.
+    /// Bytes received.
     pub received_bytes: u64,
-    /// Datagrams that the socket did not accept at once.
+    /// Datagrams dropped because the socket did not accept them at once.
     pub unsent: u64,
 }
 
@@ -45,73 +46,74 @@
     }
 }
 
-/// A UDP socket, and the clock of what is served on it.
+/// A UDP socket, and the clock of the state machine that is driven on it.
 pub struct UdpEndpoint {
     socket: UdpSocket,
     origin: Instant,
+    /// Wakes the loop after a change of the timer from outside.
     changed: Notify,
     traffic: Cell<Traffic>,
 }
 
-/// A state machine served on an endpoint: it handles datagrams and its timer, and applies the effects.
+/// A state machine driven on an endpoint. It handles datagrams and its timer, and applies the resulting effects.
 pub trait DatagramHandler {
-    /// Its endpoint.
+    /// The endpoint.
     fn endpoint(&self) -> &UdpEndpoint;
-    /// Handles a datagram.
+    /// Handles a received datagram.
     fn receive(&self, from: SocketAddr, bytes: &[u8]);
-    /// When [`DatagramHandler::wake`] is due, on the endpoint's clock.
+    /// The time on the endpoint's clock at which [`DatagramHandler::wake`] is due.
     fn next_wake(&self) -> Millis;
-    /// Handles what has fallen due.
+    /// Handles expired timers.
     fn wake(&self);
-    /// Applies the effects of all this; called once a turn.
+    /// Applies the effects of the datagrams and timers handled; called once per iteration of the loop.
     fn apply_effects(&self);
 }
 
 impl UdpEndpoint {
-    /// Opens a socket.
+    /// Binds a socket to an address.
     ///
     /// # Errors
     ///
-    /// If the address is taken or not of this machine.
-    pub async fn open(at: SocketAddr) -> io::Result<Self> {
+    /// If the address is in use or does not belong to this machine.
+    pub async fn open(address: SocketAddr) -> io::Result<Self> {
         Ok(Self {
-            socket: UdpSocket::bind(at).await?,
+            socket: UdpSocket::bind(address).await?,
             origin: Instant::now(),
             changed: Notify::new(),
             traffic: Cell::default(),
         })
     }
 
-    /// The address at which it receives datagrams.
+    /// The address that the socket is bound to.
     ///
     /// # Errors
     ///
-    /// If the system does not tell.
+    /// If the operating system does not report the address.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// The clock's origin.
+    /// The origin of the clock.
     pub fn origin(&self) -> Instant {
         self.origin
     }
 
-    /// Milliseconds on a monotonic clock, which advances while the process is frozen.
+    /// The time since the origin in milliseconds, on a monotonic clock that advances while the process is frozen.
     pub fn now(&self) -> Millis {
         self.origin.elapsed().as_millis() as Millis
     }
 
-    /// What went over the socket.
+    /// The traffic of the socket so far.
     pub fn traffic(&self) -> Traffic {
         self.traffic.get()
     }
 
-    /// Makes the loop look at the timer again, after a change from outside.
+    /// Makes the loop read the timer again, after a change from outside the loop.
     pub fn reschedule(&self) {
         self.changed.notify_one();
     }
 
-    /// Sends a datagram, if the socket accepts it at once.
+    /// Sends a datagram if the socket accepts it at once, and drops it otherwise.
     pub fn send(&self, to: SocketAddr, bytes: &[u8]) {
         let sent = self.socket.try_send_to(bytes, to);
         self.count(|traffic| match sent {
@@ -119,7 +121,7 @@
                 traffic.sent += 1;
                 traffic.sent_bytes += n as u64;
             }
-            // Lost like any other datagram: the protocols repeat what matters.
+            // A dropped datagram is like one lost on the network: the protocols repeat what is needed.
             Err(_) => traffic.unsent += 1,
         });
     }
@@ -131,7 +133,7 @@
     }
 }
 
-/// Serves a handler for as long as the process runs.
+/// Drives a handler on its endpoint. Never returns.
 pub async fn serve(handler: impl DatagramHandler) {
     let endpoint = handler.endpoint();
     let mut buffer = [0; MAX_DATAGRAM + 1];
--- a/crates/cluster/tests/control_answer_files.rs
+++ b/crates/cluster/tests/control_answer_files.rs
@@ -1,8 +1,8 @@
-//! The answers of the control socket, as lines of JSON: programs read them by the names of their fields.
+//! Compares the control socket's answers with fixture files. Operators' tools read the answers by their JSON names.
 //!
-//! The fixtures `tests/fixtures/control/*.json` at the root of the repository were written by the tree at 71566bd
-//! (`WRITE_FIXTURES=1` writes them anew); rewriting them hides a change of an answer. The sub-commands are held to
-//! the same files by `tests/control_answers.rs` there.
+//! The fixtures `tests/fixtures/control/*.json` at the root of the repository were written at commit 71566bd.
+//! `WRITE_FIXTURES=1` rewrites them, which hides a change of an answer. `tests/control_answers.rs` there checks the
+//! sub-commands with the same files.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -15,19 +15,24 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// Holds an answer to its fixture, and to itself when it is read and written again.
+/// Compares an answer with its fixture, and with itself after it was parsed and formatted again.
 fn assert_answer<T: Serialize + DeserializeOwned>(name: &str, answer: &T) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../../tests/fixtures/control")
         .join(format!("{name}.json"));
-    let written = to_json(answer);
+    let formatted = to_json(answer);
     if std::env::var("WRITE_FIXTURES").is_ok_and(|value| value == "1") {
-        std::fs::write(&path, &written).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
+        std::fs::write(&path, &formatted).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
     }
-    let kept = std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
-    assert_eq!(written, kept, "{name}");
-    let read: T = serde_json::from_str(&kept).unwrap_or_else(|e| panic!("{name}: {e}"));
-    assert_eq!(to_json(&read), kept, "{name}: read and written again");
+    let fixture =
+        std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
+    assert_eq!(formatted, fixture, "{name}");
+    let parsed: T = serde_json::from_str(&fixture).unwrap_or_else(|e| panic!("{name}: {e}"));
+    assert_eq!(
+        to_json(&parsed),
+        fixture,
+        "{name}: parsed and formatted again"
+    );
 }
 
 fn counters() -> BTreeMap<String, u64> {
@@ -37,8 +42,8 @@
 }
 
 #[test]
-fn what_is_said_of_duties_has_the_text_of_the_fixture() {
-    let row = |name: &str, holder: Option<&str>, term_age_ms, is_quorum_lost| LeaseRow {
+fn duties_answer_matches_its_fixture() {
+    let lease = |name: &str, holder: Option<&str>, term_age_ms, is_quorum_lost| LeaseRow {
         name: name.into(),
         interval_ms: 5000,
         holder: holder.map(str::to_owned),
@@ -50,8 +55,8 @@
     };
     let answer = LeasesAnswer {
         leases: vec![
-            row("probe", Some("n1"), Some(1200), false),
-            row("list", None, None, true),
+            lease("probe", Some("n1"), Some(1200), false),
+            lease("list", None, None, true),
         ],
         remaining_abstention_ms: 750,
     };
@@ -59,10 +64,10 @@
 }
 
 #[test]
-fn what_is_said_of_members_has_the_text_of_the_fixture() {
+fn members_answer_matches_its_fixture() {
     let member = |name: &str, address: &str, alive, voter, is_self| Member {
         name: name.into(),
-        address: address.parse().expect("an address"),
+        address: address.parse().expect("a valid address"),
         alive,
         voter,
         is_self,
@@ -79,17 +84,17 @@
 }
 
 #[test]
-fn what_a_source_says_of_changes_has_the_text_of_the_fixture() {
-    let change = |key, after| ChangeStatus {
+fn changes_answer_of_a_source_matches_its_fixture() {
+    let change = |key, propagated_after| ChangeStatus {
         key,
         version: 41,
         age: 9000,
-        propagated_after: after,
+        propagated_after,
         followers: 512,
     };
-    let behind = |name: &str, since| FollowerDelay {
+    let delay = |name: &str, delay| FollowerDelay {
         name: name.into(),
-        delay: since,
+        delay,
     };
     let status = SourceStatus {
         name: "n1".into(),
@@ -105,32 +110,31 @@
         settled: true,
         changes: vec![change(u64::MAX, Some(380)), change(7, None)],
         lagging: 3,
-        lagging_followers: vec![behind("b-1", 800), behind("", 400)],
+        lagging_followers: vec![delay("b-1", 800), delay("", 400)],
         disconnected: 1,
-        disconnected_followers: vec![behind("b-2", 60_000)],
+        disconnected_followers: vec![delay("b-2", 60_000)],
         backlog: 15,
     };
-    let end = ReplicationStatus::Source {
+    let status = ReplicationStatus::Source {
         status,
         datagrams_per_second: 4000,
     };
-    let counters = counters();
     assert_answer(
         "changes_source",
         &ChangesAnswer {
-            status: end,
-            counters,
+            status,
+            counters: counters(),
         },
     );
 }
 
 #[test]
-fn what_a_follower_says_of_changes_has_the_text_of_the_fixture() {
-    let link = |name: &str, role, silent, age| FollowedSourceStatus {
+fn changes_answer_of_a_follower_matches_its_fixture() {
+    let source = |name: &str, role, disconnected, data_age| FollowedSourceStatus {
         name: name.into(),
         role,
-        disconnected: silent,
-        data_age: age,
+        disconnected,
+        data_age,
     };
     let status = FollowerStatus {
         name: "b-1".into(),
@@ -142,44 +146,44 @@
         disconnected: false,
         resyncing: true,
         sources: vec![
-            link("n1", 1, false, Some(120)),
-            link("n2", 2, true, None),
-            link("n3", 0, false, Some(90_000)),
+            source("n1", 1, false, Some(120)),
+            source("n2", 2, true, None),
+            source("n3", 0, false, Some(90_000)),
         ],
     };
-    let end = ReplicationStatus::Follower { status };
-    let counters = counters();
+    let status = ReplicationStatus::Follower { status };
     assert_answer(
         "changes_follower",
         &ChangesAnswer {
-            status: end,
-            counters,
+            status,
+            counters: counters(),
         },
     );
 }
 
 #[test]
-fn a_question_is_a_line_and_what_is_none_is_answered_in_these_words() {
+fn control_socket_answers_a_known_query_and_rejects_an_unknown_one() {
     let path = std::env::temp_dir().join(format!("spanspur-control-{}.sock", std::process::id()));
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("a runtime");
     let local = tokio::task::LocalSet::new();
-    let answers = Rc::new(|question: &str| {
-        (question == "duties")
-            .then(|| to_json(&serde_json::json!({"duties": [], "abstains_ms": 0})))
+    let handler = Rc::new(|query: &str| {
+        (query == "duties").then(|| to_json(&serde_json::json!({"duties": [], "abstains_ms": 0})))
     });
-    let asked = path.clone();
-    let said = local.block_on(&runtime, async move {
-        control::serve(answers, &asked).expect("a socket");
-        let ask = move || ["duties", "weather"].map(|word| control::query(&asked, word));
-        tokio::task::spawn_blocking(ask).await.expect("asked")
+    let socket = path.clone();
+    let answers = local.block_on(&runtime, async move {
+        control::serve(handler, &socket).expect("the socket opens");
+        let send = move || ["duties", "weather"].map(|query| control::query(&socket, query));
+        tokio::task::spawn_blocking(send)
+            .await
+            .expect("the task ends")
     });
     let _ = std::fs::remove_file(&path);
-    let said = said.map(|answer| answer.expect("an answer"));
+    let answers = answers.map(|answer| answer.expect("an answer"));
     assert_eq!(
-        said,
+        answers,
         [
             "{\"abstains_ms\":0,\"duties\":[]}\n",
             "{\"error\":\"'weather' is no question here\"}\n"
--- a/crates/cluster/tests/control_answers.rs
+++ b/crates/cluster/tests/control_answers.rs
@@ -1,4 +1,4 @@
-//! The control socket's answers keep their names and forms: staff and programs read them.
+//! Compares the control socket's answers with literal JSON, whose names operators' tools read.
 
 use spanspur_cluster::control::{self, LeaseRow, LeasesAnswer, MembersAnswer, to_json};
 use spanspur_cluster::distribution::{ChangesAnswer, ReplicationStatus};
@@ -11,11 +11,11 @@
 use std::rc::Rc;
 use tokio::task::LocalSet;
 
-/// Compares an answer's line, and what is read of the line and written again.
-fn check<T: serde::Serialize + serde::de::DeserializeOwned>(answer: &T, line: &str) {
+/// Compares an answer with a line of JSON, and with itself after it was parsed and formatted again.
+fn assert_json<T: serde::Serialize + serde::de::DeserializeOwned>(answer: &T, line: &str) {
     assert_eq!(to_json(answer), format!("{line}\n"));
-    let read: T = serde_json::from_str(line).expect("reads");
-    assert_eq!(to_json(&read), format!("{line}\n"));
+    let parsed: T = serde_json::from_str(line).expect("the line parses");
+    assert_eq!(to_json(&parsed), format!("{line}\n"));
 }
 
 fn counters() -> BTreeMap<String, u64> {
@@ -23,8 +23,8 @@
 }
 
 #[test]
-fn the_answer_about_duties_keeps_its_form() {
-    let known = LeaseRow {
+fn duties_answer_keeps_its_json() {
+    let with_holder = LeaseRow {
         name: "list".into(),
         interval_ms: 1,
         holder: Some("balancer-1".into()),
@@ -34,7 +34,7 @@
         missed: 5,
         is_quorum_lost: true,
     };
-    let unknown = LeaseRow {
+    let without_holder = LeaseRow {
         name: "probe/0000000000000001".into(),
         interval_ms: u64::MAX,
         holder: None,
@@ -45,10 +45,10 @@
         is_quorum_lost: false,
     };
     let answer = LeasesAnswer {
-        leases: vec![known, unknown],
+        leases: vec![with_holder, without_holder],
         remaining_abstention_ms: 6,
     };
-    check(
+    assert_json(
         &answer,
         concat!(
             r#"{"duties":[{"duty":"list","every_ms":1,"holder":"balancer-1","period":2,"since_ms":3,"done":4,"#,
@@ -59,10 +59,10 @@
 }
 
 #[test]
-fn the_answer_about_members_keeps_its_form() {
+fn members_answer_keeps_its_json() {
     let member = Member {
         name: "balancer-1".into(),
-        address: "127.0.0.1:7000".parse().expect("an address"),
+        address: "127.0.0.1:7000".parse().expect("a valid address"),
         alive: true,
         voter: false,
         is_self: true,
@@ -71,7 +71,7 @@
         members: vec![member],
         counters: counters(),
     };
-    check(
+    assert_json(
         &answer,
         concat!(
             r#"{"members":[{"name":"balancer-1","address":"127.0.0.1:7000","alive":true,"voter":false,"me":true}],"#,
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_sources_answer_about_changes_keeps_its_form() {
+fn changes_answer_of_a_source_keeps_its_json() {
     let status = SourceStatus {
         name: "control-1".into(),
         incarnation: 1,
@@ -117,7 +117,7 @@
         },
         counters: counters(),
     };
-    check(
+    assert_json(
         &answer,
         concat!(
             r#"{"source":{"status":{"name":"control-1","run":1,"head":2,"floor":3,"entries":4,"newest":5,"root":6,"#,
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_followers_answer_about_changes_keeps_its_form() {
+fn changes_answer_of_a_follower_keeps_its_json() {
     let status = FollowerStatus {
         name: "balancer-1".into(),
         entries: 1,
@@ -150,7 +150,7 @@
         status: ReplicationStatus::Follower { status },
         counters: BTreeMap::new(),
     };
-    check(
+    assert_json(
         &answer,
         concat!(
             r#"{"follower":{"status":{"name":"balancer-1","entries":1,"newest":2,"root":3,"age":null,"full":true,"#,
@@ -161,35 +161,35 @@
 }
 
 #[test]
-fn the_names_of_the_sockets_counters_stay() {
+fn traffic_counters_keep_their_names() {
     let names = Traffic::default().named_counters().map(|(name, _)| name);
     let expected = ["sent", "sent-bytes", "received", "received-bytes", "unsent"];
     assert_eq!(names, expected);
 }
 
-/// Over a socket: an answer as it is, and what a question gets that is none.
+/// The handler's answer to a known query comes back unchanged over a socket; an unknown query gets an error object.
 #[test]
-fn a_question_that_is_none_is_answered_as_before() {
+fn unknown_query_gets_an_error_object() {
     let directory = std::env::temp_dir().join(format!("control-answers-{}", std::process::id()));
-    std::fs::create_dir_all(&directory).expect("a directory");
+    std::fs::create_dir_all(&directory).expect("the directory is created");
     let path = directory.join("control");
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("a runtime");
     let answers = LocalSet::new().block_on(&runtime, async {
-        let answers: control::QueryHandler =
-            Rc::new(|question| (question == "known").then(|| to_json(&1)));
-        control::serve(answers, &path).expect("a socket");
-        let mut heard = Vec::new();
-        for question in ["known", "strange"] {
+        let handler: control::QueryHandler =
+            Rc::new(|query| (query == "known").then(|| to_json(&1)));
+        control::serve(handler, &path).expect("the socket opens");
+        let mut answers = Vec::new();
+        for query in ["known", "strange"] {
             let path = path.clone();
-            let asked = tokio::task::spawn_blocking(move || control::query(&path, question));
-            heard.push(asked.await.expect("ends").expect("answers"));
+            let sent = tokio::task::spawn_blocking(move || control::query(&path, query));
+            answers.push(sent.await.expect("the task ends").expect("an answer"));
         }
-        heard
+        answers
     });
-    std::fs::remove_dir_all(&directory).expect("removed");
-    let strange = "{\"error\":\"'strange' is no question here\"}\n";
-    assert_eq!(answers, ["1\n", strange]);
+    std::fs::remove_dir_all(&directory).expect("the directory is removed");
+    let unknown = "{\"error\":\"'strange' is no question here\"}\n";
+    assert_eq!(answers, ["1\n", unknown]);
 }
--- a/crates/cluster/tests/wire_fixtures.rs
+++ b/crates/cluster/tests/wire_fixtures.rs
@@ -1,6 +1,8 @@
-//! What the datagrams of a cluster's instances hold, compared with fixture files, and the forms of the control
-//! socket's answers. Written by the tree at 71566bd; rewriting them (`WRITE_FIXTURES=1`) hides a change of the bytes
-//! between versions.
+//! Compares the datagrams and effects of a seeded cluster in virtual time with fixture files, so that instances of
+//! different versions understand each other. The fixtures were written at commit 71566bd. `WRITE_FIXTURES=1` rewrites
+//! them, which hides a change of the bytes.
+//!
+//! The names of effects and datagram kinds in this file are part of the fixtures and must not change.
 
 #[path = "../../../tests/common/wire_fixtures.rs"]
 mod wire_fixtures;
@@ -19,93 +21,101 @@
 
 const SEED: u64 = 75;
 const NODES: usize = 4;
-/// The last one votes on nothing.
+/// The last node is not a voter.
 const VOTERS: usize = 3;
+/// Simulated seconds.
 const SECONDS: u64 = 60;
-/// One of so many datagrams is lost.
+/// One in this many datagrams is lost.
 const LOST_ONE_IN: u64 = 12;
-const WALL: Millis = 1_700_000_000_000;
-/// Of the first datagrams of each kind the bytes themselves are kept.
-const WHOLE_OF_EACH_KIND: usize = 12;
-/// Where a sealed datagram says what it is, and what it says there unless it is a greeting or an answer to one.
-const SEAL_KIND: usize = 1;
-const SEAL_KIND_DATA: u8 = 2;
-/// What sealing puts before and after a body.
-const SEAL_HEAD: usize = 34;
-const SEAL_TAG: usize = 16;
+/// Wall-clock time at the start, in milliseconds since the Unix epoch.
+const WALL_CLOCK_START: Millis = 1_700_000_000_000;
+/// Number of datagrams of each kind that the fixtures hold in full; later ones only enter the hash of their second.
+const RECORDED_PER_KIND: usize = 12;
+/// Offset of the kind in a sealed datagram.
+const KIND_OFFSET: usize = 1;
+/// The kind of a datagram with data.
+const KIND_DATA: u8 = 2;
+/// Sizes of the header and of the authentication tag around a sealed body.
+const HEADER_BYTES: usize = 34;
+const TAG_BYTES: usize = 16;
 
-/// What a datagram carries, as it was when the fixtures were written.
+/// The payload of a datagram as of the commit that wrote the fixtures.
 #[derive(Serialize, Deserialize)]
-enum Body {
-    Gossip(Vec<u8>),
-    Duties(u64, Vec<Message>),
-    Board(GossipMessage),
+enum Payload {
+    Membership(Vec<u8>),
+    Leases(u64, Vec<Message>),
+    Gossip(GossipMessage),
 }
 
 fn encode(value: &impl Serialize) -> Vec<u8> {
-    postcard::to_stdvec(value).expect("encodes")
+    postcard::to_stdvec(value).expect("the value encodes")
 }
 
 fn check(file: &str, records: Vec<Record>) -> Vec<Record> {
     wire_fixtures::check(env!("CARGO_MANIFEST_DIR"), file, records)
 }
 
-fn score(duty: u64, instance: u64) -> f64 {
-    let bytes = [duty.to_le_bytes(), instance.to_le_bytes()].concat();
+fn score(lease: u64, instance: u64) -> f64 {
+    let bytes = [lease.to_le_bytes(), instance.to_le_bytes()].concat();
     xxh3_64(&bytes) as f64
 }
 
-fn address(at: usize) -> SocketAddr {
-    SocketAddr::from(([127, 0, 0, at as u8 + 1], 7000))
+fn address(index: usize) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, index as u8 + 1], 7000))
 }
 
-fn name(at: usize) -> String {
-    format!("balancer-{at}")
+fn name(index: usize) -> String {
+    format!("balancer-{index}")
 }
 
 fn body_of(datagram: &[u8]) -> &[u8] {
-    &datagram[SEAL_HEAD..datagram.len() - SEAL_TAG]
+    &datagram[HEADER_BYTES..datagram.len() - TAG_BYTES]
 }
 
-struct World {
+/// A cluster of nodes in virtual time, with a lossy network.
+struct Simulation {
     now: Millis,
     nodes: Vec<Option<Node>>,
-    queue: BTreeMap<(Millis, u64), (usize, usize, Vec<u8>)>,
+    /// Datagrams on their way: arrival time and number, then sender, recipient and bytes.
+    in_flight: BTreeMap<(Millis, u64), (usize, usize, Vec<u8>)>,
+    /// The number of datagrams sent.
     sent: u64,
-    /// All that was put out in this second.
-    tape: Vec<u8>,
-    whole: BTreeMap<&'static str, Vec<Record>>,
+    /// All effects and states of the current second, encoded.
+    trace: Vec<u8>,
+    /// The datagrams recorded in full, by kind.
+    recorded: BTreeMap<&'static str, Vec<Record>>,
+    /// The number of effects by name.
     effects: BTreeMap<&'static str, u64>,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             now: 0,
             nodes: (0..NODES).map(|_| None).collect(),
-            queue: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             sent: 0,
-            tape: Vec::new(),
-            whole: BTreeMap::new(),
+            trace: Vec::new(),
+            recorded: BTreeMap::new(),
             effects: BTreeMap::new(),
         };
-        (0..NODES).for_each(|at| world.start(at, 100));
-        world
+        (0..NODES).for_each(|index| simulation.start(index, 100));
+        simulation
     }
 
     fn clocks(&self) -> Clocks {
         Clocks {
             monotonic: self.now,
-            wall: WALL + self.now,
+            wall: WALL_CLOCK_START + self.now,
         }
     }
 
-    fn start(&mut self, at: usize, boot: u64) {
-        let setup = NodeConfig {
+    fn start(&mut self, index: usize, incarnation: u64) {
+        let config = NodeConfig {
             identity: Identity {
-                name: name(at),
-                address: address(at),
-                incarnation: boot,
+                name: name(index),
+                address: address(index),
+                incarnation,
                 refutations: 0,
             },
             keys: Keys(vec![Key::new(b"the secret of this test")]),
@@ -118,17 +128,17 @@
                 suspicion_timeout: Duration::from_millis(1000),
             },
             ranking: Ranking(score),
-            random_seed: SEED + at as u64 + boot,
+            random_seed: SEED + index as u64 + incarnation,
         };
-        let mut node = Node::new(self.clocks(), setup);
-        let duties = [("list", 500), ("probe/1", 1000), ("probe/2", 2000)];
-        let duties = duties.map(|(name, every)| (name.to_owned(), every));
-        node.configure(self.clocks(), &BTreeMap::from(duties));
-        self.nodes[at] = Some(node);
+        let mut node = Node::new(self.clocks(), config);
+        let leases = [("list", 500), ("probe/1", 1000), ("probe/2", 2000)];
+        let intervals = leases.map(|(name, interval)| (name.to_owned(), interval));
+        node.configure(self.clocks(), &BTreeMap::from(intervals));
+        self.nodes[index] = Some(node);
     }
 
-    fn publish(&mut self, at: usize, keys: std::ops::Range<u64>, version: u64) {
-        // Of many lengths, so that it shows how many fit into a datagram.
+    fn publish(&mut self, index: usize, keys: std::ops::Range<u64>, version: u64) {
+        // Values of various lengths, so that the test covers how entries are split between datagrams.
         let value = |key: u64| {
             let mut value = format!("value {key} in version {version}").into_bytes();
             value.truncate((key * 7 % 19) as usize);
@@ -140,128 +150,132 @@
             value: value(key),
         });
         let now = self.clocks();
-        let node = self.nodes[at].as_mut().expect("runs");
+        let node = self.nodes[index].as_mut().expect("the node runs");
         node.publish(now, entries.collect());
-        self.settle(at);
+        self.apply_effects(index);
     }
 
-    fn note(&mut self, effect: &'static str, value: &impl Serialize) {
+    fn trace_effect(&mut self, effect: &'static str, value: &impl Serialize) {
         *self.effects.entry(effect).or_default() += 1;
-        self.tape.extend(encode(&(self.now, effect)));
-        self.tape.extend(encode(value));
+        self.trace.extend(encode(&(self.now, effect)));
+        self.trace.extend(encode(value));
     }
 
-    /// Keeps the datagram, and shows that its body is read and written as when the fixtures were written.
-    fn keep(&mut self, from: usize, datagram: &[u8]) {
-        let kind = match datagram[SEAL_KIND] {
-            SEAL_KIND_DATA => {
+    /// Records the first datagrams of each kind, and checks that each payload decodes and encodes to the same bytes.
+    fn record(&mut self, from: usize, datagram: &[u8]) {
+        let kind = match datagram[KIND_OFFSET] {
+            KIND_DATA => {
                 let bytes = body_of(datagram);
-                let body: Body = postcard::from_bytes(bytes).expect("decodes");
-                assert_eq!(encode(&body), bytes);
-                match body {
-                    Body::Gossip(_) => "gossip",
-                    Body::Duties(..) => "duties",
-                    Body::Board(GossipMessage::Entries { .. }) => "board-entries",
-                    Body::Board(GossipMessage::Digest(_)) => "board-compare",
+                let payload: Payload = postcard::from_bytes(bytes).expect("the payload decodes");
+                assert_eq!(encode(&payload), bytes);
+                match payload {
+                    Payload::Membership(_) => "gossip",
+                    Payload::Leases(..) => "duties",
+                    Payload::Gossip(GossipMessage::Entries { .. }) => "board-entries",
+                    Payload::Gossip(GossipMessage::Digest(_)) => "board-compare",
                 }
             }
             0 => "greeting",
             _ => "answer",
         };
-        let whole = self.whole.entry(kind).or_default();
-        if whole.len() < WHOLE_OF_EACH_KIND {
-            let name = format!("{kind}-{}-{from}-{}", self.now, whole.len());
-            whole.push(Record::new(name, datagram.to_vec()));
+        let recorded = self.recorded.entry(kind).or_default();
+        if recorded.len() < RECORDED_PER_KIND {
+            let name = format!("{kind}-{}-{from}-{}", self.now, recorded.len());
+            recorded.push(Record::new(name, datagram.to_vec()));
         }
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, datagram: Vec<u8>) {
-        self.keep(from, &datagram);
-        self.note("datagram", &(from, to, &datagram));
+        self.record(from, &datagram);
+        self.trace_effect("datagram", &(from, to, &datagram));
         self.sent += 1;
-        let drawn = xxh3_64(&[SEED.to_le_bytes(), self.sent.to_le_bytes()].concat());
-        let arrival = self.now + 1 + drawn / LOST_ONE_IN % 20;
-        let to = (0..NODES).find(|at| address(*at) == to).expect("known");
-        if !drawn.is_multiple_of(LOST_ONE_IN) {
-            self.queue
+        let random = xxh3_64(&[SEED.to_le_bytes(), self.sent.to_le_bytes()].concat());
+        let arrival = self.now + 1 + random / LOST_ONE_IN % 20;
+        let to = (0..NODES)
+            .find(|index| address(*index) == to)
+            .expect("a node's address");
+        if !random.is_multiple_of(LOST_ONE_IN) {
+            self.in_flight
                 .insert((arrival, self.sent), (from, to, datagram));
         }
     }
 
-    fn carry_out(&mut self, at: usize, effect: Effect) {
+    fn apply_effect(&mut self, index: usize, effect: Effect) {
         match effect {
-            Effect::Datagram(to, datagram) => self.send(at, to, datagram),
+            Effect::Datagram(to, datagram) => self.send(index, to, datagram),
             Effect::Granted(grant) => {
-                let values = (at, grant.lease, grant.fencing_token, grant.valid_until);
-                self.note("perform", &values);
+                let values = (index, grant.lease, grant.fencing_token, grant.valid_until);
+                self.trace_effect("perform", &values);
                 let in_time = grant.is_valid(self.now);
-                let node = self.nodes[at].as_mut().expect("runs");
+                let node = self.nodes[index].as_mut().expect("the node runs");
                 node.record_completion(&grant, in_time);
             }
-            Effect::EntryUpdated(entry) => self.note("news", &(at, entry)),
+            Effect::EntryUpdated(entry) => self.trace_effect("news", &(index, entry)),
             Effect::Notice(notice) => match notice {
-                Notice::MemberUp(who) => self.note("up", &(at, who)),
-                Notice::MemberDown(who) => self.note("down", &(at, who)),
-                Notice::DownRefuted => self.note("renewed", &at),
-                Notice::TermsMissed { lease, terms } => self.note("missed", &(at, lease, terms)),
+                Notice::MemberUp(member) => self.trace_effect("up", &(index, member)),
+                Notice::MemberDown(member) => self.trace_effect("down", &(index, member)),
+                Notice::DownRefuted => self.trace_effect("renewed", &index),
+                Notice::TermsMissed { lease, terms } => {
+                    self.trace_effect("missed", &(index, lease, terms))
+                }
                 Notice::QuorumChanged { lease, is_lost } => {
-                    self.note("minority", &(at, lease, is_lost))
+                    self.trace_effect("minority", &(index, lease, is_lost))
                 }
                 Notice::HoldingChanged { lease, is_held } => {
-                    self.note("holds", &(at, lease, is_held))
+                    self.trace_effect("holds", &(index, lease, is_held))
                 }
             },
         }
     }
 
-    fn settle(&mut self, at: usize) {
-        let effects = self.nodes[at].as_mut().map(Node::take_effects);
+    fn apply_effects(&mut self, index: usize) {
+        let effects = self.nodes[index].as_mut().map(Node::take_effects);
         for effect in effects.unwrap_or_default() {
-            self.carry_out(at, effect);
+            self.apply_effect(index, effect);
         }
     }
 
-    /// Delivers what has arrived and wakes who is due, at one millisecond.
-    fn turn(&mut self) {
+    /// Simulates one millisecond: delivers the datagrams that are due and wakes the nodes whose timers have expired.
+    fn tick(&mut self) {
         let now = self.clocks();
-        while let Some(entry) = self.queue.first_entry()
+        while let Some(entry) = self.in_flight.first_entry()
             && entry.key().0 <= self.now
         {
             let (from, to, datagram) = entry.remove();
             if let Some(node) = &mut self.nodes[to] {
                 node.receive(now, address(from), &datagram);
             }
-            self.settle(to);
+            self.apply_effects(to);
         }
-        for at in 0..NODES {
-            if let Some(node) = &mut self.nodes[at]
+        for index in 0..NODES {
+            if let Some(node) = &mut self.nodes[index]
                 && node.next_wake() <= self.now
             {
                 node.wake(now);
             }
-            self.settle(at);
+            self.apply_effects(index);
         }
     }
 
-    /// What happens at the start of a second.
-    fn events(&mut self, second: u64) {
+    /// Applies the scheduled events at the start of a second.
+    fn apply_schedule(&mut self, second: u64) {
         match second {
             5 => self.publish(0, 0..3, 10),
-            // More than one datagram holds.
+            // More entries than fit into one datagram.
             8..=13 => self.publish(1, 10 * second..11 * second + 300, 3 + second),
-            // One dies, and comes back with nothing in memory.
+            // A node crashes and restarts with empty memory.
             15 => self.nodes[0] = None,
             17 => self.publish(1, 50..55, 12),
             22 => self.start(0, 200),
-            // One leaves in order and comes back.
+            // A node leaves the cluster and restarts.
             35 => {
                 let now = self.clocks();
-                self.nodes[2].as_mut().expect("runs").leave(now);
-                self.settle(2);
+                self.nodes[2].as_mut().expect("the node runs").leave(now);
+                self.apply_effects(2);
                 self.nodes[2] = None;
             }
             40 => self.start(2, 300),
-            // No majority is left for a while.
+            // The quorum is lost for five seconds.
             45 => (self.nodes[1], self.nodes[2]) = (None, None),
             50 => {
                 self.start(1, 400);
@@ -271,49 +285,51 @@
         }
     }
 
-    /// How each node stands.
-    fn note_status(&mut self) {
+    /// Adds the state of each node to the trace.
+    fn trace_status(&mut self) {
         let now = self.clocks();
         for node in self.nodes.iter().flatten() {
-            let board: Vec<&GossipEntry> = node.gossip_store().iter().collect();
-            let stands = (
+            let entries: Vec<&GossipEntry> = node.gossip_store().iter().collect();
+            let state = (
                 node.status(now),
                 node.members(),
                 node.counters(),
-                board,
+                entries,
                 node.next_wake(),
             );
-            self.tape.extend(encode(&stands));
+            self.trace.extend(encode(&state));
         }
     }
 
-    /// Plays one second and returns what was put out in it.
-    fn second(&mut self, second: u64) -> Vec<u8> {
-        self.events(second);
+    /// Simulates one second and returns its trace.
+    fn run_second(&mut self, second: u64) -> Vec<u8> {
+        self.apply_schedule(second);
         for _ in 0..1000 {
-            self.turn();
+            self.tick();
             self.now += 1;
         }
-        self.note_status();
-        std::mem::take(&mut self.tape)
+        self.trace_status();
+        std::mem::take(&mut self.trace)
     }
 }
 
 #[test]
-fn a_seeded_run_of_nodes_puts_out_the_same_bytes_as_before() {
+fn seeded_cluster_run_keeps_its_bytes() {
     println!("seed {SEED}");
-    let mut world = World::new();
+    let mut simulation = Simulation::new();
     let mut records = Vec::new();
     for second in 0..SECONDS {
-        let tape = world.second(second);
-        let mut bytes = xxh3_64(&tape).to_le_bytes().to_vec();
-        bytes.extend((tape.len() as u64).to_le_bytes());
+        let trace = simulation.run_second(second);
+        let mut bytes = xxh3_64(&trace).to_le_bytes().to_vec();
+        bytes.extend((trace.len() as u64).to_le_bytes());
         records.push(Record::new(format!("second-{second}"), bytes));
     }
-    println!("{:?}", world.effects);
-    let kinds: Vec<&str> = world.whole.keys().copied().collect();
-    let whole = std::mem::take(&mut world.whole).into_values().flatten();
-    check("node_datagrams.txt", whole.collect());
+    println!("{:?}", simulation.effects);
+    let kinds: Vec<&str> = simulation.recorded.keys().copied().collect();
+    let recorded = std::mem::take(&mut simulation.recorded)
+        .into_values()
+        .flatten();
+    check("node_datagrams.txt", recorded.collect());
     check("node_seconds.txt", records);
     let expected_kinds = [
         "answer",
@@ -324,7 +340,7 @@
         "greeting",
     ];
     assert_eq!(kinds, expected_kinds);
-    let effects: Vec<&str> = world.effects.keys().copied().collect();
+    let effects: Vec<&str> = simulation.effects.keys().copied().collect();
     let expected_effects = [
         "datagram", "down", "holds", "minority", "missed", "news", "perform", "renewed", "up",
     ];
@@ -334,7 +350,7 @@
 }
 
 #[test]
-fn a_member_keeps_its_bytes() {
+fn member_keeps_its_bytes() {
     let member = Member {
         name: name(1),
         address: address(1),
