--- a/src/cluster/endpoint_list.rs
+++ b/src/cluster/endpoint_list.rs
@@ -1,11 +1,12 @@
 //! Discovery's endpoint list, watched by one instance for all. The holder of the lease `list` publishes each changed
-//! endpoint, and several times a second a heartbeat with a summary of the whole list. The others apply endpoints as
-//! they come; while a heartbeat confirms all that they have, they need not poll discovery. Once the last confirmation
-//! is too old they poll it themselves, from the revision that was confirmed.
+//! endpoint and, several times within the maximum age of a confirmation, a heartbeat with a summary of the whole list.
+//! The other instances apply the endpoints as they arrive. While heartbeats confirm that their lists are complete, they
+//! do not poll discovery. Once the last confirmation is too old, they poll discovery themselves, from the confirmed
+//! revision on.
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | `publisher` | the lease holder's side, and what this instance's own watch brings |
+//! | `publisher` | the lease holder's side, and the updates of this instance's own watch |
 //! | `followed` | the side of a balancer outside the cluster |
 
 mod followed;
@@ -27,45 +28,47 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until};
 
-/// Publishes entries to the other instances.
+/// A function that publishes entries to the other instances.
 pub type Publish = Box<dyn Fn(Vec<GossipEntry>)>;
 
-/// A revision of discovery's list, and when it was the current one.
+/// A revision of discovery's list, and a time at which it was current.
 #[derive(Clone, Copy)]
 struct Confirmation {
     revision: u64,
     at: Instant,
 }
 
-/// The endpoint list as instances share it.
+/// The endpoint list that instances share.
 pub struct SharedEndpointList {
     publish: Publish,
-    /// Whether balancers outside the cluster get the list as well.
+    /// Whether balancers outside the cluster follow the list.
     has_followers: bool,
-    /// How old a confirmation may be; `None` while the task is switched off.
+    /// The maximum age of a confirmation, in milliseconds; `None` while the task is disabled.
     max_age: Cell<Option<Millis>>,
     endpoints: RefCell<BTreeMap<u64, EndpointEntry>>,
-    /// At a balancer outside the cluster: the list as its sources have brought it.
+    /// At a balancer outside the cluster: the list received from the sources.
     followed: RefCell<ReplicatedList>,
-    /// The last heartbeat's summary, until it has confirmed the list.
+    /// The summary of the last heartbeat, until the list matches it.
     unconfirmed: Cell<Option<ListSummary>>,
     confirmation: Cell<Option<Confirmation>>,
+    /// Notified when the list may have become confirmed or stale.
     changed: Notify,
-    /// While this instance holds the lease.
+    /// Set while this instance holds the lease.
     leadership: Cell<Option<Leadership>>,
-    /// The revision of the list that this instance has got from a watch; `None` if it has no list yet.
+    /// The revision of the list, from this instance's own watch or, since it began to lead, from the last confirmation;
+    /// `None` if there is no list yet.
     own_revision: Cell<Option<u64>>,
-    /// The revision that the discovery that is watched now has sent last.
+    /// The last revision received from the discovery service that is watched now.
     discovery_revision: Cell<Option<u64>>,
-    /// The summary that was distributed last.
-    distributed: Cell<Option<ListSummary>>,
-    /// Discovery has never answered this process, and the last attempt has failed.
+    /// The last summary that was published for balancers outside the cluster.
+    distributed_summary: Cell<Option<ListSummary>>,
+    /// Whether discovery has never answered this process, and the last attempt failed.
     is_discovery_unreachable: Cell<bool>,
     is_stopped: Cell<bool>,
 }
 
 impl SharedEndpointList {
-    /// An empty list.
+    /// Creates an empty list.
     pub fn new(publish: Publish, has_followers: bool) -> Self {
         Self {
             publish,
@@ -79,34 +82,34 @@
             leadership: Cell::new(None),
             own_revision: Cell::new(None),
             discovery_revision: Cell::new(None),
-            distributed: Cell::new(None),
+            distributed_summary: Cell::new(None),
             is_discovery_unreachable: Cell::new(false),
             is_stopped: Cell::new(false),
         }
     }
 
-    /// An empty list that publishes nothing.
+    /// Creates an empty list that publishes nothing.
     pub fn read_only() -> Self {
         Self::new(Box::new(|_| {}), false)
     }
 
-    /// Sets how old a confirmation may be, in milliseconds; `None` switches the task off.
+    /// Sets the maximum age of a confirmation, in milliseconds; `None` disables the task.
     pub fn configure(&self, max_age: Option<Millis>) {
         self.max_age.set(max_age);
         self.changed.notify_waiters();
     }
 
-    /// Publishes nothing any more.
+    /// Stops publishing.
     pub fn stop(&self) {
         self.is_stopped.set(true);
     }
 
-    /// Whether a gossiped entry is one of the list.
+    /// Whether a gossiped entry belongs to the list.
     pub fn is_list_entry(&self, entry: &GossipEntry) -> bool {
         ListEntry::decode(entry).is_some()
     }
 
-    /// Until when the list counts as up to date by another instance's watch; `None` if it does not.
+    /// Until when the list counts as current because of another instance's watch; `None` if it does not.
     fn confirmed_until(&self) -> Option<Instant> {
         let max_age = Duration::from_millis(self.max_age.get()?);
         let until = self.confirmation.get()?.at + max_age;
@@ -118,7 +121,7 @@
         Some(confirmation.revision)
     }
 
-    /// Returns once another instance's watch makes an own one needless.
+    /// Waits until another instance's watch confirms the list, so that this instance need not watch discovery.
     pub async fn wait_until_confirmed(&self) {
         loop {
             let changed = self.changed.notified();
@@ -129,8 +132,8 @@
         }
     }
 
-    /// Returns once the list is not confirmed any more, or this instance has to watch discovery itself: the revision to
-    /// poll from.
+    /// Waits until the list is no longer confirmed, or this instance has to watch discovery itself. Returns the revision
+    /// to poll from.
     pub async fn wait_until_stale(&self) -> Option<u64> {
         loop {
             let changed = self.changed.notified();
@@ -144,17 +147,17 @@
         }
     }
 
-    /// Applies a gossiped entry and returns what it changes in the list.
+    /// Applies a gossiped entry and returns the resulting change of the endpoints, if any.
     pub fn apply_entry(&self, entry: &GossipEntry) -> Option<EndpointList> {
         match ListEntry::decode(entry)? {
             ListEntry::Heartbeat(summary) => {
-                // Version 0 is no holder's: it confirms nothing.
+                // A holder's version is never 0, so such a heartbeat confirms nothing.
                 let summary = Some(summary).filter(|_| entry.version > 0);
                 self.unconfirmed.set(summary);
                 self.confirm();
                 None
             }
-            // For balancers outside the cluster.
+            // Meant for balancers outside the cluster.
             ListEntry::Summary(_) => None,
             ListEntry::Endpoint(endpoint) => {
                 let listed = endpoint.to_listed();
@@ -168,7 +171,8 @@
         }
     }
 
-    /// Confirms the list if the last heartbeat's summary matches it. A heartbeat confirms once: it ages from then on.
+    /// Confirms the list if it matches the summary of the last heartbeat. Each heartbeat confirms only once, so that the
+    /// confirmation ages from then on.
     fn confirm(&self) {
         let Some(summary) = self.unconfirmed.get() else {
             return;
@@ -184,12 +188,12 @@
         self.changed.notify_waiters();
     }
 
-    /// Another discovery is watched from here on; it counts its revisions on its own.
+    /// Records that another discovery service is watched from now on, whose revisions are independent of the last one's.
     pub fn reset_discovery_revision(&self) {
         self.discovery_revision.set(None);
     }
 
-    /// This instance's own watch has failed.
+    /// Records that this instance's own watch has failed.
     pub fn record_discovery_failure(&self) {
         let has_list = self.own_revision.get().is_some();
         self.is_discovery_unreachable.set(!has_list);
--- a/src/cluster/endpoint_list/followed.rs
+++ b/src/cluster/endpoint_list/followed.rs
@@ -1,4 +1,4 @@
-//! The list at a balancer outside the cluster, as the sources that it follows bring it.
+//! The list at a balancer outside the cluster, as received from the sources that it follows.
 
 use super::{Confirmation, SharedEndpointList};
 use crate::cluster::gossip_entries::EndpointEntry;
@@ -8,12 +8,12 @@
 use tokio::time::Instant;
 
 impl SharedEndpointList {
-    /// Applies entries that the sources have brought; `age` is how old their list is at most, in milliseconds.
-    /// Returns the whole list when it begins to be trusted, and changes afterwards.
+    /// Applies entries received from the sources; `age` is the maximum age of their list, in milliseconds. Returns the
+    /// whole list when it becomes trusted, and only changes after that.
     ///
-    /// It is trusted while it is complete, young enough, and not behind what discovery itself has sent this balancer:
-    /// a source that was cut off for an hour must not undo what is known here. Where discovery has never answered and
-    /// does not now, an old list is better than none.
+    /// The followed list is trusted while it is complete, recent enough, and not behind what discovery itself has sent
+    /// this balancer: a source that was cut off for an hour must not undo newer changes. If discovery has never answered
+    /// and still does not, an old list is better than none and is applied without trust.
     pub fn apply_followed(
         &self,
         entries: &[GossipEntry],
@@ -52,7 +52,7 @@
             .collect()
     }
 
-    /// Confirms the followed list as of its age, if it may be trusted.
+    /// Confirms the followed list as of the time that its age gives, if it may be trusted.
     fn confirm_followed(&self, age: Option<Millis>) {
         let mut followed = self.followed.borrow_mut();
         let (Some(summary), Some(age)) = (followed.complete_summary(), age) else {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Replaces the list by the followed one.
+    /// Replaces the list with the followed one.
     fn adopt_followed(&self) -> EndpointList {
         let followed = self.followed.borrow();
         let mut endpoints = self.endpoints.borrow_mut();
@@ -94,7 +94,7 @@
         }
     }
 
-    /// The followed endpoints that are not in the list, or not in this state.
+    /// The followed endpoints that are missing in the list or differ from it.
     fn differing_followed(&self) -> Vec<EndpointEntry> {
         let endpoints = self.endpoints.borrow();
         let followed = self.followed.borrow();
--- a/src/cluster/endpoint_list/publisher.rs
+++ b/src/cluster/endpoint_list/publisher.rs
@@ -1,4 +1,4 @@
-//! The lease holder's side of the shared list: what its watch on discovery brings, it publishes.
+//! The lease holder's side of the shared list: publishes the updates of its watch on discovery.
 
 use super::SharedEndpointList;
 use crate::cluster::gossip_entries::{
@@ -13,27 +13,27 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-/// Heartbeats within the age that a confirmation may have.
+/// Number of heartbeats within the maximum age of a confirmation.
 const HEARTBEATS_PER_MAX_AGE: u64 = 4;
-/// Bits of a version that count entries within one term; the term stands above them.
-const STEP_BITS: u32 = 20;
-/// This instance counts as the holder for this share of an interval longer than one: the next grant comes when the
-/// interval is over, and until then no other instance can have one.
-const LEADERSHIP_MARGIN_SHARE: u64 = 8;
+/// Number of low bits of a version that hold the sequence number within a term. The higher bits hold the term.
+const SEQUENCE_BITS: u32 = 20;
+/// Leadership lasts longer than the interval by the interval divided by this: the next grant arrives when the interval
+/// ends, and until then no other instance can get a grant.
+const LEADERSHIP_MARGIN_DIVISOR: u64 = 8;
 
-/// This instance's time as the holder of the lease.
+/// A term in which this instance holds the lease.
 #[derive(Clone, Copy)]
 pub(super) struct Leadership {
     term: u64,
-    /// The last version's number within the term.
-    step: u64,
+    /// The sequence number of the last version within the term.
+    sequence: u64,
     ends_at: Instant,
 }
 
 impl Leadership {
     fn next_version(&mut self) -> u64 {
-        self.step = (self.step + 1).min((1 << STEP_BITS) - 1);
-        self.term << STEP_BITS | self.step
+        self.sequence = (self.sequence + 1).min((1 << SEQUENCE_BITS) - 1);
+        self.term << SEQUENCE_BITS | self.sequence
     }
 }
 
@@ -45,7 +45,7 @@
             && !self.is_stopped.get()
     }
 
-    /// Records what this instance's own watch on discovery has brought, and publishes it if this instance leads.
+    /// Records an update of this instance's own watch on discovery, and publishes it if this instance holds the lease.
     pub fn record_discovered(&self, list: &EndpointList) {
         let listed: BTreeMap<u64, EndpointEntry> = list
             .endpoints
@@ -56,7 +56,8 @@
         if list.complete {
             changed.extend(self.remove_unlisted(&listed));
         }
-        // There may be nobody left who could publish these removals: all control instances were replaced, say.
+        // The followed list drops these endpoints as well. Its sources may never publish their removal, for example if
+        // all control instances were replaced.
         let mut followed = self.followed.borrow_mut();
         followed.mark_removed(|id| match listed.get(&id) {
             Some(entry) => entry.is_removed(),
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Marks the endpoints that are missing in a complete list as removed, and returns them.
+    /// Marks endpoints that are missing in a complete list as removed, and returns them.
     fn remove_unlisted(&self, listed: &BTreeMap<u64, EndpointEntry>) -> Vec<EndpointEntry> {
         let mut endpoints = self.endpoints.borrow_mut();
         let unlisted = endpoints
@@ -86,7 +87,7 @@
             .collect()
     }
 
-    /// Takes over what is new or different, and returns it.
+    /// Adds or replaces endpoints that are new or different, and returns them.
     fn merge_listed(&self, listed: BTreeMap<u64, EndpointEntry>) -> Vec<EndpointEntry> {
         let mut endpoints = self.endpoints.borrow_mut();
         let mut changed = Vec::new();
@@ -114,7 +115,7 @@
             hash: hash_endpoints(self.endpoints.borrow().values()),
         };
         let mut entries: Vec<ListEntry> = endpoints.into_iter().map(ListEntry::Endpoint).collect();
-        if self.has_followers && self.distributed.replace(Some(summary)) != Some(summary) {
+        if self.has_followers && self.distributed_summary.replace(Some(summary)) != Some(summary) {
             entries.push(ListEntry::Summary(summary));
         }
         entries.push(ListEntry::Heartbeat(summary));
@@ -126,13 +127,13 @@
         (self.publish)(encoded);
     }
 
-    /// Leads for a term: publishes all endpoints if this instance did not lead before, then heartbeats.
+    /// Leads for a term: publishes all endpoints if this instance did not lead before, and then regular heartbeats.
     async fn lead_term(self: Rc<Self>, grant: LeaseGrant, interval: Millis) {
         let term = grant.fencing_token;
         if !self.begin_term(term, interval) {
             tracing::info!(term, "list lease held: publishing the endpoint list");
             let all = self.endpoints.borrow().values().cloned().collect();
-            self.distributed.set(None);
+            self.distributed_summary.set(None);
             self.publish_entries(all);
         }
         while let Some(max_age) = self.max_age.get() {
@@ -151,25 +152,25 @@
         let was_leading = self.is_leading();
         let previous = self.leadership.get();
         let previous = previous.filter(|previous| previous.term == term);
-        let duration = Duration::from_millis(interval + interval / LEADERSHIP_MARGIN_SHARE);
+        let duration = Duration::from_millis(interval + interval / LEADERSHIP_MARGIN_DIVISOR);
         self.leadership.set(Some(Leadership {
             term,
-            step: previous.map_or(0, |previous| previous.step),
+            sequence: previous.map_or(0, |previous| previous.sequence),
             ends_at: Instant::now() + duration,
         }));
         self.changed.notify_waiters();
-        // What was confirmed while another instance watched counts from here on as seen here.
-        let seen = self.own_revision.get().max(self.confirmed_revision());
-        self.own_revision.set(seen);
+        // This instance continues from the revision that was confirmed while another instance watched.
+        let latest = self.own_revision.get().max(self.confirmed_revision());
+        self.own_revision.set(latest);
         was_leading
     }
 }
 
-/// The lease task to watch discovery for all.
+/// The lease task that watches discovery for all instances.
 pub struct EndpointListTask {
-    /// Its interval in milliseconds.
+    /// The interval of the lease in milliseconds.
     pub interval_ms: Millis,
-    /// The list that it publishes.
+    /// The list that the task publishes.
     pub list: Rc<SharedEndpointList>,
 }
 
@@ -186,8 +187,8 @@
         let (list, interval) = (self.list.clone(), self.interval_ms);
         Box::pin(async move {
             if clock.is_valid(&grant) {
-                // It outlives the grant by design: polling changes nothing at discovery, and the versions of what is
-                // published carry the term, so that a later term's entries replace these.
+                // This deliberately outlives the grant. Polling changes nothing at discovery, and the versions of the
+                // published entries contain the term, so that entries of a later term replace them.
                 spawn_local(list.lead_term(grant, interval));
             }
             Vec::new()
--- a/src/cluster/endpoint_list/tests.rs
+++ b/src/cluster/endpoint_list/tests.rs
@@ -1,4 +1,4 @@
-//! When a balancer outside the cluster takes the list that its sources have brought.
+//! When a balancer outside the cluster applies the list that it received from its sources.
 
 use super::*;
 use crate::api::{Endpoint, EndpointState, ServerId};
@@ -6,138 +6,148 @@
 
 const MAX_AGE: Millis = 5000;
 
-fn follower() -> SharedEndpointList {
+fn followed_list() -> SharedEndpointList {
     let list = SharedEndpointList::new(Box::new(|_| {}), false);
     list.configure(Some(MAX_AGE));
     list
 }
 
-fn row(id: u64, state: EndpointState) -> EndpointEntry {
-    let member = Endpoint {
+fn endpoint(id: u64, state: EndpointState) -> EndpointEntry {
+    let endpoint = Endpoint {
         id: ServerId(id),
         state,
         weight: 1.0,
         ..Endpoint::default()
     };
     EndpointEntry::new(&ListedEndpoint {
-        endpoint: member,
-        address: "127.0.0.1:9".parse().expect("an address"),
+        endpoint,
+        address: "127.0.0.1:9".parse().expect("a valid address"),
     })
 }
 
-/// The entries that a writer tells: these rows, and the head over them under this revision of discovery's.
-fn entries_of(rows: &[EndpointEntry], revision: u64, version: u64) -> Vec<GossipEntry> {
-    let head = ListSummary {
+/// The gossiped entries of a list: its endpoints, and their summary with this revision of discovery's list. Versions are
+/// counted up from `version`.
+fn encode_list(endpoints: &[EndpointEntry], revision: u64, version: u64) -> Vec<GossipEntry> {
+    let summary = ListSummary {
         revision,
-        hash: hash_endpoints(rows.iter()),
+        hash: hash_endpoints(endpoints.iter()),
     };
-    let rows = rows.iter().cloned().map(ListEntry::Endpoint);
-    let all = rows.chain([ListEntry::Summary(head)]);
-    all.enumerate()
+    let endpoints = endpoints.iter().cloned().map(ListEntry::Endpoint);
+    let entries = endpoints.chain([ListEntry::Summary(summary)]);
+    entries
+        .enumerate()
         .map(|(n, entry)| entry.encode(version + n as u64))
         .collect()
 }
 
-/// The servers that a list names, each with whether it takes new connections.
-fn named(list: Option<EndpointList>) -> (bool, Vec<(u64, bool)>) {
+/// Whether a list is complete, and the ids of its endpoints, each with whether the endpoint is ready.
+fn summarize(list: Option<EndpointList>) -> (bool, Vec<(u64, bool)>) {
     let list = list.expect("a list");
-    let ready = |m: &Endpoint| (m.id.0, m.state == EndpointState::Ready);
-    let members = list.endpoints.iter().map(|listed| ready(&listed.endpoint));
-    (list.complete, members.collect())
+    let with_readiness =
+        |endpoint: &Endpoint| (endpoint.id.0, endpoint.state == EndpointState::Ready);
+    let endpoints = list.endpoints.iter();
+    let endpoints = endpoints.map(|listed| with_readiness(&listed.endpoint));
+    (list.complete, endpoints.collect())
 }
 
-fn two() -> Vec<EndpointEntry> {
-    vec![row(1, EndpointState::Ready), row(2, EndpointState::Ready)]
+fn two_ready_endpoints() -> Vec<EndpointEntry> {
+    vec![
+        endpoint(1, EndpointState::Ready),
+        endpoint(2, EndpointState::Ready),
+    ]
 }
 
 #[test]
-fn a_followed_list_is_applied_once_complete_and_its_changes_after_that() {
-    let list = follower();
-    let entries = entries_of(&two(), 7, 10);
-    let (part, rest) = entries.split_at(1);
+fn followed_list_is_applied_once_complete_then_by_changes() {
+    let list = followed_list();
+    let entries = encode_list(&two_ready_endpoints(), 7, 10);
+    let (first, rest) = entries.split_at(1);
     assert!(
-        list.apply_followed(part, Some(100)).is_none(),
-        "a part of it"
+        list.apply_followed(first, Some(100)).is_none(),
+        "the list is incomplete"
     );
     assert!(list.confirmed_until().is_none());
     assert_eq!(
-        named(list.apply_followed(rest, Some(100))),
+        summarize(list.apply_followed(rest, Some(100))),
         (true, vec![(1, true), (2, true)])
     );
     assert!(
         list.confirmed_until().is_some(),
-        "discovery can be left alone"
+        "discovery need not be polled"
     );
 
-    let drained = vec![
-        row(1, EndpointState::Ready),
-        row(2, EndpointState::Draining),
+    let draining = vec![
+        endpoint(1, EndpointState::Ready),
+        endpoint(2, EndpointState::Draining),
     ];
-    let entries = entries_of(&drained, 8, 20);
-    let (complete, members) = named(list.apply_followed(&entries, Some(100)));
-    assert!(!complete && members.contains(&(2, false)), "{members:?}");
-    // What a source that was frozen or restarted with less still has changes nothing.
+    let entries = encode_list(&draining, 8, 20);
+    let (complete, changes) = summarize(list.apply_followed(&entries, Some(100)));
+    assert!(!complete && changes.contains(&(2, false)), "{changes:?}");
+    // Older entries, from a source that was frozen or restarted with an old list, change nothing.
     assert!(
-        list.apply_followed(&entries_of(&two(), 7, 10), Some(0))
+        list.apply_followed(&encode_list(&two_ready_endpoints(), 7, 10), Some(0))
             .is_none()
     );
 }
 
 #[test]
-fn a_stale_followed_list_is_not_applied_while_discovery_is_reachable() {
-    let list = follower();
-    let entries = entries_of(&two(), 7, 10);
+fn stale_followed_list_is_applied_only_if_discovery_is_unreachable() {
+    let list = followed_list();
+    let entries = encode_list(&two_ready_endpoints(), 7, 10);
     assert!(list.apply_followed(&entries, Some(MAX_AGE + 1)).is_none());
     assert!(
         list.apply_followed(&[], None).is_none(),
-        "nobody says how old"
+        "the age is unknown"
     );
     assert!(list.confirmed_until().is_none());
-    // Discovery has never answered, and does not now: an old list is better than none.
+    // Discovery has never answered and still does not: an old list is better than none.
     list.record_discovery_failure();
     assert_eq!(
-        named(list.apply_followed(&[], Some(MAX_AGE + 1))),
+        summarize(list.apply_followed(&[], Some(MAX_AGE + 1))),
         (false, vec![(1, true), (2, true)])
     );
-    assert!(list.confirmed_until().is_none(), "discovery is asked still");
+    assert!(
+        list.confirmed_until().is_none(),
+        "discovery is still polled"
+    );
 }
 
 #[test]
-fn a_followed_list_behind_discovery_is_not_applied() {
-    let list = follower();
-    let drained = row(2, EndpointState::Draining);
-    let own = EndpointList {
+fn followed_list_behind_discovery_is_not_applied() {
+    let list = followed_list();
+    let draining = endpoint(2, EndpointState::Draining);
+    let discovered = EndpointList {
         revision: 8,
         complete: true,
         endpoints: vec![
             ListedEndpoint {
-                endpoint: row(1, EndpointState::Ready).to_endpoint(),
-                address: drained.address,
+                endpoint: endpoint(1, EndpointState::Ready).to_endpoint(),
+                address: draining.address,
             },
-            drained.to_listed(),
+            draining.to_listed(),
         ],
         unusable: None,
     };
-    list.record_discovered(&own);
+    list.record_discovered(&discovered);
     assert!(
-        list.apply_followed(&entries_of(&two(), 7, 10), Some(0))
+        list.apply_followed(&encode_list(&two_ready_endpoints(), 7, 10), Some(0))
             .is_none()
     );
     assert!(list.confirmed_until().is_none());
-    // Another discovery counts its versions as it likes.
+    // The revisions of another discovery service are independent.
     list.reset_discovery_revision();
     assert!(list.apply_followed(&[], Some(0)).is_some());
 }
 
 #[test]
-fn a_followed_list_without_endpoints_is_not_applied() {
-    let list = follower();
-    let gone = [
-        row(1, EndpointState::Removed),
-        row(2, EndpointState::Removed),
+fn followed_list_without_endpoints_is_not_applied() {
+    let list = followed_list();
+    let removed = [
+        endpoint(1, EndpointState::Removed),
+        endpoint(2, EndpointState::Removed),
     ];
     assert!(
-        list.apply_followed(&entries_of(&gone, 7, 10), Some(0))
+        list.apply_followed(&encode_list(&removed, 7, 10), Some(0))
             .is_none()
     );
     assert!(list.confirmed_until().is_none());
--- a/src/cluster/error.rs
+++ b/src/cluster/error.rs
@@ -1,10 +1,10 @@
-//! Why this process cannot take part in a cluster.
+//! Errors on the start of the cluster's parts.
 
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why the cluster's parts cannot start. The texts name the key of the operator's file.
+/// Why a part of the cluster cannot start. The messages name the key of the operator's file.
 #[derive(Debug, thiserror::Error)]
 pub enum ClusterError {
     /// Neither the section nor the balancer has a name.
@@ -20,7 +20,7 @@
         section: &'static str,
         /// The address to listen on.
         address: SocketAddr,
-        /// The system's reason.
+        /// The error of the operating system.
         #[source]
         source: io::Error,
     },
@@ -29,7 +29,7 @@
     ControlSocket {
         /// The socket's path.
         path: PathBuf,
-        /// The system's reason.
+        /// The error of the operating system.
         #[source]
         source: io::Error,
     },
--- a/src/cluster/gossip_entries.rs
+++ b/src/cluster/gossip_entries.rs
@@ -1,6 +1,7 @@
-//! The endpoint list as gossiped entries: one for each endpoint, and summaries of the whole list.
+//! The endpoint list as gossiped entries: one entry per endpoint, and summaries of the whole list.
 //!
-//! Keys and values are bytes between versions: neither names that are hashed nor the order of fields may change.
+//! Instances of different versions exchange these keys and values: neither the hashed names nor the order of fields may
+//! change.
 
 use crate::api::{Endpoint, EndpointState, ServerId};
 use crate::discovery::endpoint_list::ListedEndpoint;
@@ -12,16 +13,17 @@
 #[cfg(test)]
 mod tests;
 
-/// The name of the lease, and of the key of its holder's heartbeat.
+/// The name of the lease. The key of its holder's heartbeat is the hash of the same name.
 pub const LEASE_NAME: &str = "list";
-/// The name of the key of the summary that is distributed: published when the list or its publisher has changed.
+/// The name whose hash is the key of the summary for balancers outside the cluster. The summary is published when the
+/// list or its publisher has changed.
 const SUMMARY_NAME: &str = "list/head";
-/// The first byte of a heartbeat's or summary's value.
+/// The first byte of the value of a heartbeat or summary.
 const KIND_SUMMARY: u8 = 0;
-/// The first byte of an endpoint's value.
+/// The first byte of the value of an endpoint.
 const KIND_ENDPOINT: u8 = 1;
 
-/// An endpoint as it is gossiped.
+/// An endpoint in its gossiped form.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointEntry {
     /// The endpoint's id.
@@ -30,33 +32,33 @@
     /// 0 ready, 1 draining, 2 removed.
     state: u8,
     weight: f64,
-    started: f64,
+    started_at: f64,
     cell: u32,
-    /// Where it takes connections.
+    /// The address at which the endpoint accepts connections.
     pub address: SocketAddr,
 }
 
-/// A summary of the whole list, by which a reader tells whether it has all of it.
+/// A summary of the whole list, by which a recipient detects whether its list is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListSummary {
     /// Discovery's revision of the list.
     pub revision: u64,
-    /// The hash over all endpoints that are not removed, see [`hash_endpoints`].
+    /// The hash over all endpoints except removed ones, see [`hash_endpoints`].
     pub hash: u64,
 }
 
-/// What a gossiped entry says of the list.
+/// A decoded entry of the list.
 pub enum ListEntry {
-    /// The lease's holder is alive, and this is its list.
+    /// The summary of the holder's list, published regularly while the lease is held.
     Heartbeat(ListSummary),
-    /// The list has changed to this.
+    /// The summary of a changed list.
     Summary(ListSummary),
     /// The state of one endpoint.
     Endpoint(EndpointEntry),
 }
 
 impl ListEntry {
-    /// Decodes an entry; `None` if it is none of the list's.
+    /// Decodes an entry; `None` if the entry does not belong to the list.
     pub fn decode(entry: &GossipEntry) -> Option<Self> {
         let (kind, value) = entry.value.split_first()?;
         match *kind {
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Encodes an entry with this version.
+    /// Encodes the entry with this version.
     pub fn encode(&self, version: u64) -> GossipEntry {
         let (key, kind, bytes) = match self {
             Self::Heartbeat(summary) => (
@@ -100,12 +102,13 @@
     }
 }
 
+/// Hashes a name in the same way as the ids of leases.
 fn key_of(name: &str) -> u64 {
     LeaseId::of(name).0
 }
 
 impl EndpointEntry {
-    /// The entry of a listed endpoint.
+    /// Creates the entry of a listed endpoint.
     pub fn new(listed: &ListedEndpoint) -> Self {
         let endpoint = &listed.endpoint;
         Self {
@@ -113,13 +116,13 @@
             zone: endpoint.zone,
             state: endpoint.state as u8,
             weight: endpoint.weight,
-            started: endpoint.started_at,
+            started_at: endpoint.started_at,
             cell: endpoint.cell,
             address: listed.address,
         }
     }
 
-    /// The endpoint with its address, as discovery lists it.
+    /// Converts the entry to an endpoint with its address, as discovery lists it.
     pub fn to_listed(&self) -> ListedEndpoint {
         ListedEndpoint {
             endpoint: self.to_endpoint(),
@@ -127,7 +130,7 @@
         }
     }
 
-    /// The endpoint as the balancer knows it.
+    /// Converts the entry to an endpoint as the balancer uses it.
     pub fn to_endpoint(&self) -> Endpoint {
         Endpoint {
             id: ServerId(self.id),
@@ -138,7 +141,7 @@
                 _ => EndpointState::Removed,
             },
             weight: self.weight,
-            started_at: self.started,
+            started_at: self.started_at,
             cell: self.cell,
         }
     }
@@ -158,30 +161,30 @@
     }
 }
 
-/// The hash over all endpoints that are not removed, in this order.
+/// The hash over all endpoints except removed ones, in the order given.
 pub fn hash_endpoints<'a>(endpoints: impl Iterator<Item = &'a EndpointEntry>) -> u64 {
     let listed = endpoints.filter(|endpoint| !endpoint.is_removed());
     let bytes = listed.flat_map(|endpoint| postcard::to_stdvec(endpoint).unwrap_or_default());
     key_of(&String::from_utf8_lossy(&bytes.collect::<Vec<u8>>()))
 }
 
-/// A value and the version of the entry that brought it.
+/// A value and the version of its entry.
 struct Versioned<T> {
     version: u64,
     value: T,
 }
 
-/// The list as entries have brought it, and whether it is complete.
+/// The list as assembled from entries, and whether it is complete.
 #[derive(Default)]
 pub struct ReplicatedList {
     endpoints: BTreeMap<u64, Versioned<EndpointEntry>>,
     summary: Option<Versioned<ListSummary>>,
-    /// Whether the endpoints match the summary; computed once after each change.
+    /// Whether the endpoints match the summary; computed on demand and reset by each change.
     is_complete: Option<bool>,
 }
 
 impl ReplicatedList {
-    /// Applies an entry unless a later one is known; returns an endpoint that is new or changed.
+    /// Applies an entry unless one of the same or a higher version is known. Returns the endpoint if one was applied.
     pub fn apply_entry(&mut self, entry: &GossipEntry) -> Option<EndpointEntry> {
         match ListEntry::decode(entry)? {
             ListEntry::Heartbeat(_) => None,
@@ -229,7 +232,7 @@
         self.endpoints.values().map(|known| &known.value)
     }
 
-    /// Marks endpoints as removed that discovery itself does not list any more, until a later entry brings them back.
+    /// Marks endpoints as removed that discovery no longer lists. A later entry can list them again.
     pub fn mark_removed(&mut self, is_unlisted: impl Fn(u64) -> bool) {
         for (id, known) in &mut self.endpoints {
             if !known.value.is_removed() && is_unlisted(*id) {
--- a/src/cluster/gossip_entries/tests.rs
+++ b/src/cluster/gossip_entries/tests.rs
@@ -1,5 +1,6 @@
-//! The list's entries and summaries in their bytes, with their keys and hashes, compared with a fixture file. Written
-//! by the tree at 71566bd; rewriting it (`WRITE_FIXTURES=1`) hides a change of the bytes between versions.
+//! Compares the encoded entries of the list, their keys and the hashes over endpoints with fixture files, so that
+//! instances of different versions understand each other. The fixtures were written at commit 71566bd.
+//! `WRITE_FIXTURES=1` rewrites them, which hides a change of the bytes.
 
 use super::super::wire_fixtures::{self, Record};
 use super::*;
@@ -15,12 +16,12 @@
 }
 
 fn encode(value: &impl Serialize) -> Vec<u8> {
-    postcard::to_stdvec(value).expect("encodes")
+    postcard::to_stdvec(value).expect("the value encodes")
 }
 
-/// A server whose numbers all differ, so that two fields that change places show.
+/// An endpoint whose numbers all differ, so that swapped fields are detected.
 fn small(id: u64, state: EndpointState) -> EndpointEntry {
-    let member = Endpoint {
+    let endpoint = Endpoint {
         id: ServerId(id),
         zone: 2,
         state,
@@ -29,13 +30,13 @@
         cell: 3,
     };
     EndpointEntry::new(&ListedEndpoint {
-        endpoint: member,
-        address: "127.0.0.1:9".parse().expect("an address"),
+        endpoint,
+        address: "127.0.0.1:9".parse().expect("a valid address"),
     })
 }
 
 fn large(id: u64, state: EndpointState) -> EndpointEntry {
-    let member = Endpoint {
+    let endpoint = Endpoint {
         id: ServerId(id),
         zone: u32::MAX,
         state,
@@ -43,85 +44,87 @@
         started_at: -0.0,
         cell: u32::MAX - 1,
     };
-    let address = "[fd00::1:2]:65535".parse().expect("an address");
-    EndpointEntry::new(&ListedEndpoint {
-        endpoint: member,
-        address,
-    })
+    let address = "[fd00::1:2]:65535".parse().expect("a valid address");
+    EndpointEntry::new(&ListedEndpoint { endpoint, address })
 }
 
-fn rows() -> Vec<EndpointEntry> {
-    let of = |state: &EndpointState| [small(1, *state), large(u64::MAX, *state)];
-    let mut rows: Vec<EndpointEntry> = STATES.iter().flat_map(of).collect();
-    rows.extend([
+fn endpoints() -> Vec<EndpointEntry> {
+    let both_sizes = |state: &EndpointState| [small(1, *state), large(u64::MAX, *state)];
+    let mut endpoints: Vec<EndpointEntry> = STATES.iter().flat_map(both_sizes).collect();
+    endpoints.extend([
         small(0, EndpointState::Ready),
         large(300, EndpointState::Ready),
     ]);
-    rows
+    endpoints
 }
 
 fn summaries() -> [ListSummary; 3] {
-    let head = |revision, hash| ListSummary { revision, hash };
-    [head(0, 1), head(127, 128), head(u64::MAX, u64::MAX - 1)]
+    let summary = |revision, hash| ListSummary { revision, hash };
+    [
+        summary(0, 1),
+        summary(127, 128),
+        summary(u64::MAX, u64::MAX - 1),
+    ]
 }
 
-/// What is told, for comparison after it was read: its form and its bytes.
-fn told_bytes(told: &ListEntry) -> (u8, Vec<u8>) {
-    match told {
-        ListEntry::Heartbeat(head) => (0, encode(head)),
-        ListEntry::Summary(head) => (1, encode(head)),
-        ListEntry::Endpoint(row) => (2, encode(row)),
+/// An entry in a comparable form: the number of its variant, and its encoded value.
+fn comparable(entry: &ListEntry) -> (u8, Vec<u8>) {
+    match entry {
+        ListEntry::Heartbeat(summary) => (0, encode(summary)),
+        ListEntry::Summary(summary) => (1, encode(summary)),
+        ListEntry::Endpoint(endpoint) => (2, encode(endpoint)),
     }
 }
 
 #[test]
-fn names_and_kinds_stay() {
+fn names_kinds_and_states_keep_their_values() {
     assert_eq!(LEASE_NAME, "list");
     assert_eq!(SUMMARY_NAME, "list/head");
     assert_eq!((KIND_SUMMARY, KIND_ENDPOINT), (0, 1));
     let states = STATES.map(|state| small(1, state).state);
     assert_eq!(states, [0, 1, 2]);
-    let name = LeaseId::of("list/000000000000012c").0;
-    assert_eq!(small(300, EndpointState::Ready).key(), name);
+    let key = LeaseId::of("list/000000000000012c").0;
+    assert_eq!(small(300, EndpointState::Ready).key(), key);
     let records = [LEASE_NAME, SUMMARY_NAME, "list/000000000000012c"]
         .iter()
         .enumerate()
-        .map(|(at, name)| {
+        .map(|(index, name)| {
             let key = LeaseId::of(name).0.to_le_bytes();
-            Record::new(format!("key-{at}"), key.into())
+            Record::new(format!("key-{index}"), key.into())
         });
     check("list_keys.txt", records.collect());
 }
 
 #[test]
 fn list_entries_keep_their_bytes() {
-    let mut told: Vec<(String, ListEntry)> = Vec::new();
-    for (at, head) in summaries().into_iter().enumerate() {
-        told.push((format!("beat-{at}"), ListEntry::Heartbeat(head)));
-        told.push((format!("head-{at}"), ListEntry::Summary(head)));
+    let mut entries: Vec<(String, ListEntry)> = Vec::new();
+    for (index, summary) in summaries().into_iter().enumerate() {
+        entries.push((format!("beat-{index}"), ListEntry::Heartbeat(summary)));
+        entries.push((format!("head-{index}"), ListEntry::Summary(summary)));
     }
-    for (at, row) in rows().into_iter().enumerate() {
-        told.push((format!("row-{at}"), ListEntry::Endpoint(row)));
+    for (index, endpoint) in endpoints().into_iter().enumerate() {
+        entries.push((format!("row-{index}"), ListEntry::Endpoint(endpoint)));
     }
-    let version = |at: usize| at as u64 * 1_000_003 + 1;
-    let records = told.iter().enumerate().map(|(at, (name, told))| {
-        let entry = told.encode(version(at));
-        Record::new(name, encode(&entry))
+    let version = |index: usize| index as u64 * 1_000_003 + 1;
+    let records = entries.iter().enumerate().map(|(index, (name, entry))| {
+        let gossiped = entry.encode(version(index));
+        Record::new(name, encode(&gossiped))
     });
-    let golden = check("list_entries.txt", records.collect());
-    for ((at, (name, told)), golden) in told.iter().enumerate().zip(golden) {
-        let entry: GossipEntry = postcard::from_bytes(&golden.bytes).expect("decodes");
-        let read = ListEntry::decode(&entry).expect("reads");
-        assert_eq!(told_bytes(&read), told_bytes(told), "{name}");
-        assert_eq!(read.encode(version(at)), entry, "{name}");
+    let fixtures = check("list_entries.txt", records.collect());
+    for ((index, (name, entry)), fixture) in entries.iter().enumerate().zip(fixtures) {
+        let gossiped: GossipEntry =
+            postcard::from_bytes(&fixture.bytes).expect("the fixture decodes");
+        let decoded = ListEntry::decode(&gossiped).expect("an entry of the list");
+        assert_eq!(comparable(&decoded), comparable(entry), "{name}");
+        assert_eq!(decoded.encode(version(index)), gossiped, "{name}");
     }
 }
 
 #[test]
 fn entries_of_other_keys_or_kinds_are_not_decoded() {
-    let beat = ListEntry::Heartbeat(summaries()[1]).encode(5);
-    let row = ListEntry::Endpoint(small(1, EndpointState::Ready)).encode(5);
-    for entry in [&beat, &row] {
+    let heartbeat = ListEntry::Heartbeat(summaries()[1]).encode(5);
+    let endpoint = ListEntry::Endpoint(small(1, EndpointState::Ready)).encode(5);
+    for entry in [&heartbeat, &endpoint] {
         let other_key = GossipEntry {
             key: entry.key + 1,
             ..entry.clone()
@@ -137,42 +140,42 @@
 }
 
 #[test]
-fn the_hash_over_endpoints_stays() {
-    let rows = rows();
+fn endpoint_hashes_keep_their_values() {
+    let endpoints = endpoints();
     let mut records = Vec::new();
-    for count in 0..=rows.len() {
-        let forth = hash_endpoints(rows[..count].iter()).to_le_bytes();
-        records.push(Record::new(format!("first-{count}"), forth.into()));
-        let back = hash_endpoints(rows[..count].iter().rev()).to_le_bytes();
-        records.push(Record::new(format!("reversed-{count}"), back.into()));
+    for count in 0..=endpoints.len() {
+        let forward = hash_endpoints(endpoints[..count].iter()).to_le_bytes();
+        records.push(Record::new(format!("first-{count}"), forward.into()));
+        let reversed = hash_endpoints(endpoints[..count].iter().rev()).to_le_bytes();
+        records.push(Record::new(format!("reversed-{count}"), reversed.into()));
     }
     check("list_hashes.txt", records);
-    let here = rows.iter().filter(|row| !row.is_removed());
-    assert_eq!(hash_endpoints(here), hash_endpoints(rows.iter()));
+    let listed = endpoints.iter().filter(|endpoint| !endpoint.is_removed());
+    assert_eq!(hash_endpoints(listed), hash_endpoints(endpoints.iter()));
 }
 
-/// The endpoints of a list, and its summary if it is complete.
+/// A record of a list: its summary if it is complete, and its endpoints.
 fn list_record(name: &str, list: &mut ReplicatedList) -> Record {
-    let whole = list.complete_summary();
-    let rows: Vec<&EndpointEntry> = list.endpoints().collect();
-    Record::new(name, encode(&(whole, rows)))
+    let summary = list.complete_summary();
+    let endpoints: Vec<&EndpointEntry> = list.endpoints().collect();
+    Record::new(name, encode(&(summary, endpoints)))
 }
 
 #[test]
-fn a_replicated_list_applies_entries_as_before() {
+fn replicated_list_applies_newer_entries_only() {
     let mut list = ReplicatedList::default();
     let mut records = vec![list_record("empty", &mut list)];
-    let one = small(1, EndpointState::Ready);
-    let two = large(2, EndpointState::Ready);
-    let head = |rows: &[&EndpointEntry], revision| {
-        let hash = hash_endpoints(rows.iter().copied());
+    let first = small(1, EndpointState::Ready);
+    let second = large(2, EndpointState::Ready);
+    let summary = |endpoints: &[&EndpointEntry], revision| {
+        let hash = hash_endpoints(endpoints.iter().copied());
         ListEntry::Summary(ListSummary { revision, hash })
     };
     let steps = [
-        ("row", ListEntry::Endpoint(one.clone()).encode(10)),
-        ("head-too-early", head(&[&one, &two], 5).encode(12)),
-        ("second-row", ListEntry::Endpoint(two.clone()).encode(11)),
-        ("older-head", head(&[&one], 4).encode(11)),
+        ("row", ListEntry::Endpoint(first.clone()).encode(10)),
+        ("head-too-early", summary(&[&first, &second], 5).encode(12)),
+        ("second-row", ListEntry::Endpoint(second.clone()).encode(11)),
+        ("older-head", summary(&[&first], 4).encode(11)),
         (
             "older-row",
             ListEntry::Endpoint(small(1, EndpointState::Removed)).encode(9),
@@ -184,12 +187,12 @@
         ),
         (
             "newer-head",
-            head(&[&large(1, EndpointState::Draining), &two], 6).encode(14),
+            summary(&[&large(1, EndpointState::Draining), &second], 6).encode(14),
         ),
     ];
     for (name, entry) in steps {
-        let fresh = list.apply_entry(&entry);
-        records.push(Record::new(format!("{name}-fresh"), encode(&fresh)));
+        let applied = list.apply_entry(&entry);
+        records.push(Record::new(format!("{name}-fresh"), encode(&applied)));
         records.push(list_record(name, &mut list));
     }
     list.mark_removed(|id| id == 2);
--- a/src/cluster/health_check.rs
+++ b/src/cluster/health_check.rs
@@ -1,5 +1,5 @@
-//! The health check of one server, for all instances: connects, and sends a line and waits for its answer where the
-//! operator gives one.
+//! The health check of one server, done by one instance for all: connects and, if the operator has configured a line,
+//! sends it and waits for the answer.
 
 use crate::api::ServerId;
 use serde::{Deserialize, Serialize};
@@ -18,41 +18,41 @@
 #[cfg(test)]
 mod tests;
 
-/// Bytes of an answer at most.
+/// Maximum size of an answer, in bytes.
 const MAX_ANSWER_BYTES: u64 = 4096;
 
-/// What a health check has found. It is gossiped as postcard: variants keep their order.
+/// The result of a health check. It is gossiped as postcard: the order of variants must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HealthCheckResult {
     /// The server accepts connections.
     Connected,
-    /// It answers.
+    /// The server answers as expected.
     Answered {
-        /// The time until the answer, in milliseconds.
+        /// The response time in milliseconds.
         ms: u32,
     },
-    /// It answers, slower than the operator wants.
+    /// The server answers as expected, but not within the operator's `slow_ms`.
     Slow {
-        /// The time until the answer, in milliseconds.
+        /// The response time in milliseconds.
         ms: u32,
     },
-    /// It refuses connections, or answers something else than it should.
+    /// The server refuses connections, closes the connection, or gives an unexpected answer.
     Refused,
-    /// Nothing comes back in time.
+    /// The connection or the answer timed out.
     TimedOut,
 }
 
 impl HealthCheckResult {
-    /// Decodes an entry's value.
+    /// Decodes the value of an entry.
     ///
     /// # Errors
     ///
-    /// If the value is no result.
+    /// If the value is not a valid result.
     pub fn decode(value: &[u8]) -> Result<Self, postcard::Error> {
         postcard::from_bytes(value)
     }
 
-    /// Whether the server should get nothing new.
+    /// Whether the server should be ejected.
     pub fn is_unhealthy(self) -> bool {
         matches!(self, Self::Refused | Self::TimedOut)
     }
@@ -61,23 +61,23 @@
         matches!(self, Self::Connected | Self::Answered { .. })
     }
 
-    /// Whether this result only confirms that the server is healthy, so that it need not be published.
+    /// Whether both results are healthy, so that the new one need not be published.
     fn confirms(self, previous: Self) -> bool {
         self.is_healthy() && previous.is_healthy()
     }
 }
 
-/// The lease task to check one server.
+/// The lease task that checks one server.
 pub struct HealthCheckTask {
     /// The server.
     pub server: ServerId,
-    /// Where it takes connections.
+    /// The address at which the server accepts connections.
     pub address: SocketAddr,
     /// The operator's settings.
     pub settings: Probe,
     /// This instance's name.
     pub instance: Rc<str>,
-    /// The cluster, for the previous result.
+    /// The cluster, which has the previous result.
     pub handle: ClusterHandle,
 }
 
@@ -132,7 +132,7 @@
     HealthCheckResult::decode(&value?).ok()
 }
 
-/// One check.
+/// One run of the check.
 struct HealthCheck {
     address: SocketAddr,
     settings: Probe,
@@ -142,7 +142,7 @@
 }
 
 impl HealthCheck {
-    /// Checks the server; `None` if the grant expired before anything was done.
+    /// Checks the server; `None` if the grant expired before the line was sent.
     async fn run(&self) -> Option<HealthCheckResult> {
         if !self.clock.is_valid(&self.grant) {
             return None;
@@ -156,7 +156,7 @@
         let Some(template) = &self.settings.line else {
             return Some(HealthCheckResult::Connected);
         };
-        // Connecting may have taken long, or the process may have been frozen.
+        // The grant may have expired meanwhile: connecting takes time, and the process may have been frozen.
         if !self.clock.is_valid(&self.grant) {
             return None;
         }
--- a/src/cluster/health_check/tests.rs
+++ b/src/cluster/health_check/tests.rs
@@ -1,5 +1,6 @@
-//! The results of health checks in their bytes, compared with a fixture file. Written by the tree at 71566bd;
-//! rewriting it (`WRITE_FIXTURES=1`) hides a change of the bytes between versions.
+//! Compares the encoded results of health checks and their keys with fixture files, so that instances of different
+//! versions understand each other. The fixtures were written at commit 71566bd. `WRITE_FIXTURES=1` rewrites them, which
+//! hides a change of the bytes.
 
 use super::super::wire_fixtures::{self, Record};
 use super::*;
@@ -10,7 +11,7 @@
 
 #[test]
 fn health_check_results_keep_their_bytes() {
-    let found = [
+    let results = [
         HealthCheckResult::Connected,
         HealthCheckResult::Answered { ms: 0 },
         HealthCheckResult::Answered { ms: 300 },
@@ -21,22 +22,25 @@
         HealthCheckResult::Refused,
         HealthCheckResult::TimedOut,
     ];
-    let records = found.iter().enumerate().map(|(at, found)| {
-        let bytes = postcard::to_stdvec(found).expect("encodes");
-        Record::new(format!("found-{at}"), bytes)
+    let records = results.iter().enumerate().map(|(index, result)| {
+        let bytes = postcard::to_stdvec(result).expect("the result encodes");
+        Record::new(format!("found-{index}"), bytes)
     });
     let directory = env!("CARGO_MANIFEST_DIR");
-    let golden = wire_fixtures::check(directory, "probe_results.txt", records.collect());
-    for (found, golden) in found.iter().zip(golden) {
-        assert_eq!(HealthCheckResult::decode(&golden.bytes).as_ref(), Ok(found));
+    let fixtures = wire_fixtures::check(directory, "probe_results.txt", records.collect());
+    for (result, fixture) in results.iter().zip(fixtures) {
+        assert_eq!(
+            HealthCheckResult::decode(&fixture.bytes).as_ref(),
+            Ok(result)
+        );
     }
 }
 
-fn setup() -> NodeConfig {
+fn node_config() -> NodeConfig {
     NodeConfig {
         identity: Identity {
             name: "balancer-1".into(),
-            address: "127.0.0.1:0".parse().expect("an address"),
+            address: "127.0.0.1:0".parse().expect("a valid address"),
             incarnation: 1,
             refutations: 0,
         },
@@ -54,30 +58,32 @@
     }
 }
 
-/// The task to check a server, of an instance without others.
-async fn health_check_of(server: u64) -> HealthCheckTask {
-    let (handle, _news) = Cluster::start(setup()).await.expect("a free port");
+/// The health check of a server, at the only instance of a cluster.
+async fn health_check_task(server: u64) -> HealthCheckTask {
+    let (handle, _updates) = Cluster::start(node_config())
+        .await
+        .expect("the socket opens");
     HealthCheckTask {
         server: ServerId(server),
-        address: "127.0.0.1:9".parse().expect("an address"),
-        settings: serde_json::from_str(r#"{"every_ms": 1000}"#).expect("settings"),
+        address: "127.0.0.1:9".parse().expect("a valid address"),
+        settings: serde_json::from_str(r#"{"every_ms": 1000}"#).expect("valid settings"),
         instance: "balancer-1".into(),
         handle,
     }
 }
 
-/// The name is hashed: into the lease's id and into the key of the result.
+/// The lease's id and the key of the result are hashes of the name.
 #[test]
-fn the_names_and_keys_of_health_checks_stay() {
+fn names_and_keys_of_health_checks_keep_their_values() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("a runtime");
     let tasks = LocalSet::new().block_on(&runtime, async {
         [
-            health_check_of(0).await,
-            health_check_of(300).await,
-            health_check_of(u64::MAX).await,
+            health_check_task(0).await,
+            health_check_task(300).await,
+            health_check_task(u64::MAX).await,
         ]
     });
     let names = tasks.each_ref().map(|task| task.name());
@@ -87,9 +93,9 @@
         "probe/ffffffffffffffff",
     ];
     assert_eq!(names, expected);
-    let records = tasks.iter().enumerate().map(|(at, task)| {
+    let records = tasks.iter().enumerate().map(|(index, task)| {
         let key = task.result_key().to_le_bytes();
-        Record::new(format!("key-{at}"), key.into())
+        Record::new(format!("key-{index}"), key.into())
     });
     wire_fixtures::check(
         env!("CARGO_MANIFEST_DIR"),
--- a/src/cluster/list_distributor.rs
+++ b/src/cluster/list_distributor.rs
@@ -1,4 +1,5 @@
-//! A control instance's end of the distribution: passes the cluster's endpoint list on to balancers outside it.
+//! A control instance's side of the distribution: passes the cluster's endpoint list on to balancers outside the
+//! cluster.
 
 use super::error::ClusterError;
 use super::gossip_entries::{ListEntry, ListSummary, ReplicatedList};
@@ -12,18 +13,18 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The burst is the rate of this share of a second.
-const BURST_SHARE: u32 = 10;
+/// The maximum burst is the number of datagrams per second divided by this.
+const BURST_DIVISOR: u32 = 10;
 
-/// Passes the list on.
+/// Distributes the endpoint list to balancers outside the cluster.
 pub struct ListDistributor {
-    distributor: SourceDriver,
-    /// What was passed on, to tell whether it is the whole list.
+    source: SourceDriver,
+    /// The entries distributed so far, to detect when they are the complete list.
     distributed: RefCell<ReplicatedList>,
 }
 
 impl ListDistributor {
-    /// Opens the socket.
+    /// Opens the socket and starts the distribution.
     ///
     /// # Errors
     ///
@@ -33,25 +34,25 @@
         name: &str,
         cluster_secrets: &[String],
     ) -> Result<Rc<Self>, ClusterError> {
-        let setup = SourceConfig {
+        let config = SourceConfig {
             identity: new_identity(name, settings.listen),
             keys: derive_keys(secrets(settings, cluster_secrets)),
             limits: Limits {
                 datagrams_per_second: settings.rate,
-                // One whole answer at least.
-                burst: (settings.rate / BURST_SHARE).max(u32::from(MAX_WINDOW)),
+                // At least one complete answer.
+                burst: (settings.rate / BURST_DIVISOR).max(u32::from(MAX_WINDOW)),
                 ..Limits::default()
             },
             seed: api::Key::of(name).0,
         };
-        let distributor = SourceDriver::start(setup).await;
-        let distributor = distributor.map_err(|source| ClusterError::Listen {
+        let started = SourceDriver::start(config).await;
+        let source = started.map_err(|source| ClusterError::Listen {
             section: "distribute",
             address: settings.listen,
             source,
         })?;
         Ok(Rc::new(Self {
-            distributor,
+            source,
             distributed: RefCell::default(),
         }))
     }
@@ -59,35 +60,35 @@
     /// Replaces the keys.
     pub fn configure(&self, settings: &Distribute, cluster_secrets: &[String]) {
         let keys = derive_keys(secrets(settings, cluster_secrets));
-        self.distributor.rekey(keys);
+        self.source.rekey(keys);
     }
 
-    /// Passes an entry of the gossip store on.
+    /// Distributes an entry of the gossip store if it belongs to the list.
     pub fn publish(&self, entry: &GossipEntry) {
         match ListEntry::decode(entry) {
             Some(ListEntry::Heartbeat(summary)) => self.confirm(summary),
             Some(ListEntry::Summary(_) | ListEntry::Endpoint(_)) => {
                 self.distributed.borrow_mut().apply_entry(entry);
-                self.distributor.publish(std::slice::from_ref(entry));
+                self.source.publish(std::slice::from_ref(entry));
             }
             None => {}
         }
     }
 
-    /// Tells the followers that the list is up to date, if the holder's summary matches what was passed on.
+    /// Confirms to the followers that the list is current, if the holder's summary matches the distributed entries.
     fn confirm(&self, summary: ListSummary) {
         if self.distributed.borrow_mut().complete_summary() == Some(summary) {
-            self.distributor.confirm_complete();
+            self.source.confirm_complete();
         }
     }
 
-    /// The answer to `changes`.
+    /// The answer to the control socket's query `changes`.
     pub fn status(&self) -> ChangesAnswer {
-        self.distributor.answer()
+        self.source.answer()
     }
 }
 
-/// The section's own secrets, or the cluster's.
+/// The secrets of the section `distribute` or, if it has none, of the cluster.
 fn secrets<'a>(settings: &'a Distribute, cluster_secrets: &'a [String]) -> &'a [String] {
     match settings.keys.is_empty() {
         true => cluster_secrets,
--- a/src/cluster/list_follower.rs
+++ b/src/cluster/list_follower.rs
@@ -1,4 +1,4 @@
-//! A balancer's end of the distribution: follows the endpoint list of a cluster that it is not part of.
+//! A balancer's side of the distribution: follows the endpoint list of a cluster that the balancer is not a member of.
 
 use super::endpoint_list::SharedEndpointList;
 use super::error::ClusterError;
@@ -12,14 +12,14 @@
 use spanspur_operator_config::{Follow, OperatorConfig};
 use std::rc::Rc;
 
-/// Follows the list.
+/// Follows the endpoint list of a cluster.
 pub struct ListFollower {
-    following: FollowerDriver,
+    follower: FollowerDriver,
     endpoint_list: Rc<SharedEndpointList>,
 }
 
 impl ListFollower {
-    /// Follows the sources that the operator's file names; `None` if it names none.
+    /// Follows the sources of the operator's file; `None` if the file has no section `follow`.
     ///
     /// # Errors
     ///
@@ -31,8 +31,8 @@
         let Some(follow) = &operator.follow else {
             return Ok(None);
         };
-        let setup = follower_setup(runtime, follow)?;
-        let name = setup.identity.name.clone();
+        let config = follower_config(runtime, follow)?;
+        let name = config.identity.name.clone();
         let endpoint_list = Rc::new(SharedEndpointList::read_only());
         endpoint_list.configure(Some(follow.max_age_ms));
         let (list, balancer) = (endpoint_list.clone(), runtime.clone());
@@ -41,8 +41,8 @@
                 balancer.update_from_distribution(update);
             }
         };
-        let following = FollowerDriver::start(setup, Box::new(apply)).await;
-        let following = following.map_err(|source| ClusterError::Listen {
+        let started = FollowerDriver::start(config, Box::new(apply)).await;
+        let follower = started.map_err(|source| ClusterError::Listen {
             section: "follow",
             address: follow.listen,
             source,
@@ -50,31 +50,31 @@
         let sources = follow.sources.len();
         tracing::info!(instance = name, sources, "distribution followed");
         if let Some(control) = &operator.control {
-            let asked = following.clone();
-            let handler = Rc::new(move |question: &str| {
-                (question == "changes").then(|| control::to_json(&asked.answer()))
+            let queried = follower.clone();
+            let handler = Rc::new(move |query: &str| {
+                (query == "changes").then(|| control::to_json(&queried.answer()))
             });
             serve_control_socket(handler, &control.socket)?;
         }
         Ok(Some(Rc::new(Self {
-            following,
+            follower,
             endpoint_list,
         })))
     }
 
-    /// Discovery's list, as it comes from the sources.
+    /// The endpoint list, as received from the sources.
     pub fn endpoint_list(&self) -> Rc<SharedEndpointList> {
         self.endpoint_list.clone()
     }
 
-    /// Applies the operator's settings, which were validated before.
+    /// Applies the operator's settings, which the caller has validated.
     pub fn configure(&self, follow: &Follow) {
-        self.following.rekey(derive_keys(&follow.keys));
+        self.follower.rekey(derive_keys(&follow.keys));
         self.endpoint_list.configure(Some(follow.max_age_ms));
     }
 }
 
-fn follower_setup(runtime: &Runtime, follow: &Follow) -> Result<FollowerConfig, ClusterError> {
+fn follower_config(runtime: &Runtime, follow: &Follow) -> Result<FollowerConfig, ClusterError> {
     let process = runtime.process_config();
     let name = follow.name.clone().unwrap_or_else(|| process.name.clone());
     if name.is_empty() {
@@ -83,11 +83,11 @@
     let sources = follow.sources.iter().map(|source| SourceEndpoint {
         name: source.name.clone(),
         address: source.address,
-        location: hash_place(&source.zone, &source.region),
+        location: hash_location(&source.zone, &source.region),
     });
     Ok(FollowerConfig {
         identity: new_identity(&name, follow.listen),
-        location: hash_place(&follow.zone, &follow.region),
+        location: hash_location(&follow.zone, &follow.region),
         sources: sources.collect(),
         keys: derive_keys(&follow.keys),
         score: score_instance,
@@ -96,8 +96,8 @@
     })
 }
 
-/// Zones and regions are only compared, so their hashes suffice.
-fn hash_place(zone: &str, region: &str) -> Location {
+/// Hashes a zone and a region, which are only compared.
+fn hash_location(zone: &str, region: &str) -> Location {
     Location {
         zone: api::Key::of(zone).0 as u32,
         region: api::Key::of(region).0 as u32,
--- a/src/cluster/member.rs
+++ b/src/cluster/member.rs
@@ -1,4 +1,4 @@
-//! This instance's part in its cluster.
+//! This instance as a member of its cluster.
 
 use super::endpoint_list::{EndpointListTask, SharedEndpointList};
 use super::error::ClusterError;
@@ -20,10 +20,10 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-/// A server that fails its health check gets nothing new for so many intervals, unless the next checks say otherwise.
+/// How long a server that fails its health check is ejected, in check intervals. A later result replaces the ejection.
 const EJECTION_INTERVALS: f64 = 2.25;
 
-/// This instance's part in its cluster.
+/// This instance as a member of its cluster.
 pub struct ClusterMember {
     runtime: Rc<Runtime>,
     handle: ClusterHandle,
@@ -31,14 +31,15 @@
     operator: RefCell<OperatorConfig>,
     endpoint_list: Rc<SharedEndpointList>,
     distributor: Option<Rc<ListDistributor>>,
-    /// Dropped updates so far: after further ones the whole gossip store is distributed again.
+    /// The number of dropped updates when an entry was last distributed. If more were dropped since then, the whole
+    /// gossip store is distributed again.
     dropped_updates: Cell<u64>,
-    /// The servers that are checked, by the key of their result.
+    /// The servers with a health check, by the key of the result.
     checked_servers: RefCell<BTreeMap<u64, ServerId>>,
 }
 
 impl ClusterMember {
-    /// Joins the cluster that the operator's file names; `None` if it names none.
+    /// Joins the cluster of the operator's file; `None` if the file has no section `cluster`.
     ///
     /// # Errors
     ///
@@ -82,12 +83,12 @@
         Ok(Some(member))
     }
 
-    /// Discovery's list, as it goes from one instance to the others.
+    /// The endpoint list that the instances share.
     pub fn endpoint_list(&self) -> Rc<SharedEndpointList> {
         self.endpoint_list.clone()
     }
 
-    /// Applies the operator's settings, which were validated before.
+    /// Applies the operator's settings, which the caller has validated.
     pub fn configure(&self, operator: OperatorConfig) {
         if let Some(cluster) = &operator.cluster {
             self.handle
@@ -106,7 +107,7 @@
         self.handle.leave();
     }
 
-    /// Keeps the health checks in step with the endpoint list.
+    /// Registers the tasks anew whenever the endpoint list changes.
     async fn follow_endpoints(self: Rc<Self>) {
         loop {
             self.register_tasks();
@@ -134,7 +135,7 @@
                 list: self.endpoint_list.clone(),
             }));
         }
-        // Results of servers that were removed are dropped.
+        // Drops the results of servers that were removed.
         let list = &self.endpoint_list;
         self.handle.with_node(|node, _| {
             node.gossip_store_mut().retain(|entry| {
@@ -162,12 +163,12 @@
             .collect()
     }
 
-    /// Passes what other instances have found, and this one itself, to the balancer.
+    /// Applies the results of all instances, this one included, to the balancer.
     async fn apply_updates(self: Rc<Self>, mut updates: mpsc::Receiver<GossipEntry>) {
         while let Some(entry) = updates.recv().await {
             if self.endpoint_list.is_list_entry(&entry) {
                 self.distribute(&entry);
-                // A heartbeat confirms what is known and changes nothing.
+                // A heartbeat changes no endpoint.
                 if let Some(list) = self.endpoint_list.apply_entry(&entry) {
                     self.runtime.update_endpoints(api::UpdateKind::Delta, list);
                 }
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Passes an entry of the list on to balancers outside the cluster.
+    /// Distributes an entry of the list to balancers outside the cluster.
     fn distribute(&self, entry: &GossipEntry) {
         let Some(distributor) = &self.distributor else {
             return;
@@ -244,16 +245,17 @@
     }
 }
 
-/// Answers the control socket's questions about the cluster and, at a control instance, about the distribution.
+/// Returns the handler of queries about the cluster and, at a control instance, about the distribution.
 fn answer_queries(handle: ClusterHandle, distributor: Option<Rc<ListDistributor>>) -> QueryHandler {
-    let answer_cluster = control::answer_queries(handle);
-    Rc::new(move |question: &str| match (question, &distributor) {
+    let answer_cluster_query = control::answer_queries(handle);
+    Rc::new(move |query: &str| match (query, &distributor) {
         ("changes", Some(distributor)) => Some(control::to_json(&distributor.status())),
-        _ => answer_cluster(question),
+        _ => answer_cluster_query(query),
     })
 }
 
-/// The shared list, which publishes to the cluster and, at a control instance, to balancers outside it.
+/// Creates the shared list, which publishes to the cluster and, at a control instance, to balancers outside the
+/// cluster.
 fn shared_endpoint_list(
     handle: ClusterHandle,
     distributor: Option<Rc<ListDistributor>>,
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -1,15 +1,17 @@
-//! What balancers of one cluster do for each other: health checks and the watch on discovery, each done by one
-//! instance. All of it is off unless the operator's file has the section `cluster`. Balancers outside the cluster
-//! follow it for the endpoint list: that is off unless the file has `distribute` there and `follow` here.
+//! The work that balancers of a cluster share: health checks and watching discovery, each done by one instance for all.
+//! It is off unless the operator's file has the section `cluster`.
+//!
+//! Balancers outside the cluster can follow its endpoint list. This requires the section `distribute` in the files of
+//! the cluster's control instances and the section `follow` in those of the followers.
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | `member` | [`ClusterMember`]: joins the cluster, registers its lease tasks, applies what other instances find |
+//! | `member` | [`ClusterMember`]: joins the cluster, registers lease tasks, applies the results of other instances |
 //! | `health_check` | the lease task that checks one server |
-//! | `endpoint_list` | [`SharedEndpointList`]: the list watched by one instance for all |
-//! | `gossip_entries` | the list as gossiped entries |
-//! | `list_distributor` | a control instance's end of the distribution |
-//! | `list_follower` | [`ListFollower`]: a balancer's end of the distribution |
+//! | `endpoint_list` | [`SharedEndpointList`]: the endpoint list, watched by one instance for all |
+//! | `gossip_entries` | the endpoint list as gossiped entries |
+//! | `list_distributor` | a control instance's side of the distribution |
+//! | `list_follower` | [`ListFollower`]: a balancer's side of the distribution |
 //! | `error` | [`ClusterError`] |
 
 mod endpoint_list;
@@ -36,7 +38,7 @@
 use std::path::Path;
 use std::time::SystemTime;
 
-/// The score by which instances rank, for a lease or a follower.
+/// Scores an instance for a lease, or a source for a follower. The highest score ranks first.
 fn score_instance(subject: u64, instance: u64) -> f64 {
     score(Key(subject), ServerId(instance), 1.0)
 }
@@ -50,7 +52,7 @@
     )
 }
 
-/// This process's identity; its incarnation is the time of this call.
+/// Creates the identity of this process. Its incarnation is the current time, in milliseconds since the Unix epoch.
 fn new_identity(name: &str, address: SocketAddr) -> Identity {
     let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     Identity {
