--- a/crates/fleet-rig/src/series.rs
+++ b/crates/fleet-rig/src/series.rs
@@ -1,88 +1,92 @@
-//! What was measured at stepped sizes, kept as data, and the straight line through it: what docs/CAPACITY.md works
-//! its figures out from. A command of the rig puts its series into the file and leaves the others' as they are.
+//! Series of measurements at several sizes, and the straight line fitted to each. The figures in docs/CAPACITY.md are
+//! derived from them. A command of the rig replaces its own series in the file and keeps all others.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// The fewest sizes that a slope is taken from.
+/// The least number of sizes for a trustworthy slope. Figures from fewer are marked when they are extrapolated.
 pub const MIN_SIZES: usize = 5;
-/// Past this many times the largest size measured, a figure is said to be stretched.
+/// A figure is marked as strongly extrapolated beyond this many times the largest measured size.
 pub const FAR_EXTRAPOLATION: f64 = 10.0;
 
-/// One quantity, measured at several sizes.
+/// One quantity that was measured at several sizes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Series {
-    /// What was measured, and at what it was not: loss, delays, what is hollow in the instances, what was taken off.
+    /// What was measured and under which conditions: loss, delays, what the instances lack, what was subtracted.
     pub what: String,
-    /// The command that makes it.
+    /// The command that measures it.
     pub command: String,
-    /// What the size counts.
+    /// What the sizes count.
     pub size: String,
     /// The unit of the values.
     pub unit: String,
-    /// Runs behind each point, which is their median.
+    /// Runs at each size. A point is their median.
     pub runs: u32,
-    /// Sizes and values, by size.
+    /// Pairs of size and value, ordered by size.
     pub points: Vec<(f64, f64)>,
 }
 
-/// A straight line through points, by least squares.
+/// A straight line fitted to points by least squares.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
-    /// By how much a value grows with one more of the size.
+    /// The growth of the value for each unit of size.
     pub slope: f64,
     /// The value at size 0.
     pub intercept: f64,
     /// The standard error of the slope.
     pub slope_error: f64,
-    /// The largest distance of a point from the line, as a share of the largest value.
+    /// The largest distance of a point from the line, as a share of the largest absolute value.
     pub max_residual: f64,
 }
 
 impl Series {
-    /// The line through the points; `None` for fewer than two sizes.
+    /// Fits a line to the points; `None` for fewer than two distinct sizes.
     pub fn fit(&self) -> Option<Fit> {
         let n = self.points.len() as f64;
-        let mean = |of: fn(&(f64, f64)) -> f64| self.points.iter().map(of).sum::<f64>() / n;
-        let (mx, my) = (mean(|p| p.0), mean(|p| p.1));
-        let sum = |of: &dyn Fn(&(f64, f64)) -> f64| self.points.iter().map(of).sum::<f64>();
-        let xx = sum(&|p| (p.0 - mx).powi(2));
+        let mean = |field: fn(&(f64, f64)) -> f64| self.points.iter().map(field).sum::<f64>() / n;
+        let (mean_x, mean_y) = (mean(|p| p.0), mean(|p| p.1));
+        let sum = |term: &dyn Fn(&(f64, f64)) -> f64| self.points.iter().map(term).sum::<f64>();
+        let xx = sum(&|p| (p.0 - mean_x).powi(2));
         if self.points.len() < 2 || xx == 0.0 {
             return None;
         }
-        let slope = sum(&|p| (p.0 - mx) * (p.1 - my)) / xx;
-        let base = my - slope * mx;
-        let error = |p: &(f64, f64)| p.1 - base - slope * p.0;
-        let left = sum(&|p| error(p).powi(2));
-        let spread = (left / (n - 2.0).max(1.0) / xx).sqrt();
-        let most = self.points.iter().map(|p| p.1.abs()).fold(0.0, f64::max);
-        let off = self
+        let slope = sum(&|p| (p.0 - mean_x) * (p.1 - mean_y)) / xx;
+        let intercept = mean_y - slope * mean_x;
+        let residual = |p: &(f64, f64)| p.1 - intercept - slope * p.0;
+        let squares = sum(&|p| residual(p).powi(2));
+        let slope_error = (squares / (n - 2.0).max(1.0) / xx).sqrt();
+        let max_value = self.points.iter().map(|p| p.1.abs()).fold(0.0, f64::max);
+        let max_residual = self
             .points
             .iter()
-            .map(|p| error(p).abs())
+            .map(|p| residual(p).abs())
             .fold(0.0, f64::max);
         Some(Fit {
             slope,
-            intercept: base,
-            slope_error: spread,
-            max_residual: if most == 0.0 { 0.0 } else { off / most },
+            intercept,
+            slope_error,
+            max_residual: if max_value == 0.0 {
+                0.0
+            } else {
+                max_residual / max_value
+            },
         })
     }
 
-    /// The line's value at a size.
+    /// The value of the fitted line at a size.
     pub fn predict(&self, size: f64) -> Option<f64> {
         self.fit().map(|fit| fit.intercept + fit.slope * size)
     }
 
-    /// How many times the largest size measured a size is; 1 within what was measured.
+    /// The ratio of a size to the largest measured size; 1 for sizes within the measured range.
     pub fn extrapolation(&self, size: f64) -> f64 {
-        let most = self.points.iter().map(|p| p.0).fold(0.0, f64::max);
-        if most == 0.0 {
+        let max_size = self.points.iter().map(|p| p.0).fold(0.0, f64::max);
+        if max_size == 0.0 {
             return f64::INFINITY;
         }
-        (size / most).max(1.0)
+        (size / max_size).max(1.0)
     }
 }
 
@@ -92,7 +96,7 @@
 pub struct MeasuredSeries(pub BTreeMap<String, Series>);
 
 impl MeasuredSeries {
-    /// Reads the file; nothing measured yet if there is none.
+    /// Reads the series of a file; none if the file does not exist. Fails if the file cannot be read or parsed.
     pub fn read(file: &Path) -> Result<Self, String> {
         let failed = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
         match std::fs::read(file) {
@@ -102,7 +106,8 @@
         }
     }
 
-    /// Puts series into the file, in place of those of the same names.
+    /// Writes series into the file in place of those with the same names, and keeps all others. Fails if the file cannot
+    /// be read, parsed or written.
     pub fn update(
         file: &Path,
         series: impl IntoIterator<Item = (String, Series)>,
--- a/crates/fleet-rig/tests/series.rs
+++ b/crates/fleet-rig/tests/series.rs
@@ -1,4 +1,4 @@
-//! The lines through measured points, and the file that keeps them.
+//! Fitting lines to measured points, and the file that holds the series.
 
 use spanspur_fleet_rig::series::{MeasuredSeries, Series};
 
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_line_is_found_with_its_spread() {
+fn a_line_is_fitted_with_its_standard_error() {
     let exact = series(&[
         (1.0, 5.0),
         (2.0, 7.0),
@@ -31,15 +31,15 @@
         (1.0, 10.0)
     );
 
-    let bent = series(&[
+    let inexact = series(&[
         (1.0, 5.0),
         (2.0, 7.0),
         (4.0, 14.0),
         (8.0, 19.0),
         (16.0, 35.0),
     ]);
-    let fit = bent.fit().expect("five points");
-    // The standard error by hand: residuals of the least-squares line over 3 degrees of freedom.
+    let fit = inexact.fit().expect("five points");
+    // The standard error, calculated by hand from the residuals of the least-squares line with 3 degrees of freedom.
     assert!((fit.slope_error - 0.1244).abs() < 1e-3, "{fit:?}");
     assert!(fit.max_residual > 0.05 && fit.max_residual < 0.1, "{fit:?}");
 
@@ -48,20 +48,20 @@
 }
 
 #[test]
-fn a_series_is_put_beside_the_others() {
+fn updating_a_series_keeps_the_others() {
     let file = std::env::temp_dir().join(format!("spanspur-series-{}.json", std::process::id()));
-    let put = |name: &str, y: f64| {
+    let update = |name: &str, y: f64| {
         MeasuredSeries::update(&file, [(name.to_owned(), series(&[(1.0, y)]))])
     };
-    put("a", 1.0)
-        .and(put("b", 2.0))
-        .and(put("a", 3.0))
+    update("a", 1.0)
+        .and(update("b", 2.0))
+        .and(update("a", 3.0))
         .expect("written");
     let read = MeasuredSeries::read(&file).expect("read");
     std::fs::write(&file, "{\"a\": {\"odd\": 1}}").expect("written");
-    let odd = MeasuredSeries::read(&file);
+    let unknown_field = MeasuredSeries::read(&file);
     std::fs::remove_file(&file).expect("removed");
     let values: Vec<f64> = read.0.values().map(|s| s.points[0].1).collect();
     assert_eq!(values, [3.0, 2.0]);
-    assert!(odd.is_err_and(|what| what.contains("odd")));
+    assert!(unknown_field.is_err_and(|error| error.contains("odd")));
 }
