--- a/crates/fleet-rig/src/main.rs
+++ b/crates/fleet-rig/src/main.rs
@@ -1,4 +1,4 @@
-//! Long runs and measurements of the fleet.
+//! The command line of the fleet rig: long runs, measurements and capacity tables.
 
 use clap::{Parser, Subcommand, ValueEnum};
 use spanspur_fleet_rig::{Plan, capacity, data_path, measure, scale, soak};
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-/// The rig of the fleet: long runs, costs and slopes.
+/// Tests and measures fleets: long runs, costs and how they grow with size.
 #[derive(Parser)]
 struct Cli {
     #[command(subcommand)]
@@ -15,9 +15,10 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Real processes under seeded kills, freezes and cuts: 100 seeds of a minute, ten at a time, take about 12 min.
+    /// Runs real processes under seeded kills, freezes and cuts. 100 seeds of a minute each, ten at a time, take about
+    /// 12 minutes.
     Real {
-        /// The balancer's program.
+        /// The balancer's executable.
         #[arg(default_value = "target/release/spanspur")]
         program: String,
         /// The first seed.
@@ -30,7 +31,7 @@
         #[arg(long, default_value_t = 10)]
         jobs: usize,
     },
-    /// 50 instances and 10,000 duties in virtual time, over a million duty periods.
+    /// Runs 50 instances with 10,000 leases in virtual time, for more than a million terms.
     Large {
         #[arg(long, default_value_t = 1)]
         seed: u64,
@@ -38,86 +39,89 @@
         instances: usize,
         #[arg(long, default_value_t = 10_000)]
         duties: usize,
-        /// Duty periods to play at least.
+        /// The least number of terms to run.
         #[arg(long, default_value_t = 1_000_000)]
         periods: u64,
-        /// Tells the course of one duty (the hexadecimal id that a fault names), and all faults.
+        /// Traces one lease, given by the hexadecimal id in a reported violation, and all faults.
         #[arg(long, value_parser = |text: &str| u64::from_str_radix(text, 16))]
         watch: Option<u64>,
     },
-    /// The distribution from nine control instances to 2,100 balancers, in virtual time or over sockets.
+    /// Measures the distribution from nine control instances to 2,100 balancers, in virtual time or over sockets.
     Distribution {
-        /// What to play.
+        /// What to run.
         #[arg(value_enum, default_value_t = Distribution::All)]
         part: Distribution,
         #[arg(long, default_value = "docs/measured")]
         folder: PathBuf,
-        /// For `seeds`: how many, the first one, and the balancers of each.
+        /// For `seeds`: the number of seeds.
         #[arg(long, default_value_t = 100)]
         seeds: u64,
+        /// For `seeds`: the first seed.
         #[arg(long, default_value_t = 0)]
         first: u64,
+        /// For `seeds`: the balancers of each run.
         #[arg(long, default_value_t = 100)]
         followers: usize,
         #[arg(long, default_value_t = 3)]
         jobs: usize,
     },
-    /// The size of two years: writes the tables of docs/CAPACITY.md from the measured series and the assumptions.
+    /// Writes the tables of docs/CAPACITY.md, the size expected in two years, from the measured series and the
+    /// assumptions.
     Capacity {
-        /// The workspace.
+        /// The root of the workspace.
         #[arg(default_value = ".")]
         root: PathBuf,
-        /// Writes nothing: fails where the page is not what the data comes to.
+        /// Writes nothing, and fails if the page differs from what the data gives.
         #[arg(long)]
         check: bool,
     },
-    /// Costs and take-over times: data, a table and charts.
+    /// Measures costs and takeover times, and writes data, a table and charts.
     Measure {
         #[arg(default_value = "docs/measured")]
         folder: PathBuf,
     },
-    /// What the flat cluster costs at stepped sizes: series, a table and charts.
+    /// Measures the cost of a flat cluster at several sizes, and writes series, a table and charts.
     Scale(scale::Args),
-    /// What the data path costs, as series: about two minutes.
+    /// Measures the cost of the data path, and writes series. Takes about two minutes.
     DataPath {
-        /// The balancer's program, a release build.
+        /// The balancer's executable, a release build.
         #[arg(long, default_value = "target/release/spanspur")]
         program: String,
         #[arg(long, default_value = "docs/measured/scale.json")]
         file: PathBuf,
-        /// Only these: placement, list, group, delivery, opening, standing.
+        /// The parts to measure, all by default: placement, list, group, delivery, opening, standing.
         parts: Vec<String>,
     },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 enum Distribution {
-    /// Every part of virtual time, one after another: about a quarter of an hour.
+    /// All parts that run in virtual time, one after another. Takes about 15 minutes.
     All,
-    /// Until changes are in force.
+    /// The delay until changes are in force.
     Delay,
-    /// Costs at rest, by balancers.
+    /// The cost at rest, by the number of balancers.
     Cost,
-    /// Memory and time until full, by entries.
+    /// Memory, and the time until a balancer is complete, by the number of entries.
     Entries,
-    /// A region cut off for an hour.
+    /// A region that is cut off for an hour.
     Cut,
-    /// The start of many at once.
+    /// The start of many balancers at once.
     Start,
-    /// Over real loopback sockets in real time, about a minute and a half; not among `all`.
+    /// Real loopback sockets in real time. Takes about 90 seconds; not part of `all`.
     Sockets,
-    /// Faults from seeds.
+    /// Seeded faults.
     Seeds,
-    /// The page and the charts anew, from what is there.
+    /// Writes the page and the charts again from the stored results.
     Page,
 }
 
-/// Counts what the instances keep.
+/// Counts the memory that the instances hold.
 #[global_allocator]
 static ALLOCATOR: &stats_alloc::StatsAlloc<std::alloc::System> = &stats_alloc::INSTRUMENTED_SYSTEM;
 
 fn main() -> ExitCode {
-    let sound = match Cli::parse().command {
+    let passed = match Cli::parse().command {
         Command::Real {
             program,
             first,
@@ -126,7 +130,7 @@
             jobs,
         } => {
             let seeds = first..first + seeds;
-            soak::real_many(&program, seeds, Duration::from_secs(seconds), jobs)
+            soak::run_many_real(&program, seeds, Duration::from_secs(seconds), jobs)
         }
         Command::Large {
             seed,
@@ -138,33 +142,33 @@
             let plan = Plan {
                 instances,
                 voters: instances.min(9),
-                duties,
-                every: 10_000,
+                leases: duties,
+                interval: 10_000,
                 ..Plan::default()
             };
-            // A tenth more, for what the faults leave undone.
-            let end = (periods / duties as u64 + 6) * plan.every * 11 / 10;
+            // A tenth more, for the terms that are missed during faults.
+            let end = (periods / duties as u64 + 6) * plan.interval * 11 / 10;
             let start = Instant::now();
-            let verdict = soak::large(seed, plan, end, watch);
+            let report = soak::run_large(seed, plan, end, watch);
             println!(
                 "seed {seed}: {instances} instances, {duties} duties, {} acts in {} s of virtual time, {:.0} s of ours",
-                verdict.acts,
+                report.acts,
                 end / 1000,
                 start.elapsed().as_secs_f64()
             );
             println!(
                 "twice: {}, gaps of over one missed period: {}, single misses: {}, fenced: {}, longest {:.2} periods, closest {:.2}",
-                verdict.twice.len(),
-                verdict.gaps.len(),
-                verdict.missed_one,
-                verdict.fenced,
-                verdict.longest,
-                verdict.closest
+                report.duplicates.len(),
+                report.gaps.len(),
+                report.single_misses,
+                report.fenced,
+                report.longest_gap,
+                report.shortest_term
             );
-            for what in verdict.twice.iter().chain(&verdict.gaps).take(20) {
-                println!("  {what}");
+            for violation in report.duplicates.iter().chain(&report.gaps).take(20) {
+                println!("  {violation}");
             }
-            verdict.sound()
+            report.passed()
         }
         Command::Distribution {
             part,
@@ -175,7 +179,7 @@
             jobs,
         } => {
             use spanspur_fleet_rig::distribution::measure::{self, Part};
-            let sized = match part {
+            let parts = match part {
                 Distribution::All => vec![
                     Part::Cost,
                     Part::Entries,
@@ -191,8 +195,8 @@
                 Distribution::Sockets => vec![Part::Sockets],
                 Distribution::Seeds | Distribution::Page => vec![],
             };
-            let mut played = sized.into_iter().map(|part| measure::run(&folder, part));
-            let sound = match (played.find(Result::is_err), part) {
+            let mut results = parts.into_iter().map(|part| measure::run(&folder, part));
+            let result = match (results.find(Result::is_err), part) {
                 (Some(failed), _) => failed.map(|()| false),
                 (None, Distribution::All | Distribution::Seeds) => {
                     measure::run_seeds(&folder, first, seeds, followers, jobs)
@@ -200,29 +204,30 @@
                 (None, Distribution::Page) => measure::write_page(&folder).map(|()| true),
                 (None, _) => Ok(true),
             };
-            sound.unwrap_or_else(|what| {
-                eprintln!("{what}");
+            result.unwrap_or_else(|error| {
+                eprintln!("{error}");
                 false
             })
         }
-        Command::Capacity { root, check } => told(capacity::run(&root, check)),
+        Command::Capacity { root, check } => print_error(capacity::run(&root, check)),
         Command::DataPath {
             program,
             file,
             parts,
-        } => told(data_path::run(&program, &file, &parts)),
-        Command::Measure { folder } => told(measure::run(&folder)),
-        Command::Scale(args) => told(scale::run(&args)),
+        } => print_error(data_path::run(&program, &file, &parts)),
+        Command::Measure { folder } => print_error(measure::run(&folder)),
+        Command::Scale(args) => print_error(scale::run(&args)),
     };
-    match sound {
+    match passed {
         true => ExitCode::SUCCESS,
         false => ExitCode::FAILURE,
     }
 }
 
-fn told(done: Result<(), String>) -> bool {
-    if let Err(what) = &done {
-        eprintln!("{what}");
+/// Prints the error, if any, and returns whether there was none.
+fn print_error(result: Result<(), String>) -> bool {
+    if let Err(error) = &result {
+        eprintln!("{error}");
     }
-    done.is_ok()
+    result.is_ok()
 }
--- a/crates/fleet-rig/src/measure.rs
+++ b/crates/fleet-rig/src/measure.rs
@@ -1,4 +1,4 @@
-//! What the shared duties cost and how fast they are taken over: data, a table and charts.
+//! Measures what leases cost and how fast they are taken over, and writes data, a table and charts.
 
 use crate::charts;
 use crate::ranking;
@@ -10,7 +10,7 @@
 use std::fmt::Write;
 use std::path::Path;
 
-/// One cell of the grid of costs. All rates are for one instance and one second.
+/// The cost at one number of instances and leases. All rates are for one instance and one second.
 #[derive(Debug, Serialize)]
 pub struct Cost {
     instances: usize,
@@ -18,144 +18,149 @@
     every_ms: u64,
     datagrams: f64,
     bytes: f64,
-    /// Of the membership alone: the same cluster with no duty.
+    /// Datagrams of the same cluster without leases, which are those of the membership and the digests.
     idle_datagrams: f64,
-    /// Processor time of a whole node, with sealing and decoding, in microseconds.
+    /// Processor time of a whole node, with sealing and decoding, in microseconds. The simulation's own part is
+    /// included.
     cpu_us: f64,
-    /// Duties of the busiest instance over the mean.
+    /// Leases that prefer the busiest instance, divided by the mean of all instances.
     uneven: f64,
 }
 
-/// Take-overs after a kill, for each duty that the killed instance had done last, in milliseconds.
+/// Takeover times after a kill, in milliseconds, over the leases whose last task the killed instance carried out.
 #[derive(Debug, Serialize)]
 pub struct Takeover {
     every_ms: u64,
     kills: u64,
     duties: u64,
-    /// p50, p99 and most, from the kill to the next act.
+    /// p50, p99 and maximum of the time from the kill to the next execution.
     from_kill: [u64; 3],
-    /// The same for how much later than one period after the last act that was.
+    /// p50, p99 and maximum of how much the next execution exceeded one interval after the last.
     late: [u64; 3],
 }
 
-/// All of it.
+/// All results.
 #[derive(Debug, Serialize)]
 pub struct Results {
     costs: Vec<Cost>,
     takeovers: Vec<Takeover>,
-    /// By instances: duties of 10,000 that one join moves, and the share that would be least.
+    /// Instances, the share of 10,000 leases that one joining instance moves, and the smallest possible share.
     moved: Vec<(usize, f64, f64)>,
 }
 
-fn quiet(instances: usize, duties: usize, every: u64) -> Plan {
+fn lossless_plan(instances: usize, leases: usize, interval: u64) -> Plan {
     Plan {
         instances,
         voters: instances.min(9) - (instances.min(9) + 1) % 2,
-        duties,
-        every,
+        leases,
+        interval,
         loss: 0.0,
-        twice: 0.0,
+        duplication: 0.0,
         ..Plan::default()
     }
 }
 
-/// What this thread has spent on a processor, in microseconds, whatever else runs beside it.
+/// The processor time of the calling thread so far, in microseconds. Other threads do not count.
 fn cpu_us() -> f64 {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     let ns = text.split(' ').next().and_then(|ns| ns.parse::<f64>().ok());
     ns.unwrap_or(f64::NAN) / 1000.0
 }
 
-fn cost(instances: usize, duties: usize, every: u64) -> Cost {
-    let rates = |duties: usize| {
-        let mut world = World::new(quiet(instances, duties, every), 1);
-        let from = 4 * every;
+fn cost(instances: usize, leases: usize, interval: u64) -> Cost {
+    let rates = |leases: usize| {
+        let mut world = World::new(lossless_plan(instances, leases, interval), 1);
+        let from = 4 * interval;
         world.run_until(from);
         let before = world.sent.clone();
-        let (start, span) = (cpu_us(), 2 * every);
+        let (start, span) = (cpu_us(), 2 * interval);
         world.run_until(from + span);
-        // One thread plays all instances, so its time is theirs; the world's own part is counted with it.
+        // One thread runs all instances, so that its time is theirs. The simulation's own part is included.
         let cpu = cpu_us() - start;
-        let per = instances as f64 * span as f64 / 1000.0;
-        let all = |of: fn(&(u64, u64)) -> u64| {
-            let sum = |sent: &[(u64, u64)]| sent.iter().map(of).sum::<u64>();
-            (sum(&world.sent) - sum(&before)) as f64 / per
+        let instance_seconds = instances as f64 * span as f64 / 1000.0;
+        let rate = |field: fn(&(u64, u64)) -> u64| {
+            let sum = |sent: &[(u64, u64)]| sent.iter().map(field).sum::<u64>();
+            (sum(&world.sent) - sum(&before)) as f64 / instance_seconds
         };
-        (all(|s| s.0), all(|s| s.1), cpu / per)
+        (rate(|s| s.0), rate(|s| s.1), cpu / instance_seconds)
     };
-    let (datagrams, bytes, cpu_us) = rates(duties);
+    let (datagrams, bytes, cpu_us) = rates(leases);
     let ranking = ranking();
     let ids: Vec<InstanceId> = (0..instances)
         .map(|i| InstanceId::of(&crate::world::name(i)))
         .collect();
-    let mut share: BTreeMap<InstanceId, usize> = BTreeMap::new();
-    for n in 0..duties {
+    let mut preferred: BTreeMap<InstanceId, usize> = BTreeMap::new();
+    for n in 0..leases {
         let first = ranking.preferred_instance(LeaseId::of(&format!("duty-{n}")), &ids);
-        *share.entry(first.unwrap_or(ids[0])).or_default() += 1;
+        *preferred.entry(first.unwrap_or(ids[0])).or_default() += 1;
     }
-    let busiest = share.values().max().copied().unwrap_or(0);
+    let busiest = preferred.values().max().copied().unwrap_or(0);
     Cost {
         instances,
-        duties,
-        every_ms: every,
+        duties: leases,
+        every_ms: interval,
         datagrams,
         bytes,
         idle_datagrams: rates(0).0,
         cpu_us,
-        uneven: busiest as f64 * instances as f64 / duties as f64,
+        uneven: busiest as f64 * instances as f64 / leases as f64,
     }
 }
 
-fn takeover(every: u64) -> Takeover {
-    let histogram = || Histogram::<u64>::new(3).expect("three digits");
+fn takeover(interval: u64) -> Takeover {
+    let histogram = || Histogram::<u64>::new(3).expect("valid precision");
     let (mut from_kill, mut late, mut kills) = (histogram(), histogram(), 0);
     for seed in 0..20 {
         let mut world = World::new(
             Plan {
-                every,
+                interval,
                 ..Plan::default()
             },
             seed,
         );
-        let start = 4 * every + 2000;
+        let start = 4 * interval + 2000;
         let mut killed = Vec::new();
         for n in 0..5 {
-            let at = start + n * 12 * every + seed * every / 20;
+            let at = start + n * 12 * interval + seed * interval / 20;
             killed.push((n as usize, at));
-            world.at(at, Fault::Kill(n as usize));
-            world.at(at + 5 * every, Fault::Start(n as usize));
+            world.inject(at, Fault::Kill(n as usize));
+            world.inject(at + 5 * interval, Fault::Start(n as usize));
             kills += 1;
         }
-        let end = start + 62 * every;
+        let end = start + 62 * interval;
         world.run_until(end);
-        let verdict = world.judge.verdict(&world.duty_ids(), every, start, end);
-        assert!(verdict.sound(), "seed {seed}: {verdict:?}");
-        for (who, at) in killed {
-            for (since, beyond) in world.judge.after(who, at, every) {
-                from_kill.record(since).expect("in range");
-                late.record(beyond).expect("in range");
+        let report = world
+            .checker
+            .check(&world.lease_ids(), interval, start, end);
+        assert!(report.passed(), "seed {seed}: {report:?}");
+        for (instance, at) in killed {
+            for (delay, lateness) in world.checker.takeover_times(instance, at, interval) {
+                from_kill.record(delay).expect("in range");
+                late.record(lateness).expect("in range");
             }
         }
     }
-    let three = |h: &Histogram<u64>| [h.value_at_quantile(0.5), h.value_at_quantile(0.99), h.max()];
+    let quantiles =
+        |h: &Histogram<u64>| [h.value_at_quantile(0.5), h.value_at_quantile(0.99), h.max()];
     Takeover {
-        every_ms: every,
+        every_ms: interval,
         kills,
         duties: late.len(),
-        from_kill: three(&from_kill),
-        late: three(&late),
+        from_kill: quantiles(&from_kill),
+        late: quantiles(&late),
     }
 }
 
+/// The instances before a join, the share of leases that the join moves, and the smallest possible share.
 fn moved(instances: usize) -> (usize, f64, f64) {
     let ranking = ranking();
     let ids: Vec<InstanceId> = (0..=instances)
         .map(|i| InstanceId::of(&crate::world::name(i)))
         .collect();
     let differ = (0..10_000).filter(|n| {
-        let duty = LeaseId::of(&format!("duty-{n}"));
-        ranking.preferred_instance(duty, &ids[..instances])
-            != ranking.preferred_instance(duty, &ids)
+        let lease = LeaseId::of(&format!("duty-{n}"));
+        ranking.preferred_instance(lease, &ids[..instances])
+            != ranking.preferred_instance(lease, &ids)
     });
     (
         instances,
@@ -164,12 +169,12 @@
     )
 }
 
-/// Measures everything, tells its progress, and writes `duties.json`, `duties.md` and the charts into a folder.
+/// Measures everything, prints each result, and writes `duties.json`, `duties.md` and the charts into a folder.
 pub fn run(folder: &Path) -> Result<(), String> {
     let mut costs = Vec::new();
     for instances in [3, 5, 10, 50] {
-        for duties in [10, 1000, 10_000] {
-            let cost = cost(instances, duties, 10_000);
+        for leases in [10, 1000, 10_000] {
+            let cost = cost(instances, leases, 10_000);
             println!("{cost:?}");
             costs.push(cost);
         }
@@ -189,12 +194,12 @@
         &(serde_json::to_string_pretty(&results).unwrap_or_default() + "\n"),
     )?;
     write("duties.md", &table(&results).unwrap_or_default())?;
-    let by = |value: fn(&Cost) -> f64| -> Vec<charts::Line> {
+    let cost_lines = |value: fn(&Cost) -> f64| -> Vec<charts::Line> {
         [10, 1000, 10_000]
-            .map(|duties| {
-                let of = results.costs.iter().filter(|c| c.duties == duties);
-                let points = of.map(|c| (c.instances as f64, value(c))).collect();
-                (format!("{duties} duties of 10 s"), points)
+            .map(|leases| {
+                let costs = results.costs.iter().filter(|c| c.duties == leases);
+                let points = costs.map(|c| (c.instances as f64, value(c))).collect();
+                (format!("{leases} duties of 10 s"), points)
             })
             .into()
     };
@@ -204,7 +209,7 @@
         "Datagrams sent by one instance",
         axes,
         true,
-        &by(|c| c.datagrams),
+        &cost_lines(|c| c.datagrams),
     )?;
     let axes = ("instances", "bytes a second, one instance");
     charts::line_chart(
@@ -212,18 +217,19 @@
         "Bytes sent by one instance",
         axes,
         true,
-        &by(|c| c.bytes),
+        &cost_lines(|c| c.bytes),
     )?;
-    let of = |value: fn(&Takeover) -> u64| -> Vec<(f64, f64)> {
-        let all = results.takeovers.iter();
-        all.map(|t| (t.every_ms as f64 / 1000.0, value(t) as f64 / 1000.0))
+    let takeover_points = |value: fn(&Takeover) -> u64| -> Vec<(f64, f64)> {
+        let takeovers = results.takeovers.iter();
+        takeovers
+            .map(|t| (t.every_ms as f64 / 1000.0, value(t) as f64 / 1000.0))
             .collect()
     };
-    let late = [
-        ("p50".to_owned(), of(|t| t.from_kill[0])),
-        ("p99".to_owned(), of(|t| t.from_kill[1])),
-        ("max".to_owned(), of(|t| t.from_kill[2])),
-        ("one period".to_owned(), of(|t| t.every_ms)),
+    let lines = [
+        ("p50".to_owned(), takeover_points(|t| t.from_kill[0])),
+        ("p99".to_owned(), takeover_points(|t| t.from_kill[1])),
+        ("max".to_owned(), takeover_points(|t| t.from_kill[2])),
+        ("one period".to_owned(), takeover_points(|t| t.every_ms)),
     ];
     let axes = ("period, s", "after the kill, s");
     charts::line_chart(
@@ -231,7 +237,7 @@
         "From a kill to the next act of its duties",
         axes,
         false,
-        &late,
+        &lines,
     )
 }
 
--- a/crates/fleet-rig/src/soak.rs
+++ b/crates/fleet-rig/src/soak.rs
@@ -1,6 +1,6 @@
-//! Long runs: real processes under seeded scripts of faults, and large clusters in virtual time.
+//! Long runs: real processes under seeded sequences of faults, and large clusters in virtual time.
 
-use crate::judge::Verdict;
+use crate::checker::CheckReport;
 use crate::real::{
     Cluster, StubDiscovery, all_probed, find_violations, probe_duties, serving_entries,
     start_servers, wait_until,
@@ -12,76 +12,78 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// The period of the duties of real processes, as short as the usual pace of the membership allows.
-const EVERY: Duration = Duration::from_millis(2000);
+/// The probe interval of the real processes, the shortest that the default probe timing of the membership allows.
+const INTERVAL: Duration = Duration::from_millis(2000);
 
-/// Plays one seed against real processes: what the servers' own record holds against it, and how many acts it has.
-pub fn real(program: &str, seed: u64, span: Duration) -> (Vec<String>, usize) {
+/// Runs one seed against real processes. Returns the violations that the servers' own records show, and the number of
+/// probes.
+pub fn run_real(program: &str, seed: u64, span: Duration) -> (Vec<String>, usize) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let servers = start_servers(40);
     let discovery = StubDiscovery::new(serving_entries(&servers));
-    let mut cluster = Cluster::new(program, 5, discovery, &probe_duties(EVERY));
+    let mut cluster = Cluster::new(program, 5, discovery, &probe_duties(INTERVAL));
     wait_until("every server is probed", || all_probed(&servers));
     let from = Instant::now();
     while from.elapsed() < span {
-        let who = random.random_range(0..5);
-        let other = (who + random.random_range(1..5)) % 5;
+        let target = random.random_range(0..5);
+        let other = (target + random.random_range(1..5)) % 5;
         std::thread::sleep(Duration::from_millis(random.random_range(0..2000)));
         match random.random_range(0..5) {
             0 => {
-                cluster.kill(who);
-                std::thread::sleep(EVERY * 4);
-                cluster.start(who);
+                cluster.kill(target);
+                std::thread::sleep(INTERVAL * 4);
+                cluster.start(target);
             }
             1 => {
-                cluster.kill(who);
+                cluster.kill(target);
                 std::thread::sleep(Duration::from_millis(50));
                 cluster.kill(other);
-                std::thread::sleep(EVERY * 4);
-                cluster.start(who);
+                std::thread::sleep(INTERVAL * 4);
+                cluster.start(target);
                 cluster.start(other);
             }
             2 => {
-                cluster.signal(who, "-STOP");
-                std::thread::sleep(EVERY * 3 + EVERY / 4);
-                cluster.signal(who, "-CONT");
+                cluster.signal(target, "-STOP");
+                std::thread::sleep(INTERVAL * 3 + INTERVAL / 4);
+                cluster.signal(target, "-CONT");
             }
-            // Cut off: what the others send does not verify there, and the other way round.
+            // A cut: the two instances and the others reject each other's datagrams, for their keys differ.
             3 => {
                 let keys = cluster.keys.clone();
                 cluster.keys = r#"["a key that the others lack"]"#.into();
-                for i in [who, other] {
+                for i in [target, other] {
                     cluster.write_operator_config(i);
                     cluster.signal(i, "-HUP");
                 }
-                std::thread::sleep(EVERY * 4);
+                std::thread::sleep(INTERVAL * 4);
                 cluster.keys = keys;
-                for i in [who, other] {
+                for i in [target, other] {
                     cluster.write_operator_config(i);
                     cluster.signal(i, "-HUP");
                 }
             }
             _ => {
-                cluster.signal(who, "-TERM");
-                cluster.wait_for_exit(who);
-                std::thread::sleep(EVERY);
-                cluster.start(who);
+                cluster.signal(target, "-TERM");
+                cluster.wait_for_exit(target);
+                std::thread::sleep(INTERVAL);
+                cluster.start(target);
             }
         }
-        // Votes that a restarted one may have forgotten run out before the next blow.
-        std::thread::sleep(EVERY * 4);
+        // Before the next fault, votes that a restarted instance may have forgotten expire.
+        std::thread::sleep(INTERVAL * 4);
     }
-    let found = find_violations(&servers, EVERY, from, Instant::now());
-    let acts = servers
+    let violations = find_violations(&servers, INTERVAL, from, Instant::now());
+    let probes = servers
         .iter()
-        .map(|s| s.probes.lock().expect("whole").len());
-    (found, acts.sum())
+        .map(|s| s.probes.lock().expect("lock not poisoned").len());
+    (violations, probes.sum())
 }
 
-/// Plays many seeds, several at a time; each is told as it ends. Returns whether all were sound.
-pub fn real_many(program: &str, seeds: Range<u64>, span: Duration, jobs: usize) -> bool {
+/// Runs many seeds against real processes, `jobs` at a time, and prints the result of each. Returns whether none showed
+/// a violation.
+pub fn run_many_real(program: &str, seeds: Range<u64>, span: Duration, jobs: usize) -> bool {
     let next = AtomicU64::new(seeds.start);
-    let broken = AtomicU64::new(0);
+    let failed = AtomicU64::new(0);
     std::thread::scope(|scope| {
         for _ in 0..jobs {
             scope.spawn(|| {
@@ -90,74 +92,75 @@
                     if seed >= seeds.end {
                         return;
                     }
-                    let (found, acts) = real(program, seed, span);
-                    println!("seed {seed}: {acts} acts, {} faults", found.len());
-                    for fault in &found {
-                        println!("  {fault}");
+                    let (violations, probes) = run_real(program, seed, span);
+                    println!("seed {seed}: {probes} acts, {} faults", violations.len());
+                    for violation in &violations {
+                        println!("  {violation}");
                     }
-                    if !found.is_empty() {
-                        broken.fetch_add(1, Ordering::Relaxed);
+                    if !violations.is_empty() {
+                        failed.fetch_add(1, Ordering::Relaxed);
                     }
                 }
             });
         }
     });
-    let broken = broken.into_inner();
-    println!("seeds {seeds:?}: {broken} of them with faults");
-    broken == 0
+    let failed = failed.into_inner();
+    println!("seeds {seeds:?}: {failed} of them with faults");
+    failed == 0
 }
 
-/// A large cluster in virtual time under blows from which it can recover, one after the other.
-pub fn large(seed: u64, plan: Plan, end: u64, watch: Option<u64>) -> Verdict {
+/// Runs a large cluster in virtual time until `end`, with one fault after the other from which the cluster can recover.
+/// `traced_lease` is the id of a lease to trace.
+pub fn run_large(seed: u64, plan: Plan, end: u64, traced_lease: Option<u64>) -> CheckReport {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let (every, skew, size) = (plan.every, plan.skew, plan.instances);
-    let ids: Vec<u64> = (0..plan.duties)
+    let (interval, skew, size) = (plan.interval, plan.max_skew, plan.instances);
+    let ids: Vec<u64> = (0..plan.leases)
         .map(|n| spanspur_leases::LeaseId::of(&format!("duty-{n}")).0)
         .collect();
     let mut world = World::new(plan, seed);
-    world.watch = watch;
-    let start = 4 * every + skew;
+    world.traced_lease = traced_lease;
+    let start = 4 * interval + skew;
     let mut at = start;
-    while at + 8 * every < end {
-        let mut who: Vec<usize> = Vec::new();
-        while who.len() < 2 {
-            let one = random.random_range(0..size);
-            if !who.contains(&one) {
-                who.push(one);
+    while at + 8 * interval < end {
+        let mut targets: Vec<usize> = Vec::new();
+        while targets.len() < 2 {
+            let target = random.random_range(0..size);
+            if !targets.contains(&target) {
+                targets.push(target);
             }
         }
-        let back = at + 3 * every + random.random_range(0..every);
-        let rest: Vec<usize> = (0..size).filter(|i| !who.contains(i)).collect();
+        let recovery = at + 3 * interval + random.random_range(0..interval);
+        let others: Vec<usize> = (0..size).filter(|i| !targets.contains(i)).collect();
         match random.random_range(0..5) {
             0 => {
-                for (n, i) in who.iter().enumerate() {
-                    world.at(at + 50 * n as u64, Fault::Kill(*i));
-                    world.at(back, Fault::Start(*i));
+                for (n, i) in targets.iter().enumerate() {
+                    world.inject(at + 50 * n as u64, Fault::Kill(*i));
+                    world.inject(recovery, Fault::Start(*i));
                 }
             }
             1 => {
-                world.at(at, Fault::Freeze(who[0]));
-                world.at(back, Fault::Thaw(who[0]));
+                world.inject(at, Fault::Freeze(targets[0]));
+                world.inject(recovery, Fault::Thaw(targets[0]));
             }
             2 => {
-                world.at(at, Fault::Cut(who.clone(), rest.clone()));
-                world.at(at, Fault::Cut(rest, who));
-                world.at(back, Fault::Heal);
+                world.inject(at, Fault::Cut(targets.clone(), others.clone()));
+                world.inject(at, Fault::Cut(others, targets));
+                world.inject(recovery, Fault::Heal);
             }
             3 => {
-                world.at(at, Fault::Cut(rest, who));
-                world.at(back, Fault::Heal);
+                world.inject(at, Fault::Cut(others, targets));
+                world.inject(recovery, Fault::Heal);
             }
             _ => {
-                world.at(at, Fault::Leave(who[0]));
-                world.at(back, Fault::Start(who[0]));
+                world.inject(at, Fault::Leave(targets[0]));
+                world.inject(recovery, Fault::Start(targets[0]));
             }
         }
         for i in 0..size {
-            world.at(at + 20 * i as u64, Fault::Forge(i));
+            world.inject(at + 20 * i as u64, Fault::Forge(i));
         }
-        at = back + 4 * every + skew;
+        at = recovery + 4 * interval + skew;
     }
     world.run_until(end);
-    world.judge.verdict(&ids, every, start, end)
+    world.checker.check(&ids, interval, start, end)
 }
--- a/crates/fleet-rig/src/world.rs
+++ b/crates/fleet-rig/src/world.rs
@@ -1,7 +1,7 @@
-//! A cluster in virtual time. The nodes are the real ones, down to the bytes of their datagrams; the network, the
-//! clocks, the processes' deaths and pauses come from a seed. The same seed plays the same again.
+//! A cluster in virtual time. The nodes are the real ones, down to the bytes of their datagrams. The network, the
+//! clocks, and the crashes and pauses of processes are simulated from a seed: the same seed gives the same run.
 
-use crate::judge::{Act, Judge};
+use crate::checker::{Act, Checker};
 use crate::meter::{Meter, metered};
 use crate::ranking;
 use rand::{Rng, RngExt, SeedableRng};
@@ -15,34 +15,36 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// Datagrams that wait for a frozen process, as the kernel's buffer would hold them.
-const KERNEL_BUFFER: usize = 256;
+/// Datagrams that are kept for a frozen process, as its socket's receive buffer would keep them.
+const SOCKET_BUFFER_DATAGRAMS: usize = 256;
 
-/// What the world is like.
+/// The parameters of a simulation.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Instances; the first `voters` of them vote.
+    /// The number of instances.
     pub instances: usize,
-    /// See `instances`.
+    /// The number of voters: the first instances.
     pub voters: usize,
-    /// Duties, all of one period.
-    pub duties: usize,
-    /// That period.
-    pub every: Millis,
-    /// How far wall clocks lie apart at most.
-    pub skew: Millis,
-    /// Shares of datagrams that are lost and that come twice.
+    /// The number of leases, all with the same interval.
+    pub leases: usize,
+    /// The interval of the leases.
+    pub interval: Millis,
+    /// The largest difference between two wall clocks at the start.
+    pub max_skew: Millis,
+    /// The share of datagrams that are lost.
     pub loss: f64,
-    /// See `loss`.
-    pub twice: f64,
-    /// Datagrams take from 1 ms to this.
-    pub delay: Millis,
-    /// From looking at the grant to acting, at most.
-    pub act: Millis,
-    /// Each instance claims alone: the rig's proof that the judge sees what must not be.
+    /// The share of datagrams that are delivered twice.
+    pub duplication: f64,
+    /// The largest delay of a datagram; the smallest is 1 ms.
+    pub max_delay: Millis,
+    /// The largest delay between checking a grant and acting under it.
+    pub max_act_delay: Millis,
+    /// Whether each instance is its own only voter. Such a run must fail the check, which proves that the checker
+    /// detects duplicates.
     pub without_votes: bool,
-    /// Restarted instances do not abstain, and wall clocks stand still: another such proof.
-    pub without_memory: bool,
+    /// Whether an instance votes at once after its start, as if it had run for a day. Meant as a second proof that the
+    /// checker detects duplicates.
+    pub without_abstention: bool,
 }
 
 impl Default for Plan {
@@ -50,41 +52,42 @@
         Self {
             instances: 5,
             voters: 5,
-            duties: 40,
-            every: 4000,
-            skew: 1000,
+            leases: 40,
+            interval: 4000,
+            max_skew: 1000,
             loss: 0.01,
-            twice: 0.01,
-            delay: 20,
-            act: 5,
+            duplication: 0.01,
+            max_delay: 20,
+            max_act_delay: 5,
             without_votes: false,
-            without_memory: false,
+            without_abstention: false,
         }
     }
 }
 
-/// What is done to the cluster.
+/// A fault or another change that is applied to the cluster.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// The process dies without a sign.
+    /// The process crashes.
     Kill(usize),
-    /// It starts again under its name, having forgotten everything.
+    /// The process starts again under its name, without any state.
     Start(usize),
-    /// It stops running for now; its clocks go on.
+    /// The process is paused; its clocks go on.
     Freeze(usize),
-    /// It goes on.
+    /// The process resumes.
     Thaw(usize),
-    /// It leaves in order, then ends.
+    /// The instance leaves the cluster in order, and its process ends.
     Leave(usize),
-    /// Nothing passes from any of the first to any of the second.
+    /// Datagrams from any of the first instances to any of the second are dropped.
     Cut(Vec<usize>, Vec<usize>),
-    /// Everything passes again.
+    /// All cuts end.
     Heal,
-    /// Its wall clock jumps by so much.
+    /// The instance's wall clock jumps by this many milliseconds.
     Jump(usize, i64),
-    /// It knows these many duties from now on.
+    /// The instance is configured with this many leases, the first ones.
     Duties(usize, usize),
-    /// Bytes that nobody of the cluster sent: random, cut off, recorded and sent again, or signed with another key.
+    /// The instance receives a forged datagram: random bytes, or a recorded datagram, which may be truncated or have
+    /// one bit flipped.
     Forge(usize),
 }
 
@@ -97,45 +100,50 @@
 
 struct Process {
     node: Option<Node>,
-    boot: u64,
+    incarnation: u64,
     frozen: bool,
-    /// What waits for it to go on.
-    waiting: Vec<Event>,
-    mono: u64,
-    wall: i64,
+    /// Events that are delivered when the process resumes.
+    deferred: Vec<Event>,
+    /// The monotonic clock's reading at true time 0.
+    monotonic_offset: u64,
+    /// The wall clock's offset from true time.
+    wall_offset: i64,
     wake_at: Millis,
-    duties: usize,
+    leases: usize,
 }
 
-/// See the module's page.
+/// A simulated cluster with its network, clocks and processes.
 pub struct World {
-    /// What it is like.
+    /// The parameters of the run.
     pub plan: Plan,
-    /// Now, in true time.
+    /// The current true time.
     pub now: Millis,
-    /// What was done to whom.
-    pub judge: Judge,
-    /// A duty whose course is told, with all faults.
-    pub watch: Option<u64>,
-    /// Datagrams and bytes sent by each instance.
+    /// The record of all executions.
+    pub checker: Checker,
+    /// The id of a lease whose notices and executions are printed, together with all faults but `Forge`.
+    pub traced_lease: Option<u64>,
+    /// Datagrams and bytes sent, by instance.
     pub sent: Vec<(u64, u64)>,
-    /// What the nodes spend and see, where that is asked for.
+    /// Measures the nodes, if set.
     pub meter: Option<Meter>,
     /// Instances by address.
     index: HashMap<SocketAddr, usize>,
     processes: Vec<Process>,
-    heap: BinaryHeap<Reverse<(Millis, u64)>>,
+    /// Due times and event numbers, the earliest first.
+    queue: BinaryHeap<Reverse<(Millis, u64)>>,
     events: BTreeMap<u64, Event>,
-    count: u64,
+    event_count: u64,
     random: ChaCha8Rng,
-    cuts: BTreeSet<(usize, usize)>,
+    /// Pairs of sender and receiver between which datagrams are dropped.
+    cut_links: BTreeSet<(usize, usize)>,
+    /// A sample of the sent datagrams, for forgeries.
     recorded: Vec<Vec<u8>>,
-    names: Vec<(String, u64)>,
-    /// A second, lawful key is in use.
-    keys: Vec<Vec<u8>>,
+    /// Names and ids of the leases.
+    leases: Vec<(String, u64)>,
+    secrets: Vec<Vec<u8>>,
 }
 
-/// Where an instance takes datagrams.
+/// The address at which an instance receives datagrams.
 pub fn address(i: usize) -> SocketAddr {
     (
         Ipv4Addr::new(127, 0, 1 + (i / 250) as u8, 1 + (i % 250) as u8),
@@ -144,7 +152,7 @@
         .into()
 }
 
-/// Cuts a datagram off, damages one bit of it, or leaves it as it is, to be sent again.
+/// Truncates a datagram, flips one of its bits, or leaves it as it is, which makes it a replay.
 pub(crate) fn corrupt(random: &mut ChaCha8Rng, bytes: &mut Vec<u8>) {
     match random.random_range(0..3) {
         0 => bytes.truncate(random.random_range(0..=bytes.len())),
@@ -161,47 +169,49 @@
     format!("n{i}")
 }
 
-const START: Millis = 1_700_000_000_000;
+/// The wall clocks' mean reading at true time 0, in milliseconds since the Unix epoch.
+const START_WALL_TIME: Millis = 1_700_000_000_000;
 
 impl World {
-    /// A world whose instances have all just started.
+    /// Creates a cluster whose instances have all just started.
     pub fn new(plan: Plan, seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let processes = (0..plan.instances)
             .map(|_| Process {
                 node: None,
-                boot: 0,
+                incarnation: 0,
                 frozen: false,
-                waiting: Vec::new(),
-                // Every machine's monotonic clock has another origin.
-                mono: random.random_range(1_000..10_000_000),
-                wall: random.random_range(0..=plan.skew as i64) - plan.skew as i64 / 2,
+                deferred: Vec::new(),
+                // The monotonic clocks of different machines have different origins.
+                monotonic_offset: random.random_range(1_000..10_000_000),
+                wall_offset: random.random_range(0..=plan.max_skew as i64)
+                    - plan.max_skew as i64 / 2,
                 wake_at: Millis::MAX,
-                duties: plan.duties,
+                leases: plan.leases,
             })
             .collect();
-        let names = (0..plan.duties).map(|n| {
+        let leases = (0..plan.leases).map(|n| {
             let name = format!("duty-{n}");
             let id = spanspur_leases::LeaseId::of(&name).0;
             (name, id)
         });
         let mut world = Self {
-            names: names.collect(),
+            leases: leases.collect(),
             sent: vec![(0, 0); plan.instances],
             meter: None,
             index: (0..plan.instances).map(|i| (address(i), i)).collect(),
             plan,
             now: 0,
-            judge: Judge::default(),
-            watch: None,
+            checker: Checker::default(),
+            traced_lease: None,
             processes,
-            heap: BinaryHeap::new(),
+            queue: BinaryHeap::new(),
             events: BTreeMap::new(),
-            count: 0,
+            event_count: 0,
             random,
-            cuts: BTreeSet::new(),
+            cut_links: BTreeSet::new(),
             recorded: Vec::new(),
-            keys: vec![b"a secret of the rig".to_vec()],
+            secrets: vec![b"a secret of the rig".to_vec()],
         };
         for i in 0..world.plan.instances {
             world.start(i);
@@ -209,71 +219,72 @@
         world
     }
 
-    /// The ids of all duties.
-    pub fn duty_ids(&self) -> Vec<u64> {
-        self.names.iter().map(|(_, id)| *id).collect()
+    /// The ids of all leases.
+    pub fn lease_ids(&self) -> Vec<u64> {
+        self.leases.iter().map(|(_, id)| *id).collect()
     }
 
-    /// A node that runs.
+    /// The node of an instance; `None` while its process does not run.
     pub fn node(&self, i: usize) -> Option<&Node> {
         self.processes[i].node.as_ref()
     }
 
-    /// The instance that takes datagrams at an address.
-    pub fn target(&self, to: SocketAddr) -> Option<usize> {
+    /// The instance that receives datagrams at an address.
+    pub fn instance_at(&self, to: SocketAddr) -> Option<usize> {
         self.index.get(&to).copied()
     }
 
-    /// An instance that runs puts entries on the board.
+    /// Publishes gossip entries at an instance, if it runs.
     pub fn publish(&mut self, i: usize, entries: Vec<GossipEntry>) {
         let now = self.clocks(i);
         if let Some(node) = &mut self.processes[i].node {
             metered(&mut self.meter, i, || node.publish(now, entries));
-            self.settle(i);
+            self.apply_effects(i);
         }
     }
 
-    /// The random numbers of the world, for drawing a script.
+    /// The random numbers of this run, from which a test draws its faults.
     pub fn random(&mut self) -> &mut ChaCha8Rng {
         &mut self.random
     }
 
-    /// Does something to the cluster at a time to come.
-    pub fn at(&mut self, at: Millis, fault: Fault) {
-        self.push(at, Event::Fault(fault));
+    /// Schedules a fault.
+    pub fn inject(&mut self, at: Millis, fault: Fault) {
+        self.schedule(at, Event::Fault(fault));
     }
 
-    /// The clocks of an instance.
+    /// The current readings of an instance's clocks.
     pub fn clocks(&self, i: usize) -> Clocks {
         let process = &self.processes[i];
         Clocks {
-            monotonic: self.now + process.mono,
-            wall: (START as i64 + self.now as i64 + process.wall) as Millis,
+            monotonic: self.now + process.monotonic_offset,
+            wall: (START_WALL_TIME as i64 + self.now as i64 + process.wall_offset) as Millis,
         }
     }
 
-    /// Plays on until then.
+    /// Processes all events that are due up to `end`, in true time.
     pub fn run_until(&mut self, end: Millis) {
-        while let Some(Reverse((at, number))) = self.heap.peek().copied()
+        while let Some(Reverse((at, number))) = self.queue.peek().copied()
             && at <= end
         {
-            self.heap.pop();
+            self.queue.pop();
             self.now = at;
             let Some(event) = self.events.remove(&number) else {
                 continue;
             };
-            self.happen(event);
+            self.dispatch(event);
         }
         self.now = end;
     }
 
-    fn push(&mut self, at: Millis, event: Event) {
-        self.count += 1;
-        self.heap.push(Reverse((at.max(self.now), self.count)));
-        self.events.insert(self.count, event);
+    fn schedule(&mut self, at: Millis, event: Event) {
+        self.event_count += 1;
+        self.queue
+            .push(Reverse((at.max(self.now), self.event_count)));
+        self.events.insert(self.event_count, event);
     }
 
-    fn happen(&mut self, event: Event) {
+    fn dispatch(&mut self, event: Event) {
         let process = match &event {
             Event::Fault(_) => None,
             Event::Datagram(i, ..) | Event::Wake(i) | Event::Act(i, ..) => Some(*i),
@@ -281,9 +292,9 @@
         if let Some(i) = process
             && self.processes[i].frozen
         {
-            let waiting = &mut self.processes[i].waiting;
-            if !matches!(event, Event::Datagram(..)) || waiting.len() < KERNEL_BUFFER {
-                waiting.push(event);
+            let deferred = &mut self.processes[i].deferred;
+            if !matches!(event, Event::Datagram(..)) || deferred.len() < SOCKET_BUFFER_DATAGRAMS {
+                deferred.push(event);
             }
             return;
         }
@@ -292,7 +303,7 @@
                 let now = self.clocks(i);
                 if let Some(node) = &mut self.processes[i].node {
                     metered(&mut self.meter, i, || node.receive(now, from, &bytes));
-                    self.settle(i);
+                    self.apply_effects(i);
                 }
             }
             Event::Wake(i) => {
@@ -308,13 +319,13 @@
                             node.wake(now);
                         }
                     });
-                    self.settle(i);
+                    self.apply_effects(i);
                 }
             }
-            Event::Act(i, boot, grant, won, until) => {
+            Event::Act(i, incarnation, grant, won, until) => {
                 let process = &mut self.processes[i];
-                // The process that was about to act has died.
-                if process.boot != boot || process.node.is_none() {
+                // The process that was about to act has ended.
+                if process.incarnation != incarnation || process.node.is_none() {
                     return;
                 }
                 if let Some(node) = &mut process.node {
@@ -327,12 +338,12 @@
                     period: grant.fencing_token,
                     by: i,
                 };
-                if self.watch == Some(grant.lease.0) {
+                if self.traced_lease == Some(grant.lease.0) {
                     println!("{act:?}");
                 }
-                self.judge.act(grant.lease.0, act);
+                self.checker.record(grant.lease.0, act);
             }
-            Event::Fault(fault) => self.fault(fault),
+            Event::Fault(fault) => self.apply_fault(fault),
         }
     }
 
@@ -346,65 +357,66 @@
             true => vec![name(i)],
             false => (0..self.plan.voters).map(name).collect(),
         };
-        let boot = now.wall.max(self.processes[i].boot + 1);
-        let keys = self.keys.iter().map(|secret| Key::new(secret)).collect();
+        let incarnation = now.wall.max(self.processes[i].incarnation + 1);
+        let keys = self.secrets.iter().map(|secret| Key::new(secret)).collect();
         let setup = NodeConfig {
             identity: Identity {
                 name: name(i),
                 address: address(i),
-                incarnation: boot,
+                incarnation,
                 refutations: 0,
             },
             keys: Keys(keys),
             seeds: (0..self.plan.instances.min(3)).map(address).collect(),
             voters,
-            max_clock_skew: self.plan.skew,
-            probe_timing: pace(self.plan.every),
+            max_clock_skew: self.plan.max_skew,
+            probe_timing: probe_timing(self.plan.interval),
             ranking: ranking(),
             random_seed: self.random.next_u64(),
         };
-        let mut born = now;
-        if self.plan.without_memory {
-            // As if it had run for a day: nothing to abstain for.
-            born.monotonic = born.monotonic.saturating_sub(86_400_000);
+        let mut start = now;
+        if self.plan.without_abstention {
+            // A node that has run for a day no longer abstains.
+            start.monotonic = start.monotonic.saturating_sub(86_400_000);
         }
-        let mut node = Node::new(born, setup);
-        let known = self.processes[i].duties;
-        node.configure(now, &self.duties(known));
+        let mut node = Node::new(start, setup);
+        let count = self.processes[i].leases;
+        node.configure(now, &self.intervals(count));
         if let Some(meter) = &mut self.meter {
-            meter.forgets(i);
+            meter.reset_view(i);
         }
         let process = &mut self.processes[i];
-        (process.node, process.boot, process.frozen) = (Some(node), boot, false);
+        (process.node, process.incarnation, process.frozen) = (Some(node), incarnation, false);
         process.wake_at = Millis::MAX;
-        self.settle(i);
+        self.apply_effects(i);
     }
 
-    fn duties(&self, known: usize) -> BTreeMap<String, Millis> {
-        let names = self.names.iter().take(known);
-        names
-            .map(|(name, _)| (name.clone(), self.plan.every))
+    /// The names of the first `count` leases, with their interval.
+    fn intervals(&self, count: usize) -> BTreeMap<String, Millis> {
+        let leases = self.leases.iter().take(count);
+        leases
+            .map(|(name, _)| (name.clone(), self.plan.interval))
             .collect()
     }
 
-    fn fault(&mut self, fault: Fault) {
-        if self.watch.is_some() && !matches!(fault, Fault::Forge(_)) {
+    fn apply_fault(&mut self, fault: Fault) {
+        if self.traced_lease.is_some() && !matches!(fault, Fault::Forge(_)) {
             println!("{} {fault:?}", self.now);
         }
         match fault {
             Fault::Kill(i) => {
                 self.processes[i].node = None;
-                self.processes[i].waiting.clear();
+                self.processes[i].deferred.clear();
                 self.processes[i].frozen = false;
             }
             Fault::Start(i) => self.start(i),
             Fault::Freeze(i) => self.processes[i].frozen = self.processes[i].node.is_some(),
             Fault::Thaw(i) => {
                 self.processes[i].frozen = false;
-                let waiting = std::mem::take(&mut self.processes[i].waiting);
-                // The order in which a process that goes on finds its work is its own.
-                for event in waiting {
-                    self.push(self.now, event);
+                let deferred = std::mem::take(&mut self.processes[i].deferred);
+                // All at the same time: they are processed in the order in which they came.
+                for event in deferred {
+                    self.schedule(self.now, event);
                 }
             }
             Fault::Leave(i) => {
@@ -412,29 +424,30 @@
                 if let Some(node) = &mut self.processes[i].node {
                     node.leave(now);
                 }
-                self.settle(i);
+                self.apply_effects(i);
                 self.processes[i].node = None;
             }
             Fault::Cut(from, to) => {
-                for a in &from {
-                    self.cuts.extend(to.iter().map(|b| (*a, *b)));
+                for sender in &from {
+                    let links = to.iter().map(|receiver| (*sender, *receiver));
+                    self.cut_links.extend(links);
                 }
             }
-            Fault::Heal => self.cuts.clear(),
-            Fault::Jump(i, by) => self.processes[i].wall += by,
-            Fault::Duties(i, known) => {
-                self.processes[i].duties = known;
-                let (now, duties) = (self.clocks(i), self.duties(known));
+            Fault::Heal => self.cut_links.clear(),
+            Fault::Jump(i, by) => self.processes[i].wall_offset += by,
+            Fault::Duties(i, count) => {
+                self.processes[i].leases = count;
+                let (now, intervals) = (self.clocks(i), self.intervals(count));
                 if let Some(node) = &mut self.processes[i].node {
-                    node.configure(now, &duties);
+                    node.configure(now, &intervals);
                 }
-                self.settle(i);
+                self.apply_effects(i);
             }
-            Fault::Forge(i) => self.forge(i),
+            Fault::Forge(i) => self.inject_forged(i),
         }
     }
 
-    fn forge(&mut self, to: usize) {
+    fn inject_forged(&mut self, to: usize) {
         let mut bytes: Vec<u8> = match self.random.random_range(0..4) {
             0 => (0..self.random.random_range(0..1500))
                 .map(|_| self.random.random())
@@ -447,11 +460,11 @@
         };
         corrupt(&mut self.random, &mut bytes);
         let from = address(self.random.random_range(0..self.plan.instances));
-        self.push(self.now, Event::Datagram(to, from, bytes));
+        self.schedule(self.now, Event::Datagram(to, from, bytes));
     }
 
-    /// Carries out what a node says.
-    fn settle(&mut self, i: usize) {
+    /// Applies a node's effects and schedules its next wake-up.
+    fn apply_effects(&mut self, i: usize) {
         let Some(node) = &mut self.processes[i].node else {
             return;
         };
@@ -462,50 +475,52 @@
             match effect {
                 Effect::Datagram(to, bytes) => self.send(i, to, bytes),
                 Effect::Granted(grant) => {
-                    let mono = self.clocks(i).monotonic;
-                    if grant.is_valid(mono) {
-                        // From here to the act the process may be frozen, or die.
-                        let after = self.random.random_range(0..=self.plan.act);
-                        let until = grant.valid_until.saturating_sub(self.processes[i].mono);
-                        let boot = self.processes[i].boot;
-                        let act = Event::Act(i, boot, grant, self.now, until);
-                        self.push(self.now + after, act);
+                    let monotonic = self.clocks(i).monotonic;
+                    if grant.is_valid(monotonic) {
+                        // The process may be paused or crash between this check and the act.
+                        let delay = self.random.random_range(0..=self.plan.max_act_delay);
+                        let until = grant
+                            .valid_until
+                            .saturating_sub(self.processes[i].monotonic_offset);
+                        let incarnation = self.processes[i].incarnation;
+                        let act = Event::Act(i, incarnation, grant, self.now, until);
+                        self.schedule(self.now + delay, act);
                     }
                 }
                 Effect::Notice(notice) => {
                     if let Some(meter) = &mut self.meter {
-                        meter.notice(self.now, i, &notice);
+                        meter.record_notice(self.now, i, &notice);
                     }
-                    let about = match &notice {
+                    let lease = match &notice {
                         Notice::TermsMissed { lease, .. }
                         | Notice::QuorumChanged { lease, .. }
                         | Notice::HoldingChanged { lease, .. } => Some(lease.0),
                         _ => None,
                     };
-                    if about.is_some() && about == self.watch {
+                    if lease.is_some() && lease == self.traced_lease {
                         println!("{} n{i} {notice:?}", self.now);
                     }
                 }
                 Effect::EntryUpdated(entry) => {
                     if let Some(meter) = &mut self.meter {
-                        meter.news(self.now, &entry);
+                        meter.record_entry(self.now, &entry);
                     }
                 }
             }
         }
         let at = next
-            .saturating_sub(self.processes[i].mono)
+            .saturating_sub(self.processes[i].monotonic_offset)
             .max(self.now + 1);
         if at < self.processes[i].wake_at {
             self.processes[i].wake_at = at;
-            self.push(at, Event::Wake(i));
+            self.schedule(at, Event::Wake(i));
         }
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
         self.sent[from].0 += 1;
         self.sent[from].1 += bytes.len() as u64;
-        let Some(target) = self.target(to) else {
+        let Some(target) = self.instance_at(to) else {
             return;
         };
         if self.recorded.len() < 512 {
@@ -514,21 +529,21 @@
             let at = self.random.random_range(0..512);
             self.recorded[at] = bytes.clone();
         }
-        if self.cuts.contains(&(from, target)) || self.random.random_bool(self.plan.loss) {
+        if self.cut_links.contains(&(from, target)) || self.random.random_bool(self.plan.loss) {
             return;
         }
-        let copies = 1 + usize::from(self.random.random_bool(self.plan.twice));
+        let copies = 1 + usize::from(self.random.random_bool(self.plan.duplication));
         for _ in 0..copies {
-            let after = self.random.random_range(1..=self.plan.delay);
+            let delay = self.random.random_range(1..=self.plan.max_delay);
             let event = Event::Datagram(target, address(from), bytes.clone());
-            self.push(self.now + after, event);
+            self.schedule(self.now + delay, event);
         }
     }
 }
 
-/// A pace of the membership that fits duties of this period.
-pub fn pace(every: Millis) -> ProbeTiming {
-    let probe = (every / 10).clamp(100, 1000);
+/// The probe timing of the membership that fits leases of this interval.
+pub fn probe_timing(interval: Millis) -> ProbeTiming {
+    let probe = (interval / 10).clamp(100, 1000);
     ProbeTiming {
         probe_interval: Duration::from_millis(probe),
         ack_timeout: Duration::from_millis(probe / 3),
--- a/crates/fleet-rig/tests/scale.rs
+++ b/crates/fleet-rig/tests/scale.rs
@@ -1,8 +1,8 @@
-//! The measure of the flat cluster, at small sizes: its figures can be, and the rig is not in them.
+//! The measurement of the flat cluster, at small sizes: its results are plausible, and measuring does not change them.
 
 use clap::Parser;
 use spanspur_fleet_rig::meter::Meter;
-use spanspur_fleet_rig::scale::{self, Args, NEWS_KEY, Point};
+use spanspur_fleet_rig::scale::{self, Args, CHANGE_KEY, Point};
 use spanspur_fleet_rig::series::MeasuredSeries;
 use spanspur_fleet_rig::world::{address, name};
 use spanspur_fleet_rig::{Fault, Plan, World};
@@ -20,16 +20,21 @@
     Cli::parse_from([&["scale"], more].concat()).args
 }
 
-fn sane(point: &Point) {
+fn assert_plausible(point: &Point) {
     println!("seed {}: {point:?}", point.seed);
     assert!(point.join_s.is_some_and(|s| s > 0.0 && s < 60.0));
-    assert_eq!(point.seen, (1.0, 1.0), "all see all, and go on to");
-    // Every 300 ms a probe and its answer, every second a comparison: 1 / 0.3 * 2 + 1, and no more than three times it.
+    assert_eq!(
+        point.seen,
+        (1.0, 1.0),
+        "every instance sees all others, and still does at rest"
+    );
+    // A probe and its answer every 300 ms and a digest every second make 1 / 0.3 * 2 + 1 datagrams per second; up to
+    // three times as many are allowed.
     assert!(point.datagrams > 7.0 && point.datagrams < 23.0);
-    // 50 bytes of sealing each at least, and never more than a datagram holds.
+    // Sealing adds at least 50 bytes to a datagram, and a datagram holds at most 1400.
     assert!(point.bytes > point.datagrams * 50.0 && point.bytes < point.datagrams * 1400.0);
     assert!(point.cpu_us > 1.0 && point.cpu_us < 100_000.0);
-    assert!(point.put_off > 0, "nobody has a session at the start");
+    assert!(point.put_off > 0, "no instance has a session at the start");
     assert!(
         point
             .news_ms
@@ -41,46 +46,50 @@
 }
 
 #[test]
-fn a_small_cluster_measures_sane_and_the_same_again() {
-    let play = |seed| scale::play(&args(&[]), 12, seed);
-    let (first, again, other) = (play(1), play(1), play(2));
-    sane(&first);
-    sane(&other);
-    // All but the processor and the memory is of the seed alone.
-    let told = |p: &Point| (p.join_s, p.put_off, p.bytes, p.datagrams, p.news_ms.clone());
-    assert_eq!(told(&first), told(&again));
-    assert_ne!(told(&first), told(&other));
+fn a_small_cluster_gives_plausible_and_reproducible_results() {
+    let run = |seed| scale::run_once(&args(&[]), 12, seed);
+    let (first, again, other) = (run(1), run(1), run(2));
+    assert_plausible(&first);
+    assert_plausible(&other);
+    // All results but processor time and memory depend on the seed alone.
+    let reproducible = |p: &Point| (p.join_s, p.put_off, p.bytes, p.datagrams, p.news_ms.clone());
+    assert_eq!(reproducible(&first), reproducible(&again));
+    assert_ne!(reproducible(&first), reproducible(&other));
 }
 
-/// Memory has a figure in a process of its own alone: so does the command play.
+/// The command runs each cluster in its own process, without which memory cannot be measured.
 #[test]
-fn the_command_keeps_its_runs_series_page_and_charts() {
+fn the_command_writes_runs_series_page_and_charts() {
     let folder = std::env::temp_dir().join(format!("spanspur-scale-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("made");
+    std::fs::create_dir_all(&folder).expect("folder created");
     let scale = |sizes: &str, more: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_spanspur-fleet-rig"));
         command.arg("scale").arg(&folder);
         command.args(["--runs", "2", "--sizes", sizes]).args(more);
-        let done = command.output().expect("runs");
+        let output = command.output().expect("the command runs");
         assert!(
-            done.status.success(),
+            output.status.success(),
             "{}",
-            String::from_utf8_lossy(&done.stderr)
+            String::from_utf8_lossy(&output.stderr)
         );
     };
     scale("8,60", &["--jobs", "2"]);
     scale("20", &[]);
-    let read = |name: &str| std::fs::read_to_string(folder.join(name)).expect("written");
+    let read = |name: &str| std::fs::read_to_string(folder.join(name)).expect("file readable");
     let runs: BTreeMap<usize, Vec<Point>> =
         serde_json::from_str(&read("scale-flat.json")).expect("read");
     let measured = MeasuredSeries::read(&folder.join("scale.json"))
         .expect("read")
         .0;
     let (page, chart) = (read("scale.md"), read("scale-limits.svg"));
-    std::fs::remove_dir_all(&folder).expect("removed");
-    runs.values().flatten().for_each(sane);
+    std::fs::remove_dir_all(&folder).expect("folder removed");
+    runs.values().flatten().for_each(assert_plausible);
     let sizes: Vec<(usize, usize)> = runs.iter().map(|(n, runs)| (*n, runs.len())).collect();
-    assert_eq!(sizes, [(8, 2), (20, 2), (60, 2)], "of both commands");
+    assert_eq!(
+        sizes,
+        [(8, 2), (20, 2), (60, 2)],
+        "the runs of both commands are kept"
+    );
     let names = "bytes datagrams cpu memory join join-cpu join-bytes put-off news".split(' ');
     for name in names.map(|name| format!("flat-{name}")) {
         let series = &measured[&name];
@@ -88,7 +97,7 @@
         assert_eq!(series.runs, 2);
         assert!(series.points.iter().all(|p| p.1 > 0.0), "{series:?}");
     }
-    // Each knows all others by name, address and session, and holds the standing entries.
+    // Each instance keeps name, address and session of all others, and the initial entries.
     let memory = &measured["flat-memory"].points;
     assert!(
         memory
@@ -100,69 +109,74 @@
 }
 
 #[test]
-fn the_formats_end_where_their_bounds_say() {
-    // By the code: 4,096 senders; and an eighth of the others named, with up to 10 bytes each, in 1,350 with the entry.
+fn sessions_and_changes_reach_as_many_instances_as_the_formats_allow() {
+    // An instance keeps sessions with 4,096 senders. A datagram of 1,350 bytes holds the entry and names an eighth of
+    // the other instances, at up to 10 bytes each.
     assert_eq!(scale::sessions_held(4096), 4096);
     assert_eq!(scale::sessions_held(4200), 4096);
-    let left_out = |n: usize| n - 1 - scale::news_reaches(n, 64);
-    assert_eq!(left_out(900), 0);
+    let unreached = |n: usize| n - 1 - scale::change_reach(n, 64);
+    assert_eq!(unreached(900), 0);
     assert!(
-        scale::news_reaches(900, 512) < 899,
-        "a larger entry leaves less room"
+        scale::change_reach(900, 512) < 899,
+        "a larger entry leaves less room for instances"
     );
-    assert!(left_out(1200) > 0 && left_out(2100) > left_out(1200));
+    assert!(unreached(1200) > 0 && unreached(2100) > unreached(1200));
 }
 
 #[test]
-fn what_cannot_come_about_has_no_figure() {
-    // Nothing arrives.
-    let point = scale::play(&args(&["--loss", "1", "--wait", "5"]), 4, 1);
+fn a_cluster_that_never_converges_reports_no_times() {
+    // All datagrams are lost.
+    let point = scale::run_once(&args(&["--loss", "1", "--wait", "5"]), 4, 1);
     assert_eq!((point.join_s, point.seen), (None, (0.0, 0.0)));
     assert_eq!(point.news_ms, [None, None, None]);
     assert_eq!(point.news_share, [0.0, 0.0, 0.0]);
 }
 
 #[test]
-fn the_index_finds_whom_a_search_finds() {
+fn the_address_index_finds_the_same_instance_as_a_search() {
     let plan = Plan {
         instances: 600,
-        duties: 0,
+        leases: 0,
         ..Plan::default()
     };
     let world = World::new(plan, 1);
     let search = |to: SocketAddr| (0..600).find(|i| address(*i) == to);
     for i in 0..700 {
-        assert_eq!(world.target(address(i)), search(address(i)), "{i}");
+        assert_eq!(world.instance_at(address(i)), search(address(i)), "{i}");
     }
     let other_port = SocketAddr::new(address(3).ip(), 7001);
-    assert_eq!(world.target(other_port), None);
+    assert_eq!(world.instance_at(other_port), None);
 }
 
 #[test]
-fn the_meter_sees_who_goes_and_changes_nothing() {
-    let play = |metered: bool| {
+fn the_meter_notices_a_killed_instance_and_changes_nothing() {
+    let run = |metered: bool| {
         let plan = Plan {
-            duties: 8,
+            leases: 8,
             ..Plan::default()
         };
         let mut world = World::new(plan, 5);
         world.meter = metered.then(|| Meter::new(5));
-        world.at(20_000, Fault::Kill(3));
+        world.inject(20_000, Fault::Kill(3));
         world.run_until(15_000);
-        let before = world.meter.as_ref().map(|m| (m.seen(), m.all_see_all()));
+        let before = world
+            .meter
+            .as_ref()
+            .map(|m| (m.visible_share(), m.converged()));
         world.run_until(40_000);
-        let after = world.meter.as_ref().map(Meter::seen);
-        world.at(40_000, Fault::Start(3));
+        let after = world.meter.as_ref().map(Meter::visible_share);
+        world.inject(40_000, Fault::Start(3));
         world.run_until(60_000);
-        let back = world.meter.as_ref().map(Meter::seen);
-        (world.sent.clone(), before, after, back)
+        let rejoined = world.meter.as_ref().map(Meter::visible_share);
+        (world.sent.clone(), before, after, rejoined)
     };
-    let (with, without) = (play(true), play(false));
+    let (with, without) = (run(true), run(false));
     assert_eq!(with.0, without.0, "datagrams and bytes by instance");
     assert_eq!(with.1, Some((1.0, true)));
-    // Of 20 pairs the four others have lost theirs to the one that was killed; its own stood when it was.
+    // Of the 20 pairs, four are lost: those in which another instance saw the killed one. The killed one's own four are
+    // kept as they were at its death.
     assert_eq!(with.2, Some(0.8));
     assert_eq!(with.3, Some(1.0));
     assert_eq!(name(3), "n3");
-    const { assert!(NEWS_KEY > 65_536, "above the standing entries") }
+    const { assert!(CHANGE_KEY > 65_536, "above the keys of the initial entries") }
 }
--- a/crates/fleet-rig/tests/virtual_time.rs
+++ b/crates/fleet-rig/tests/virtual_time.rs
@@ -1,124 +1,125 @@
-//! Clusters of real nodes in virtual time. Each test prints its seed; the same seed plays the same again.
+//! Clusters of real nodes in virtual time. Each test prints its seed; the same seed gives the same run.
 
 use rand::RngExt;
-use spanspur_fleet_rig::{Fault, Plan, Verdict, World};
+use spanspur_fleet_rig::{CheckReport, Fault, Plan, World};
 
-/// From here on every duty has been done once, whatever the instances abstained for.
-fn settled(plan: &Plan) -> u64 {
-    3 * plan.every + plan.skew + 4000
+/// The time by which each lease's task has been carried out once, even though instances abstain after their start.
+fn settled_at(plan: &Plan) -> u64 {
+    3 * plan.interval + plan.max_skew + 4000
 }
 
-fn judged(world: &World, until: u64) -> Verdict {
+fn check(world: &World, until: u64) -> CheckReport {
     let plan = &world.plan;
     world
-        .judge
-        .verdict(&world.duty_ids(), plan.every, settled(plan), until)
+        .checker
+        .check(&world.lease_ids(), plan.interval, settled_at(plan), until)
 }
 
-fn sound(world: &World, seed: u64, until: u64) -> Verdict {
-    let verdict = judged(world, until);
+fn assert_passed(world: &World, seed: u64, until: u64) -> CheckReport {
+    let report = check(world, until);
     println!(
         "seed {seed}: {} acts, {} fenced, longest {:.2}, closest {:.2}, {} single misses",
-        verdict.acts, verdict.fenced, verdict.longest, verdict.closest, verdict.missed_one
+        report.acts, report.fenced, report.longest_gap, report.shortest_term, report.single_misses
     );
     assert!(
-        verdict.twice.is_empty(),
+        report.duplicates.is_empty(),
         "seed {seed}: {:?}",
-        verdict.twice.first()
+        report.duplicates.first()
     );
     assert!(
-        verdict.gaps.is_empty(),
+        report.gaps.is_empty(),
         "seed {seed}: {} gaps: {:?}",
-        verdict.gaps.len(),
-        verdict.gaps
+        report.gaps.len(),
+        report.gaps
     );
-    verdict
+    report
 }
 
 #[test]
-fn a_quiet_cluster_does_each_duty_once_a_period() {
+fn a_cluster_without_faults_acts_once_per_term() {
     let plan = Plan {
         loss: 0.0,
         ..Plan::default()
     };
     let mut world = World::new(plan, 1);
     world.run_until(100_000);
-    let verdict = sound(&world, 1, 100_000);
+    let report = assert_passed(&world, 1, 100_000);
     assert!(
-        verdict.longest < 1.15 && verdict.closest > 0.85,
-        "{verdict:?}"
+        report.longest_gap < 1.15 && report.shortest_term > 0.85,
+        "{report:?}"
     );
-    assert_eq!(verdict.missed_one, 0);
+    assert_eq!(report.single_misses, 0);
 }
 
-/// Faults one after the other, with time to settle in between, so that both promises have to hold strictly.
+/// Faults one after the other, with time to recover in between, so that no term may be executed twice and no more than
+/// one in a row may be missed.
 #[test]
-fn kills_freezes_cuts_and_leavings_one_after_the_other() {
+fn separate_kills_freezes_cuts_and_departures_cause_no_violation() {
     for seed in 0..12 {
         let plan = Plan::default();
-        let every = plan.every;
-        let rest = 5 * every + plan.skew;
+        let interval = plan.interval;
+        let recovery = 5 * interval + plan.max_skew;
         let mut world = World::new(plan, seed);
-        let mut at = settled(&world.plan);
+        let mut at = settled_at(&world.plan);
         for _ in 0..6 {
-            let who = world.random().random_range(0..5);
-            let after = world.random().random_range(0..every);
+            let target = world.random().random_range(0..5);
+            let after = world.random().random_range(0..interval);
             let from = at + after;
-            let others: Vec<usize> = (0..5).filter(|i| *i != who).collect();
+            let others: Vec<usize> = (0..5).filter(|i| *i != target).collect();
             let kind = world.random().random_range(0..6);
-            println!("seed {seed}: fault {kind} to {who} at {from} ms");
+            println!("seed {seed}: fault {kind} to {target} at {from} ms");
             match kind {
                 0 => {
-                    world.at(from, Fault::Kill(who));
-                    world.at(from + rest, Fault::Start(who));
+                    world.inject(from, Fault::Kill(target));
+                    world.inject(from + recovery, Fault::Start(target));
                 }
                 1 => {
-                    // Two, 50 ms apart.
-                    let second = (who + 1) % 5;
-                    world.at(from, Fault::Kill(who));
-                    world.at(from + 50, Fault::Kill(second));
-                    world.at(from + rest, Fault::Start(who));
-                    world.at(from + rest, Fault::Start(second));
+                    // Two kills, 50 ms apart.
+                    let second = (target + 1) % 5;
+                    world.inject(from, Fault::Kill(target));
+                    world.inject(from + 50, Fault::Kill(second));
+                    world.inject(from + recovery, Fault::Start(target));
+                    world.inject(from + recovery, Fault::Start(second));
                 }
                 2 => {
-                    world.at(from, Fault::Freeze(who));
-                    world.at(from + 3 * every, Fault::Thaw(who));
+                    world.inject(from, Fault::Freeze(target));
+                    world.inject(from + 3 * interval, Fault::Thaw(target));
                 }
                 3 => {
-                    let minority = vec![who, (who + 1) % 5];
+                    let minority = vec![target, (target + 1) % 5];
                     let rest: Vec<usize> = (0..5).filter(|i| !minority.contains(i)).collect();
-                    world.at(from, Fault::Cut(minority.clone(), rest.clone()));
-                    world.at(from, Fault::Cut(rest, minority));
-                    world.at(from + 4 * every, Fault::Heal);
+                    world.inject(from, Fault::Cut(minority.clone(), rest.clone()));
+                    world.inject(from, Fault::Cut(rest, minority));
+                    world.inject(from + 4 * interval, Fault::Heal);
                 }
-                // It hears nobody, and all hear it.
+                // A one-way cut: the instance receives nothing, and the others receive its datagrams.
                 4 => {
-                    world.at(from, Fault::Cut(others, vec![who]));
-                    world.at(from + 4 * every, Fault::Heal);
+                    world.inject(from, Fault::Cut(others, vec![target]));
+                    world.inject(from + 4 * interval, Fault::Heal);
                 }
                 _ => {
-                    world.at(from, Fault::Leave(who));
-                    world.at(from + 2 * every, Fault::Start(who));
+                    world.inject(from, Fault::Leave(target));
+                    world.inject(from + 2 * interval, Fault::Start(target));
                 }
             }
-            at = from + rest + rest;
+            at = from + recovery + recovery;
         }
         world.run_until(at);
-        sound(&world, seed, at);
+        assert_passed(&world, seed, at);
     }
 }
 
-/// Everything at once, also what no cluster can bear: nothing is done twice, whatever is missed.
+/// All faults at once, including those that no cluster can tolerate: terms may be missed, but none is executed twice.
 #[test]
-fn in_chaos_nothing_is_done_twice() {
+fn concurrent_faults_cause_no_duplicate_execution() {
     let mut acts = 0;
     for seed in 100..112 {
         let plan = Plan {
             loss: 0.05,
-            twice: 0.05,
-            delay: 300,
-            act: 2000,
-            skew: 10_000,
+            duplication: 0.05,
+            max_delay: 300,
+            max_act_delay: 2000,
+            max_skew: 10_000,
             ..Plan::default()
         };
         let mut world = World::new(plan, seed);
@@ -126,205 +127,224 @@
         let mut at = 5_000;
         while at < end {
             let random = world.random();
-            let (who, gap) = (random.random_range(0..5), random.random_range(0..3_000));
+            let (target, gap) = (random.random_range(0..5), random.random_range(0..3_000));
             let (first, kind) = (random.random_range(0..5), random.random_range(0..9));
             let jump = random.random_range(-5_000..5_000);
             let known = random.random_range(0..40);
-            world.at(
+            world.inject(
                 at,
                 match kind {
-                    0 => Fault::Kill(who),
-                    1 | 2 => Fault::Start(who),
-                    3 => Fault::Freeze(who),
-                    4 => Fault::Thaw(who),
-                    5 => Fault::Cut(vec![first], vec![who]),
+                    0 => Fault::Kill(target),
+                    1 | 2 => Fault::Start(target),
+                    3 => Fault::Freeze(target),
+                    4 => Fault::Thaw(target),
+                    5 => Fault::Cut(vec![first], vec![target]),
                     6 => Fault::Heal,
-                    7 => Fault::Jump(who, jump),
-                    _ => Fault::Duties(who, known),
+                    7 => Fault::Jump(target, jump),
+                    _ => Fault::Duties(target, known),
                 },
             );
-            world.at(at, Fault::Forge(who));
+            world.inject(at, Fault::Forge(target));
             at += gap;
         }
         world.run_until(end);
-        let verdict = judged(&world, end);
+        let report = check(&world, end);
         println!(
             "seed {seed}: {} acts, {} fenced",
-            verdict.acts, verdict.fenced
+            report.acts, report.fenced
         );
-        let same = verdict.twice.iter().find(|what| what.contains("instance"));
-        assert!(same.is_none(), "seed {seed}: {same:?}");
-        acts += verdict.acts;
+        // Overlapping grants are also reported, but only two executions of one term name instances.
+        let duplicate = report
+            .duplicates
+            .iter()
+            .find(|violation| violation.contains("instance"));
+        assert!(duplicate.is_none(), "seed {seed}: {duplicate:?}");
+        acts += report.acts;
     }
-    assert!(acts > 4000, "{acts} acts in all: too few to show anything");
+    assert!(
+        acts > 4000,
+        "{acts} executions are too few to show anything"
+    );
 }
 
 #[test]
-fn the_judge_sees_it_where_votes_are_left_out() {
+fn the_checker_detects_duplicates_without_votes() {
     let plan = Plan {
         without_votes: true,
         ..Plan::default()
     };
     let mut world = World::new(plan, 7);
-    // Without a majority both sides of a cut act.
-    world.at(30_000, Fault::Cut(vec![0, 1], vec![2, 3, 4]));
-    world.at(30_000, Fault::Cut(vec![2, 3, 4], vec![0, 1]));
+    // Without votes, both sides of a cut act.
+    world.inject(30_000, Fault::Cut(vec![0, 1], vec![2, 3, 4]));
+    world.inject(30_000, Fault::Cut(vec![2, 3, 4], vec![0, 1]));
     world.run_until(60_000);
-    assert!(!judged(&world, 60_000).twice.is_empty());
+    assert!(!check(&world, 60_000).duplicates.is_empty());
 }
 
 #[test]
-fn three_of_five_gone_nothing_is_done_and_all_resumes_when_one_returns() {
+fn without_a_quorum_nothing_is_executed_until_a_voter_returns() {
     let plan = Plan::default();
-    let (every, skew) = (plan.every, plan.skew);
+    let (interval, skew) = (plan.interval, plan.max_skew);
     let mut world = World::new(plan, 3);
-    let gone = 40_000;
-    for (n, who) in [0, 2, 4].into_iter().enumerate() {
-        world.at(gone + 50 * n as u64, Fault::Kill(who));
+    let killed_at = 40_000;
+    for (n, target) in [0, 2, 4].into_iter().enumerate() {
+        world.inject(killed_at + 50 * n as u64, Fault::Kill(target));
     }
-    let back = gone + 8 * every;
-    world.at(back, Fault::Start(2));
-    let end = back + 12 * every;
-    // A period won before may still be carried out; from then on until one is back and votes again, none.
-    world.judge.excused.push((gone, back + 3 * every + skew));
-    world.run_until(back);
-    let before = judged(&world, back).acts;
-    world.run_until(back + every);
+    let restarted_at = killed_at + 8 * interval;
+    world.inject(restarted_at, Fault::Start(2));
+    let end = restarted_at + 12 * interval;
+    // A term that was won before may still be executed. No other is, until an instance is back and votes again.
+    world
+        .checker
+        .excused
+        .push((killed_at, restarted_at + 3 * interval + skew));
+    world.run_until(restarted_at);
+    let before = check(&world, restarted_at).acts;
+    world.run_until(restarted_at + interval);
     assert_eq!(
-        judged(&world, back + every).acts,
+        check(&world, restarted_at + interval).acts,
         before,
-        "done in a minority"
+        "a minority executed a term"
     );
-    let said = [1, 3].iter().filter(|i| {
-        let node = world.node(**i).expect("runs");
+    let reporting = [1, 3].iter().filter(|i| {
+        let node = world.node(**i).expect("the instance runs");
         let now = world.clocks(**i);
         node.status(now)
             .iter()
             .any(|(_, status)| status.is_quorum_lost)
     });
-    assert_eq!(said.count(), 2, "a minority says so");
+    assert_eq!(reporting.count(), 2, "both report the lost quorum");
     world.run_until(end);
-    let verdict = sound(&world, 3, end);
+    let report = assert_passed(&world, 3, end);
     assert!(
-        verdict.acts > before + 200,
-        "resumes: {} after {before}",
-        verdict.acts
+        report.acts > before + 200,
+        "execution did not resume: {} after {before}",
+        report.acts
     );
     let missed = [1, 2, 3].iter().map(|i| {
-        let node = world.node(*i).expect("runs");
+        let node = world.node(*i).expect("the instance runs");
         let now = world.clocks(*i);
         node.status(now)
             .iter()
             .map(|(_, status)| status.missed)
             .sum::<u64>()
     });
-    assert!(missed.sum::<u64>() >= 40 * 5, "what was missed is reported");
+    assert!(missed.sum::<u64>() >= 40 * 5, "missed terms are reported");
 }
 
 #[test]
-fn clocks_ten_seconds_apart_and_one_that_jumps_change_nothing() {
+fn skewed_and_jumping_wall_clocks_cause_no_violation() {
     for seed in 20..24 {
         let plan = Plan {
-            skew: 10_000,
+            max_skew: 10_000,
             ..Plan::default()
         };
         let mut world = World::new(plan, seed);
-        world.at(40_000, Fault::Jump(1, 3_600_000));
-        world.at(60_000, Fault::Jump(1, -7_200_000));
-        world.at(70_000, Fault::Kill(0));
-        world.at(75_000, Fault::Start(0));
+        world.inject(40_000, Fault::Jump(1, 3_600_000));
+        world.inject(60_000, Fault::Jump(1, -7_200_000));
+        world.inject(70_000, Fault::Kill(0));
+        world.inject(75_000, Fault::Start(0));
         world.run_until(140_000);
-        sound(&world, seed, 140_000);
+        assert_passed(&world, seed, 140_000);
     }
 }
 
 #[test]
-fn a_restart_within_a_period_under_the_same_name() {
+fn a_restart_within_a_term_causes_no_violation() {
     for seed in 30..36 {
         let mut world = World::new(Plan::default(), seed);
         let at = 30_000 + world.random().random_range(0..4000);
-        world.at(at, Fault::Kill(1));
-        world.at(at + 200, Fault::Start(1));
+        world.inject(at, Fault::Kill(1));
+        world.inject(at + 200, Fault::Start(1));
         world.run_until(90_000);
-        sound(&world, seed, 90_000);
+        assert_passed(&world, seed, 90_000);
     }
 }
 
 #[test]
-fn a_rolling_restart_of_all() {
+fn a_rolling_restart_causes_no_violation() {
     for seed in 40..44 {
         let mut world = World::new(Plan::default(), seed);
-        for who in 0..5 {
-            let at = 30_000 + 10_000 * who as u64;
-            world.at(at, Fault::Leave(who));
-            world.at(at + 1_000, Fault::Start(who));
+        for target in 0..5 {
+            let at = 30_000 + 10_000 * target as u64;
+            world.inject(at, Fault::Leave(target));
+            world.inject(at + 1_000, Fault::Start(target));
         }
         world.run_until(120_000);
-        sound(&world, seed, 120_000);
+        assert_passed(&world, seed, 120_000);
     }
 }
 
 #[test]
-fn duties_that_come_and_go_at_one_instance_before_the_others() {
+fn leases_added_and_removed_at_one_instance_after_another_cause_no_violation() {
     for seed in 50..54 {
         let mut world = World::new(Plan::default(), seed);
-        // All know 30 at first, and one after the other learns of ten more; later ten go in the same way.
-        for who in 0..5 {
-            world.at(0, Fault::Duties(who, 30));
-            world.at(20_000 + 6_000 * who as u64, Fault::Duties(who, 40));
+        // All instances start with 30 leases. One after the other adds ten, and later one after the other removes them.
+        for target in 0..5 {
+            world.inject(0, Fault::Duties(target, 30));
+            world.inject(20_000 + 6_000 * target as u64, Fault::Duties(target, 40));
         }
-        let ids = world.duty_ids();
+        let ids = world.lease_ids();
         world.run_until(100_000);
-        let all = world.judge.verdict(&ids, 4000, 52_000, 100_000);
-        assert!(all.sound(), "seed {seed}: {:?} {:?}", all.twice, all.gaps);
-        for who in 0..5 {
-            world.at(100_000 + 6_000 * who as u64, Fault::Duties(who, 30));
+        let added = world.checker.check(&ids, 4000, 52_000, 100_000);
+        assert!(
+            added.passed(),
+            "seed {seed}: {:?} {:?}",
+            added.duplicates,
+            added.gaps
+        );
+        for target in 0..5 {
+            world.inject(100_000 + 6_000 * target as u64, Fault::Duties(target, 30));
         }
         world.run_until(170_000);
-        let kept = world.judge.verdict(&ids[..30], 4000, 52_000, 170_000);
+        let kept = world.checker.check(&ids[..30], 4000, 52_000, 170_000);
         assert!(
-            kept.sound(),
+            kept.passed(),
             "seed {seed}: {:?} {:?}",
-            kept.twice,
+            kept.duplicates,
             kept.gaps
         );
-        let gone = world.judge.verdict(&ids[30..], 4000, 52_000, 170_000);
-        assert!(gone.twice.is_empty(), "seed {seed}: {:?}", gone.twice);
+        let removed = world.checker.check(&ids[30..], 4000, 52_000, 170_000);
+        assert!(
+            removed.duplicates.is_empty(),
+            "seed {seed}: {:?}",
+            removed.duplicates
+        );
     }
 }
 
 #[test]
-fn frozen_between_looking_and_acting() {
+fn a_freeze_between_checking_and_acting_is_fenced() {
     let mut fenced = 0;
     for seed in 60..72 {
         let plan = Plan {
-            act: 1500,
+            max_act_delay: 1500,
             ..Plan::default()
         };
         let mut world = World::new(plan, seed);
         for n in 0..4 {
-            let who = world.random().random_range(0..5);
+            let target = world.random().random_range(0..5);
             let at = 30_000 + 40_000 * n + world.random().random_range(0..4_000);
-            world.at(at, Fault::Freeze(who));
-            world.at(at + 12_000, Fault::Thaw(who));
+            world.inject(at, Fault::Freeze(target));
+            world.inject(at + 12_000, Fault::Thaw(target));
         }
         world.run_until(190_000);
-        fenced += sound(&world, seed, 190_000).fenced;
+        fenced += assert_passed(&world, seed, 190_000).fenced;
     }
-    assert!(fenced > 0, "no freeze fell between looking and acting");
+    assert!(fenced > 0, "no freeze fell between checking and acting");
 }
 
 #[test]
-fn the_same_seed_plays_the_same() {
-    let play = || {
+fn the_same_seed_gives_the_same_run() {
+    let run = || {
         let mut world = World::new(Plan::default(), 9);
-        world.at(20_000, Fault::Kill(3));
+        world.inject(20_000, Fault::Kill(3));
         world.run_until(40_000);
         let sent = world.sent.clone();
         (
             sent,
-            serde_json::to_string(&judged(&world, 40_000)).expect("written"),
+            serde_json::to_string(&check(&world, 40_000)).expect("serializable"),
         )
     };
-    assert_eq!(play(), play());
+    assert_eq!(run(), run());
 }
