--- a/crates/fleet-rig/src/sockets.rs
+++ b/crates/fleet-rig/src/sockets.rs
@@ -88,7 +88,7 @@
 fn visible_pairs(handles: &[ClusterHandle]) -> usize {
     let alive_others = |handle: &ClusterHandle| {
         let members = handle.with_node(|node, _| node.members());
-        members.iter().filter(|m| m.alive && !m.me).count()
+        members.iter().filter(|m| m.alive && !m.is_self).count()
     };
     handles.iter().map(alive_others).sum()
 }
