--- a/crates/fleet-rig/src/capacity/control.rs
+++ b/crates/fleet-rig/src/capacity/control.rs
@@ -1,264 +1,284 @@
-//! The control plane of a balancer and of a control instance, for two designs: all balancers in one gossip, as it
-//! runs today, and each balancer following two of the few control instances.
+//! Control-plane estimates for a balancer and a control instance, for two designs: one gossip cluster of all balancers
+//! (flat), and balancers that each follow two of the few control instances (follow).
 
-use super::book::Book;
 use super::figure::{Figure, Unit};
+use super::inputs::Inputs;
 use super::row::{Limit, Mechanism, Row};
 use serde_json::json;
 
-/// What answers the rows that one gossip of all balancers is over in.
+/// Remedy for the rows in which the flat design exceeds its limits.
 pub const DISTRIBUTION: &str = "distribution from the control instances";
 
-/// Bytes of a random 64-bit id as a variable-length number: ten for the upper half, nine for nearly all others.
+/// Mean bytes of a random 64-bit id as a varint: ten for ids in the upper half, nine for nearly all others.
 const ID_BYTES: f64 = 9.5;
-/// `seal::MAX_SENDERS` before the distribution raised it, as the flat cluster was measured.
+/// `seal::MAX_SENDERS` as it was when the flat cluster was measured, before distribution raised the limit.
 const SENDERS_BEFORE: f64 = 1024.0;
 
-const BOARD_FILE: &str = "crates/leases/src/gossip_store.rs";
-const SEAL_FILE: &str = "crates/membership/src/authentication.rs";
+const GOSSIP_FILE: &str = "crates/leases/src/gossip_store.rs";
+const AUTHENTICATION_FILE: &str = "crates/membership/src/authentication.rs";
 const SOURCE_FILE: &str = "crates/distribution/src/source/mod.rs";
-const LIMITS_FILE: &str = "crates/distribution/src/source/config.rs";
-const WIRE_FILE: &str = "crates/distribution/src/messages/mod.rs";
+const SOURCE_CONFIG_FILE: &str = "crates/distribution/src/source/config.rs";
+const MESSAGES_FILE: &str = "crates/distribution/src/messages/mod.rs";
 
-const NODE: Mechanism = Mechanism::Is("crates/cluster/src/node.rs", "pub struct Node");
-const SEAL: Mechanism = Mechanism::Is(SEAL_FILE, "MAX_SENDERS");
-const BOARD: Mechanism = Mechanism::Is(BOARD_FILE, "fn disseminate");
-const VOTE: Mechanism = Mechanism::Is("crates/leases/src/acceptor.rs", "MAX_LEASES");
-const FOLLOWER: Mechanism = Mechanism::Is(
+const NODE: Mechanism = Mechanism::Implemented("crates/cluster/src/node.rs", "pub struct Node");
+const AUTHENTICATION: Mechanism = Mechanism::Implemented(AUTHENTICATION_FILE, "MAX_SENDERS");
+const GOSSIP: Mechanism = Mechanism::Implemented(GOSSIP_FILE, "fn disseminate");
+const ACCEPTOR: Mechanism = Mechanism::Implemented("crates/leases/src/acceptor.rs", "MAX_LEASES");
+const FOLLOWER: Mechanism = Mechanism::Implemented(
     "crates/distribution/src/follower/mod.rs",
     "pub struct Follower",
 );
-const SOURCE: Mechanism = Mechanism::Is(SOURCE_FILE, "pub struct Source");
-const STORE: Mechanism = Mechanism::Is(
+const SOURCE: Mechanism = Mechanism::Implemented(SOURCE_FILE, "pub struct Source");
+const STORE: Mechanism = Mechanism::Implemented(
     "crates/distribution/src/store/mod.rs",
     "pub struct EntryStore",
 );
-const PACE: Mechanism = Mechanism::Is(
+const RATE_LIMITER: Mechanism = Mechanism::Implemented(
     "crates/distribution/src/rate_limiter.rs",
     "pub struct RateLimiter",
 );
 
-fn bytes(book: &Book) -> Limit {
-    Limit::Letter(book.given("control-bytes"))
+fn bytes(inputs: &Inputs) -> Limit {
+    Limit::Requirement(inputs.parameter("control-bytes"))
 }
 
-fn core(book: &Book) -> Limit {
-    Limit::Letter(book.given("control-core"))
+fn core(inputs: &Inputs) -> Limit {
+    Limit::Requirement(inputs.parameter("control-core"))
 }
 
-fn memory(book: &Book) -> Limit {
-    Limit::Letter(book.given("control-memory-mb") * 1e6)
+fn memory(inputs: &Inputs) -> Limit {
+    Limit::Requirement(inputs.parameter("control-memory-mb") * 1e6)
 }
 
-fn in_force(book: &Book) -> Limit {
-    Limit::Letter(book.given("in-force-s"))
+fn propagation(inputs: &Inputs) -> Limit {
+    Limit::Requirement(inputs.parameter("in-force-s"))
 }
 
-/// What has to be held of servers and settings: those there are, and those removed since the store began.
-pub fn entries(book: &Book) -> Figure {
-    book.given("servers") + book.given("settings") + removed(book) * book.given("removed-kept-days")
+/// Entries for servers and settings: the current ones, and the removed ones that are still kept.
+pub fn entries(inputs: &Inputs) -> Figure {
+    inputs.parameter("servers")
+        + inputs.parameter("settings")
+        + removed(inputs) * inputs.parameter("removed-kept-days")
 }
 
-/// Entries removed a day: a server that is replaced comes back under another name.
-fn removed(book: &Book) -> Figure {
-    book.given("restarts-a-day") * book.given("replaced-share")
+/// Entries removed per day: a replaced server comes back under another name.
+fn removed(inputs: &Inputs) -> Figure {
+    inputs.parameter("restarts-a-day") * inputs.parameter("replaced-share")
 }
 
-/// Changes in the minute of each trouble.
-fn minutes(book: &Book) -> [(&'static str, Figure); 7] {
-    let a_server = || book.given("changes-a-server");
-    let servers = || book.given("servers");
+/// Changes per minute in each scenario.
+fn change_scenarios(inputs: &Inputs) -> [(&'static str, Figure); 7] {
+    let per_server = || inputs.parameter("changes-a-server");
+    let servers = || inputs.parameter("servers");
     [
-        ("mean", book.given("changes-a-day") / 1440.0),
-        ("busiest minute", book.given("changes-busiest-minute")),
-        ("a stream server's machine, in a minute", a_server()),
+        ("mean", inputs.parameter("changes-a-day") / 1440.0),
+        ("busiest minute", inputs.parameter("changes-busiest-minute")),
+        ("a stream server's machine, in a minute", per_server()),
         (
             "a rack of stream servers, in a minute",
-            book.given("rack-machines") * a_server(),
+            inputs.parameter("rack-machines") * per_server(),
         ),
         (
             "a zone, in a minute",
-            servers() / book.given("zones") * a_server(),
+            servers() / inputs.parameter("zones") * per_server(),
         ),
         (
             "a region healed after its cut, in a minute",
-            book.given("changes-a-day") * book.given("region-cut-s") / 86_400.0,
+            inputs.parameter("changes-a-day") * inputs.parameter("region-cut-s") / 86_400.0,
         ),
         (
             "a release of everything: every server within the day",
-            servers() * a_server() / 1440.0,
+            servers() * per_server() / 1440.0,
         ),
     ]
 }
 
-/// Today's cluster, with every balancer in it: one balancer.
-pub fn balancer_flat(book: &Book) -> Vec<Row> {
-    let all = || book.given("balancers");
-    let row = |what: &str, when, unit, comes| {
-        Row::new(what, when, unit, comes)
-            .by(NODE)
-            .answer(DISTRIBUTION)
+/// Flat design: rows for one balancer.
+pub fn balancer_flat(inputs: &Inputs) -> Vec<Row> {
+    let balancers = || inputs.parameter("balancers");
+    let row = |what: &str, scenario, unit, estimate| {
+        Row::new(what, scenario, unit, estimate)
+            .provided_by(NODE)
+            .remedy(DISTRIBUTION)
     };
-    let fanout = || book.code(BOARD_FILE, "FANOUT");
-    let ids = (all() - fanout()) / fanout();
+    let fanout = || inputs.constant(GOSSIP_FILE, "FANOUT");
+    let ids = (balancers() - fanout()) / fanout();
     let mut rows = vec![
         row(
             "sessions with others, before this sitting",
             "all",
             Unit::Count,
-            all(),
+            balancers(),
         )
-        .limit(Limit::Code(
-            Figure::of(SENDERS_BEFORE),
+        .limit(Limit::Hard(
+            Figure::new(SENDERS_BEFORE),
             "seal::MAX_SENDERS, as it was",
         ))
-        .by(SEAL),
-        row("sessions with others, now", "all", Unit::Count, all())
-            .limit(Limit::Code(
-                book.code(SEAL_FILE, "MAX_SENDERS"),
+        .provided_by(AUTHENTICATION),
+        row("sessions with others, now", "all", Unit::Count, balancers())
+            .limit(Limit::Hard(
+                inputs.constant(AUTHENTICATION_FILE, "MAX_SENDERS"),
                 "seal::MAX_SENDERS",
             ))
-            .by(SEAL),
+            .provided_by(AUTHENTICATION),
         row(
             "ids that the first datagrams of a change name, bytes",
             "each change",
             Unit::Bytes,
             ids * ID_BYTES,
         )
-        .limit(Limit::Code(
-            book.code(SEAL_FILE, "MAX_DATAGRAM"),
+        .limit(Limit::Hard(
+            inputs.constant(AUTHENTICATION_FILE, "MAX_DATAGRAM"),
             "seal::MAX_DATAGRAM",
         ))
-        .by(BOARD),
-        row("entries on the board", "all", Unit::Count, entries(book))
-            .limit(Limit::Code(
-                book.code(BOARD_FILE, "MAX_KEYS"),
+        .provided_by(GOSSIP),
+        row("entries on the board", "all", Unit::Count, entries(inputs))
+            .limit(Limit::Hard(
+                inputs.constant(GOSSIP_FILE, "MAX_KEYS"),
                 "board::MAX_KEYS",
             ))
-            .by(BOARD)
-            .answer("removed entries that are forgotten in time: missing"),
+            .provided_by(GOSSIP)
+            .remedy("removed entries that are forgotten in time: missing"),
         row(
             "datagrams, both ways",
             "at rest",
             Unit::Rate,
-            book.at("flat-datagrams", Unit::Rate, all()) * 2.0,
+            inputs.value_at("flat-datagrams", Unit::Rate, balancers()) * 2.0,
         ),
     ];
-    // What one sends another receives; of a change each sends and receives about one entry.
-    let rest = || book.at("flat-bytes", Unit::ByteRate, all()) * 2.0;
-    for (when, changes) in minutes(book) {
-        let news = changes / 60.0 * book.given("entry-bytes") * 2.0;
-        rows.push(row("bytes, both ways", when, Unit::ByteRate, rest() + news).limit(bytes(book)));
+    // Each sent byte is also received by another instance; for each change an instance sends and receives about one
+    // entry.
+    let idle = || inputs.value_at("flat-bytes", Unit::ByteRate, balancers()) * 2.0;
+    for (scenario, changes) in change_scenarios(inputs) {
+        let change_bytes = changes / 60.0 * inputs.parameter("entry-bytes") * 2.0;
+        rows.push(
+            row(
+                "bytes, both ways",
+                scenario,
+                Unit::ByteRate,
+                idle() + change_bytes,
+            )
+            .limit(bytes(inputs)),
+        );
     }
     rows.push(
         row(
             "processor",
             "at rest",
             Unit::Cores,
-            book.at("flat-cpu", Unit::Cores, all()),
+            inputs.value_at("flat-cpu", Unit::Cores, balancers()),
         )
-        .limit(core(book)),
+        .limit(core(inputs)),
     );
     rows.push(
         row(
             "memory, 256 entries",
             "at rest",
             Unit::Bytes,
-            book.at("flat-memory", Unit::Bytes, all()),
+            inputs.value_at("flat-memory", Unit::Bytes, balancers()),
         )
-        .limit(memory(book)),
+        .limit(memory(inputs)),
     );
-    // Where its first datagrams do not fit, a change reaches none of those that they would name.
-    let fits = rows[2].times().is_some_and(|times| times <= 1.0);
-    let news = match fits {
-        true => book.at_if_ever("flat-news", "flat-bytes", Unit::Seconds, all()),
-        false => Figure::of(f64::INFINITY).resting_on("ids", "the row on ids above".to_owned()),
+    // If the first datagrams of a change exceed the maximum size, the change reaches none of the instances they name.
+    let fits_in_datagram = rows[2].limit_ratio().is_some_and(|times| times <= 1.0);
+    let propagation_time = match fits_in_datagram {
+        true => inputs.value_at_if_reached("flat-news", "flat-bytes", Unit::Seconds, balancers()),
+        false => Figure::new(f64::INFINITY).derived_from("ids", "the row on ids above".to_owned()),
     };
     rows.push(
         row(
             "until a change is in force everywhere, by news alone",
             "at rest",
             Unit::Seconds,
-            news,
+            propagation_time,
         )
-        .limit(in_force(book)),
+        .limit(propagation(inputs)),
     );
-    let ever = |name, unit| book.at_if_ever(name, "flat-bytes", unit, all());
-    let all_start = "release of everything at once";
+    let if_reached = |name, unit| inputs.value_at_if_reached(name, "flat-bytes", unit, balancers());
+    let full_restart = "release of everything at once";
     rows.push(row(
         "until all know of all",
-        all_start,
+        full_restart,
         Unit::Seconds,
-        ever("flat-join", Unit::Seconds),
+        if_reached("flat-join", Unit::Seconds),
     ));
     rows.push(row(
         "bytes that one sends until then",
-        all_start,
+        full_restart,
         Unit::Bytes,
-        ever("flat-join-bytes", Unit::Bytes),
+        if_reached("flat-join-bytes", Unit::Bytes),
     ));
     rows.push(row(
         "processor time of one until then",
-        all_start,
+        full_restart,
         Unit::Seconds,
-        ever("flat-join-cpu", Unit::Seconds),
+        if_reached("flat-join-cpu", Unit::Seconds),
     ));
     rows.push(row(
         "datagrams of all, put off for want of a session",
-        all_start,
+        full_restart,
         Unit::Count,
-        ever("flat-put-off", Unit::Count),
+        if_reached("flat-put-off", Unit::Count),
     ));
     rows
 }
 
-/// Following: one balancer.
-pub fn balancer_follow(book: &Book) -> Vec<Row> {
-    let all = || book.given("balancers");
-    let row = |what: &str, when, unit, comes| Row::new(what, when, unit, comes).by(FOLLOWER);
-    let rest = || book.at("follow-bytes", Unit::ByteRate, all());
-    let full = || entries(book) * book.given("entry-bytes");
+/// Follow design: rows for one balancer.
+pub fn balancer_follow(inputs: &Inputs) -> Vec<Row> {
+    let balancers = || inputs.parameter("balancers");
+    let row = |what: &str, scenario, unit, estimate| {
+        Row::new(what, scenario, unit, estimate).provided_by(FOLLOWER)
+    };
+    let idle = || inputs.value_at("follow-bytes", Unit::ByteRate, balancers());
+    let full = || entries(inputs) * inputs.parameter("entry-bytes");
     let mut rows = vec![
-        row("entries held", "all", Unit::Count, entries(book))
-            .limit(Limit::Code(
-                book.code(BOARD_FILE, "MAX_KEYS"),
+        row("entries held", "all", Unit::Count, entries(inputs))
+            .limit(Limit::Hard(
+                inputs.constant(GOSSIP_FILE, "MAX_KEYS"),
                 "store::MAX_ENTRIES",
             ))
-            .by(STORE)
-            .answer("removed entries that are forgotten in time: missing"),
+            .provided_by(STORE)
+            .remedy("removed entries that are forgotten in time: missing"),
         row(
             "days of removed entries until the store is full",
             "all",
             Unit::Count,
-            (book.code(BOARD_FILE, "MAX_KEYS") - book.given("servers") - book.given("settings"))
-                / removed(book),
+            (inputs.constant(GOSSIP_FILE, "MAX_KEYS")
+                - inputs.parameter("servers")
+                - inputs.parameter("settings"))
+                / removed(inputs),
         )
-        .by(STORE),
+        .provided_by(STORE),
         row(
             "datagrams, both ways",
             "at rest",
             Unit::Rate,
-            book.at("follow-datagrams", Unit::Rate, all()),
+            inputs.value_at("follow-datagrams", Unit::Rate, balancers()),
         ),
     ];
-    for (when, changes) in minutes(book) {
-        // A change comes from both sources.
-        let news = changes / 60.0 * book.given("entry-bytes") * 2.0;
+    for (scenario, changes) in change_scenarios(inputs) {
+        // A follower receives each change from both of its sources.
+        let change_bytes = changes / 60.0 * inputs.parameter("entry-bytes") * 2.0;
         rows.push(
-            row("bytes, both ways", when, Unit::ByteRate, rest() + news)
-                .limit(bytes(book))
-                .answer("a change told by one of the two sources alone: missing"),
+            row(
+                "bytes, both ways",
+                scenario,
+                Unit::ByteRate,
+                idle() + change_bytes,
+            )
+            .limit(bytes(inputs))
+            .remedy("a change told by one of the two sources alone: missing"),
         );
     }
-    let a_day = full() * book.given("restarts-a-day") / all() / 86_400.0;
+    let restarts = full() * inputs.parameter("restarts-a-day") / balancers() / 86_400.0;
     rows.push(
         row(
             "bytes, both ways",
             "490 restarts, shared out over the day",
             Unit::ByteRate,
-            rest() + a_day,
+            idle() + restarts,
         )
-        .limit(bytes(book)),
+        .limit(bytes(inputs)),
     );
     rows.push(row(
         "bytes of one start, all in all",
@@ -270,7 +290,7 @@
         "until full, p50",
         "a restart",
         Unit::Seconds,
-        book.at("follow-full-entries", Unit::Seconds, entries(book)),
+        inputs.value_at("follow-full-entries", Unit::Seconds, entries(inputs)),
     ));
     for (entries, servers) in [(630, "630 entries"), (5000, "5,000 entries")] {
         for (starting, what) in [
@@ -281,7 +301,7 @@
                 &format!("until all are full, {servers}"),
                 what,
                 Unit::Seconds,
-                started(book, entries, starting, "/until_full/last"),
+                start_duration(inputs, entries, starting, "/until_full/last"),
             ));
         }
     }
@@ -290,30 +310,31 @@
             "processor",
             "at rest",
             Unit::Cores,
-            book.at("follow-cpu", Unit::Cores, all()),
+            inputs.value_at("follow-cpu", Unit::Cores, balancers()),
         )
-        .limit(core(book)),
+        .limit(core(inputs)),
     );
     rows.push(
         row(
             "memory, 630 entries",
             "at rest",
             Unit::Bytes,
-            book.at("follow-memory", Unit::Bytes, all()),
+            inputs.value_at("follow-memory", Unit::Bytes, balancers()),
         )
-        .limit(memory(book)),
+        .limit(memory(inputs)),
     );
     rows.push(
         row(
             "memory, all entries",
             "all",
             Unit::Bytes,
-            book.at("follow-memory-entries", Unit::Bytes, entries(book)),
+            inputs.value_at("follow-memory-entries", Unit::Bytes, entries(inputs)),
         )
-        .limit(memory(book)),
+        .limit(memory(inputs)),
     );
-    let delay = |what: &str, pointer| book.played("delays", "what", json!(what), pointer, 1e-3);
-    for (what, when) in [
+    let delay =
+        |what: &str, pointer| inputs.simulated("delays", "what", json!(what), pointer, 1e-3);
+    for (what, scenario) in [
         (
             "1% loss",
             "5,700 a day and a burst of 100 in a minute, 1% loss",
@@ -331,23 +352,23 @@
         rows.push(
             row(
                 "until a change is in force, 99 in 100",
-                when,
+                scenario,
                 Unit::Seconds,
                 delay(what, "/each/p99"),
             )
-            .limit(Limit::Own(Figure::of(3.0), "this project's own")),
+            .limit(Limit::Internal(Figure::new(3.0), "this project's own")),
         );
         rows.push(
             row(
                 "until a change is in force everywhere, the last",
-                when,
+                scenario,
                 Unit::Seconds,
                 delay(what, "/everywhere/last"),
             )
-            .limit(in_force(book)),
+            .limit(propagation(inputs)),
         );
     }
-    for (what, when) in [
+    for (what, scenario) in [
         (
             "a region for an hour",
             "a region healed after an hour, 240 changes, 630 entries",
@@ -357,62 +378,68 @@
             "a region healed after an hour, 240 changes, 5,000 entries",
         ),
     ] {
-        let cut = |pointer, by| book.played("cuts", "what", json!(what), pointer, by);
+        let cut = |pointer, by| inputs.simulated("cuts", "what", json!(what), pointer, by);
         rows.push(
             row(
                 "until what was missed is in force, the last",
-                when,
+                scenario,
                 Unit::Seconds,
                 cut("/each/last", 1e-3),
             )
-            .limit(in_force(book)),
+            .limit(propagation(inputs)),
         );
         let each = || cut("/followers", 1.0);
         rows.push(
             row(
                 "bytes of a balancer in the minute after, over rest",
-                when,
+                scenario,
                 Unit::Bytes,
                 cut("/bytes", 1.0) / each(),
             )
-            .limit(Limit::Own(cut("/all", 1.0) / each(), "all entries anew"))
-            .answer(
+            .limit(Limit::Internal(
+                cut("/all", 1.0) / each(),
+                "all entries anew",
+            ))
+            .remedy(
                 "sources of a healed region that are whole before they are followed again: missing",
             ),
         );
         rows.push(
-            row("until the region's own control instances hold all", when, Unit::Seconds, cut("/control", 1e-3))
-                .by(BOARD)
-                .limit(in_force(book))
-                .answer("a comparison of boards that sends what differs alone: missing (`crates/leases/src/gossip_store.rs`)"),
+            row("until the region's own control instances hold all", scenario, Unit::Seconds, cut("/control", 1e-3))
+                .provided_by(GOSSIP)
+                .limit(propagation(inputs))
+                .remedy("a comparison of boards that sends what differs alone: missing (`crates/leases/src/gossip_store.rs`)"),
         );
     }
     rows
 }
 
-/// A figure, in ms, of the start of so many at once.
-fn started(book: &Book, entries: u32, starting: f64, pointer: &str) -> Figure {
-    let starts = book.plays.get("starts").and_then(|list| list.as_array());
-    let play = starts.and_then(|plays| {
-        plays.iter().find(|play| {
+/// A duration from the simulated start of `starting` balancers at once, converted from ms to seconds.
+fn start_duration(inputs: &Inputs, entries: u32, starting: f64, pointer: &str) -> Figure {
+    let starts = inputs
+        .simulation_runs
+        .get("starts")
+        .and_then(|list| list.as_array());
+    let run = starts.and_then(|runs| {
+        runs.iter().find(|run| {
             let is =
-                |field: &str, value: f64| play.get(field).and_then(|v| v.as_f64()) == Some(value);
+                |field: &str, value: f64| run.get(field).and_then(|v| v.as_f64()) == Some(value);
             is("entries", f64::from(entries)) && is("starting", starting)
         })
     });
     let name = format!("distribution.json: starts, {starting} of {entries} entries");
-    match play.and_then(|play| play.pointer(pointer)?.as_f64()) {
-        Some(ms) => Figure::of(ms / 1000.0)
-            .resting_on(&name, format!("`{name}` (one play at the whole size)")),
-        None => Figure::lacking(name),
+    match run.and_then(|run| run.pointer(pointer)?.as_f64()) {
+        Some(ms) => Figure::new(ms / 1000.0)
+            .derived_from(&name, format!("`{name}` (one play at the whole size)")),
+        None => Figure::missing(name),
     }
 }
 
-/// Today's cluster: a control instance is an instance like all, with the duties besides.
-pub fn control_flat(book: &Book) -> Vec<Row> {
+/// Flat design: rows for a control instance, which is a cluster member that also runs duties.
+pub fn control_flat(inputs: &Inputs) -> Vec<Row> {
     let duties = || {
-        Limit::Code(
-            book.code("crates/leases/src/acceptor.rs", "MAX_LEASES"),
+        Limit::Hard(
+            inputs.constant("crates/leases/src/acceptor.rs", "MAX_LEASES"),
             "vote::MAX_DUTIES",
         )
     };
@@ -421,102 +448,120 @@
             "duties voted on: one for the list",
             "all",
             Unit::Count,
-            Figure::of(1.0),
+            Figure::new(1.0),
         )
         .limit(duties())
-        .by(VOTE),
+        .provided_by(ACCEPTOR),
         Row::new(
             "duties voted on, with a probe of each server",
             "all",
             Unit::Count,
-            book.given("servers") + 1.0,
+            inputs.parameter("servers") + 1.0,
         )
         .limit(duties())
-        .by(VOTE),
+        .provided_by(ACCEPTOR),
     ]
 }
 
-/// Following: one control instance.
-pub fn control_follow(book: &Book) -> Vec<Row> {
-    let all = || book.given("balancers");
-    let nine = || book.given("control-machines");
-    let row = |what: &str, when, unit, comes| Row::new(what, when, unit, comes).by(SOURCE);
-    let one_core = || Limit::Own(Figure::of(1.0), "this project's own");
-    let most = || Limit::Code(book.code(SEAL_FILE, "MAX_SENDERS"), "source::MAX_FOLLOWERS");
+/// Follow design: rows for one control instance.
+pub fn control_follow(inputs: &Inputs) -> Vec<Row> {
+    let balancers = || inputs.parameter("balancers");
+    let control_instances = || inputs.parameter("control-machines");
+    let row = |what: &str, scenario, unit, estimate| {
+        Row::new(what, scenario, unit, estimate).provided_by(SOURCE)
+    };
+    let one_core = || Limit::Internal(Figure::new(1.0), "this project's own");
+    let max_followers = || {
+        Limit::Hard(
+            inputs.constant(AUTHENTICATION_FILE, "MAX_SENDERS"),
+            "source::MAX_FOLLOWERS",
+        )
+    };
     let mut rows = Vec::new();
-    // With fewer of the nine each bears as much as in a fleet that is so many times as large.
-    let situations = [
-        ("mean", Figure::of(1.0)),
-        ("a control machine lost", nine() / (nine() - 1.0)),
-        ("two of the nine lost", nine() / (nine() - 2.0)),
-        ("all but one lost", nine() / 2.0),
+    // With fewer control instances each carries the load of a proportionally larger fleet.
+    let scenarios = [
+        ("mean", Figure::new(1.0)),
+        (
+            "a control machine lost",
+            control_instances() / (control_instances() - 1.0),
+        ),
+        (
+            "two of the nine lost",
+            control_instances() / (control_instances() - 2.0),
+        ),
+        ("all but one lost", control_instances() / 2.0),
     ];
-    for (when, times) in situations {
-        let followers = all() * times.clone() * 2.0 / nine();
-        rows.push(row("followers", when, Unit::Count, followers).limit(most()));
-        let size = || all() * times.clone();
+    for (scenario, times) in scenarios {
+        let followers = balancers() * times.clone() * 2.0 / control_instances();
+        rows.push(row("followers", scenario, Unit::Count, followers).limit(max_followers()));
+        let size = || balancers() * times.clone();
         rows.push(row(
             "datagrams, both ways, the busiest",
-            when,
+            scenario,
             Unit::Rate,
-            book.at("control-datagrams", Unit::Rate, size()),
+            inputs.value_at("control-datagrams", Unit::Rate, size()),
         ));
         rows.push(row(
             "bytes, both ways, the busiest",
-            when,
+            scenario,
             Unit::ByteRate,
-            book.at("control-bytes", Unit::ByteRate, size()),
+            inputs.value_at("control-bytes", Unit::ByteRate, size()),
         ));
         rows.push(
             row(
                 "processor, the busiest",
-                when,
+                scenario,
                 Unit::Cores,
-                book.at("control-cpu", Unit::Cores, size()),
+                inputs.value_at("control-cpu", Unit::Cores, size()),
             )
             .limit(one_core()),
         );
         rows.push(row(
             "memory, 630 entries",
-            when,
+            scenario,
             Unit::Bytes,
-            book.at("control-memory", Unit::Bytes, size()),
+            inputs.value_at("control-memory", Unit::Bytes, size()),
         ));
     }
-    // It holds what a balancer holds, and its node's board holds it once more.
-    let a_row = book.slope("follow-memory-entries", Unit::Bytes, &entries(book));
+    // A control instance holds each entry twice: in its source, like a balancer, and in its node's gossip store.
+    let per_entry = inputs.slope("follow-memory-entries", Unit::Bytes, &entries(inputs));
     rows.push(row(
         "memory, all entries, on the board too",
         "mean",
         Unit::Bytes,
-        book.at("control-memory", Unit::Bytes, all()) + (entries(book) - 630.0) * a_row * 2.0,
+        inputs.value_at("control-memory", Unit::Bytes, balancers())
+            + (entries(inputs) - 630.0) * per_entry * 2.0,
     ));
-    let news = |changes: Figure| changes / 60.0 * book.given("entry-bytes") * all() * 2.0 / nine();
-    for (when, changes) in minutes(book) {
+    let change_bytes = |changes: Figure| {
+        changes / 60.0 * inputs.parameter("entry-bytes") * balancers() * 2.0 / control_instances()
+    };
+    for (scenario, changes) in change_scenarios(inputs) {
         rows.push(row(
             "bytes of changes, to all followers",
-            when,
+            scenario,
             Unit::ByteRate,
-            news(changes),
+            change_bytes(changes),
         ));
     }
     let budget = || {
-        let rows = book.code(SEAL_FILE, "MAX_DATAGRAM") - 50.0 - book.code(WIRE_FILE, "MAX_HEADER");
-        book.field(LIMITS_FILE, "datagrams_per_second") * rows
+        let rows = inputs.constant(AUTHENTICATION_FILE, "MAX_DATAGRAM")
+            - 50.0
+            - inputs.constant(MESSAGES_FILE, "MAX_HEADER");
+        inputs.struct_field(SOURCE_CONFIG_FILE, "datagrams_per_second") * rows
     };
-    let full = || entries(book) * book.given("entry-bytes");
+    let full = || entries(inputs) * inputs.parameter("entry-bytes");
     rows.push(
         row(
             "bytes of starts",
             "490 restarts, shared out over the day",
             Unit::ByteRate,
-            full() * book.given("restarts-a-day") / nine() / 86_400.0,
+            full() * inputs.parameter("restarts-a-day") / control_instances() / 86_400.0,
         )
-        .limit(Limit::Own(budget(), "its stated rate"))
-        .by(PACE),
+        .limit(Limit::Internal(budget(), "its stated rate"))
+        .provided_by(RATE_LIMITER),
     );
-    // A region has nine over six of them, so some have one alone: all of the region are its.
-    let region = all() / book.given("regions");
+    // Nine control instances over six regions leave some regions with one, which all balancers of the region follow.
+    let region = balancers() / inputs.parameter("regions");
     rows.push(
         row(
             "until a region's balancers are full from its one control instance, at the stated rate",
@@ -524,22 +569,22 @@
             Unit::Seconds,
             region * full() / budget(),
         )
-        .by(PACE),
+        .provided_by(RATE_LIMITER),
     );
     rows.push(
         row(
             "until all are full from one control instance",
             "all but one lost, all start at once",
             Unit::Seconds,
-            all() * full() / budget(),
+            balancers() * full() / budget(),
         )
-        .by(PACE),
+        .provided_by(RATE_LIMITER),
     );
-    // Whoever takes the duty `list` over tells every server anew. Where the log of arrivals holds that, each of a
-    // follower's two sources tells it; else the follower compares with one of them.
-    let kept = book.field(LIMITS_FILE, "change_log_capacity");
-    let copies = match (book.given("servers").value(), kept.value()) {
-        (Some(servers), Some(kept)) if servers <= kept => 2.0,
+    // A new holder of the duty `list` publishes every server again. If the change log can hold all of these entries, both
+    // sources send them to a follower; otherwise the follower compares with one source and receives them once.
+    let change_log = inputs.struct_field(SOURCE_CONFIG_FILE, "change_log_capacity");
+    let copies = match (inputs.parameter("servers").value(), change_log.value()) {
+        (Some(servers), Some(change_log)) if servers <= change_log => 2.0,
         _ => 1.0,
     };
     rows.push(
@@ -547,16 +592,16 @@
             "until all have what a new holder of the duty `list` tells anew, and what changes behind it",
             "the holder's machine lost, or restarted",
             Unit::Seconds,
-            all() * copies / nine() * book.given("servers") * book.given("entry-bytes") / budget(),
+            balancers() * copies / control_instances() * inputs.parameter("servers") * inputs.parameter("entry-bytes") / budget(),
         )
-        .limit(in_force(book))
-        .by(Mechanism::Is("src/cluster/endpoint_list/publisher.rs", "async fn lead_term"))
-        .answer("a new holder that tells only what differs: missing"),
+        .limit(propagation(inputs))
+        .provided_by(Mechanism::Implemented("src/cluster/endpoint_list/publisher.rs", "async fn lead_term"))
+        .remedy("a new holder that tells only what differs: missing"),
     );
-    let asks = all();
+    let requests = balancers();
     rows.push(
-        row("asks a second", "all but one lost", Unit::Rate, asks).limit(Limit::Code(
-            book.field(LIMITS_FILE, "requests_per_second"),
+        row("asks a second", "all but one lost", Unit::Rate, requests).limit(Limit::Hard(
+            inputs.struct_field(SOURCE_CONFIG_FILE, "requests_per_second"),
             "Limits::requests_per_second",
         )),
     );
--- a/crates/fleet-rig/src/capacity/edges.rs
+++ b/crates/fleet-rig/src/capacity/dependencies.rs
@@ -1,46 +1,51 @@
-//! What the fleet asks of others (discovery, the stream servers, an operator's tool), and the troubles it all has to
-//! bear.
+//! Load of the fleet on its dependencies (discovery, stream servers, operator tools), and the failures and maintenance
+//! it has to handle.
 
-use super::book::Book;
-use super::data::{arrivals, connections};
+use super::data_path::{arrivals, connections};
 use super::figure::{Figure, Unit};
+use super::inputs::Inputs;
 use super::row::{Limit, Mechanism, Row};
 use std::fmt::Write;
 
-const WATCH: Mechanism = Mechanism::Is("src/discovery/watcher.rs", "async fn watch");
-const ONE_WATCH: Mechanism = Mechanism::Is(
+const WATCH: Mechanism = Mechanism::Implemented("src/discovery/watcher.rs", "async fn watch");
+const SHARED_WATCH: Mechanism = Mechanism::Implemented(
     "src/cluster/endpoint_list.rs",
     "pub struct SharedEndpointList",
 );
-const OUTS: Mechanism = Mechanism::Is(
+const MAINTENANCE: Mechanism = Mechanism::Implemented(
     "crates/admin/src/maintenance.rs",
     "pub struct MaintenanceSet",
 );
-const OUTS_SHARED: &str = "what is out as entries of the distribution: missing";
+const SHARED_MAINTENANCE: &str = "what is out as entries of the distribution: missing";
 
-/// Calls a second at discovery: what waits is renewed so often, and each change ends the wait of all.
-fn calls(book: &Book, watchers: Figure, changes: Figure) -> Figure {
-    let wait = book.code("src/discovery/watcher.rs", "LONG_POLL_WAIT");
+/// Calls per second at discovery: each long poll is renewed after its wait, and each change ends the polls of all
+/// watchers.
+fn calls(inputs: &Inputs, watchers: Figure, changes: Figure) -> Figure {
+    let wait = inputs.constant("src/discovery/watcher.rs", "LONG_POLL_WAIT");
     watchers.clone() / wait + watchers * changes
 }
 
-/// Discovery, as this program uses it.
-pub fn discovery(book: &Book) -> Vec<Row> {
-    let all = || book.given("balancers");
-    let mean = book.given("changes-a-day") / 86_400.0;
-    let busiest = book.given("changes-busiest-minute") / 60.0;
-    let whole = book.at("list, whole, bytes", Unit::Bytes, book.given("servers"));
-    let control = || book.given("control-machines");
+/// Rows for the load on discovery.
+pub fn discovery(inputs: &Inputs) -> Vec<Row> {
+    let all = || inputs.parameter("balancers");
+    let mean = inputs.parameter("changes-a-day") / 86_400.0;
+    let busiest = inputs.parameter("changes-busiest-minute") / 60.0;
+    let whole = inputs.value_at(
+        "list, whole, bytes",
+        Unit::Bytes,
+        inputs.parameter("servers"),
+    );
+    let control = || inputs.parameter("control-machines");
     let mut rows = Vec::new();
-    for (when, changes) in [("mean", mean.clone()), ("busiest minute", busiest.clone())] {
+    for (scenario, changes) in [("mean", mean.clone()), ("busiest minute", busiest.clone())] {
         rows.push(
             Row::new(
                 "calls, each balancer watching itself",
-                when,
+                scenario,
                 Unit::Rate,
-                calls(book, all(), changes),
+                calls(inputs, all(), changes),
             )
-            .by(WATCH),
+            .provided_by(WATCH),
         );
     }
     rows.push(
@@ -50,7 +55,7 @@
             Unit::Bytes,
             all() * whole.clone(),
         )
-        .by(WATCH),
+        .provided_by(WATCH),
     );
     rows.push(
         Row::new(
@@ -59,22 +64,22 @@
             Unit::Bytes,
             whole,
         )
-        .limit(Limit::Code(
-            book.code("src/discovery/http.rs", "MAX_BODY"),
+        .limit(Limit::Hard(
+            inputs.constant("src/discovery/http.rs", "MAX_BODY"),
             "MAX_BODY",
         ))
-        .by(WATCH)
-        .answer("a whole list in pieces: missing here and at discovery"),
+        .provided_by(WATCH)
+        .remedy("a whole list in pieces: missing here and at discovery"),
     );
-    for (when, changes) in [("mean", mean), ("busiest minute", busiest)] {
+    for (scenario, changes) in [("mean", mean), ("busiest minute", busiest)] {
         rows.push(
             Row::new(
                 "calls, one watch for all",
-                when,
+                scenario,
                 Unit::Rate,
-                calls(book, Figure::of(1.0), changes),
+                calls(inputs, Figure::new(1.0), changes),
             )
-            .by(ONE_WATCH),
+            .provided_by(SHARED_WATCH),
         );
     }
     rows.push(
@@ -82,138 +87,146 @@
             "calls, one watch for all, none of the control instances hearing it",
             "region cut",
             Unit::Rate,
-            calls(book, control(), book.given("changes-a-day") / 86_400.0),
+            calls(
+                inputs,
+                control(),
+                inputs.parameter("changes-a-day") / 86_400.0,
+            ),
         )
-        .by(ONE_WATCH),
+        .provided_by(SHARED_WATCH),
     );
     rows
 }
 
-/// A stream server, as seen from here.
-pub fn server(book: &Book) -> Vec<Row> {
-    let servers = || book.given("servers");
-    let held = book.given("connections") / servers();
-    let room = held.clone() / book.given("server-fill");
-    let topic = book.given("largest-topic");
-    let place = Mechanism::Is("src/balancer/selection.rs", "fn choose_server");
-    let budget = Mechanism::Is("src/balancer/slow_start.rs", "fn available_tokens");
-    let cold = book.code("src/balancer/slow_start.rs", "WARM_UP_BUDGET_SHARE") * room.clone()
-        / book.given("warm-up");
+/// Rows for one stream server.
+pub fn server(inputs: &Inputs) -> Vec<Row> {
+    let servers = || inputs.parameter("servers");
+    let connections_per_server = inputs.parameter("connections") / servers();
+    let capacity = connections_per_server.clone() / inputs.parameter("server-fill");
+    let topic = inputs.parameter("largest-topic");
+    let placement = Mechanism::Implemented("src/balancer/selection.rs", "fn choose_server");
+    let budget = Mechanism::Implemented("src/balancer/slow_start.rs", "fn available_tokens");
+    let cold = inputs.constant("src/balancer/slow_start.rs", "WARM_UP_BUDGET_SHARE")
+        * capacity.clone()
+        / inputs.parameter("warm-up");
     vec![
-        Row::new("connections that stand", "mean", Unit::Count, held.clone())
-            .limit(Limit::Own(room.clone(), "assumed"))
-            .by(place),
+        Row::new("connections that stand", "mean", Unit::Count, connections_per_server.clone())
+            .limit(Limit::Internal(capacity.clone(), "assumed"))
+            .provided_by(placement),
         Row::new(
             "connections that stand, a zone's servers lost",
             "zone",
             Unit::Count,
-            held.clone() * book.given("zones") / (book.given("zones") - 1.0),
+            connections_per_server.clone() * inputs.parameter("zones") / (inputs.parameter("zones") - 1.0),
         )
-        .limit(Limit::Own(room.clone(), "assumed"))
-        .by(place),
+        .limit(Limit::Internal(capacity.clone(), "assumed"))
+        .provided_by(placement),
         Row::new(
             "connections that stand, a region's servers lost",
             "region",
             Unit::Count,
-            held.clone() * book.given("regions") / (book.given("regions") - 1.0),
+            connections_per_server.clone() * inputs.parameter("regions") / (inputs.parameter("regions") - 1.0),
         )
-        .limit(Limit::Own(room.clone(), "assumed"))
-        .by(place),
+        .limit(Limit::Internal(capacity.clone(), "assumed"))
+        .provided_by(placement),
         Row::new(
             "deliveries",
             "mean",
             Unit::Rate,
-            book.given("deliveries") / servers(),
+            inputs.parameter("deliveries") / servers(),
         ),
         Row::new(
             "of one balancer's connections",
             "mean",
             Unit::Count,
-            connections(book) / servers(),
+            connections(inputs) / servers(),
         )
-        .by(place),
+        .provided_by(placement),
         Row::new(
             "new connections",
             "mean",
             Unit::Rate,
-            arrivals(book) * book.given("balancers") / servers(),
+            arrivals(inputs) * inputs.parameter("balancers") / servers(),
         )
-        .by(place),
+        .provided_by(placement),
         Row::new(
             "new connections that a cold one is sent, by all balancers",
             "restart",
             Unit::Rate,
             cold.clone(),
         )
-        .by(budget),
+        .provided_by(budget),
         Row::new(
             "of these by one balancer",
             "restart",
             Unit::Rate,
-            cold / book.given("balancers"),
+            cold / inputs.parameter("balancers"),
         )
-        .by(budget),
+        .provided_by(budget),
         Row::new(
             "topics larger than one server's room",
             "all",
             Unit::Count,
-            topics_over(book, &room),
+            topics_larger_than(inputs, &capacity),
         ),
         Row::new(
             "servers that the largest topic needs at least",
             "all",
             Unit::Count,
-            topic.clone() / room.clone(),
+            topic.clone() / capacity.clone(),
         ),
         Row::new(
             "listeners of the largest topic at one balancer",
             "all",
             Unit::Count,
-            topic.clone() / book.given("balancers"),
+            topic.clone() / inputs.parameter("balancers"),
         )
-        .by(place),
+        .provided_by(placement),
         Row::new(
             "servers that one balancer spreads these over, 1,000 known, no loads or delays told",
             "all",
             Unit::Count,
-            book.at(
+            inputs.value_at(
                 "group, 1000 servers",
                 Unit::Count,
-                topic.clone() / book.given("balancers"),
+                topic.clone() / inputs.parameter("balancers"),
             ),
         )
-        .by(place),
+        .provided_by(placement),
         Row::new(
             "connections of the largest topic at each server that holds some, no loads or delays told",
             "all",
             Unit::Count,
             topic.clone()
-                / book.at(
+                / inputs.value_at(
                     "group, 1000 servers",
                     Unit::Count,
-                    topic / book.given("balancers"),
+                    topic / inputs.parameter("balancers"),
                 ),
         )
-        .limit(Limit::Own(room.clone(), "assumed"))
-        .by(Mechanism::Is("src/runtime/latency_tracker.rs", "pub struct LatencyTracker"))
-        .answer("servers that tell loads or delays (docs/QUESTIONS.md); without them: missing"),
+        .limit(Limit::Internal(capacity.clone(), "assumed"))
+        .provided_by(Mechanism::Implemented("src/runtime/latency_tracker.rs", "pub struct LatencyTracker"))
+        .remedy("servers that tell loads or delays (docs/QUESTIONS.md); without them: missing"),
     ]
 }
 
-/// How many topics have more listeners than one server's room, where sizes fall as a power of the rank from the
-/// largest on and add up to all connections.
-fn topics_over(book: &Book, room: &Figure) -> Figure {
-    let topics = book.given("shards") / book.given("shards-a-topic");
-    let (all, largest) = (book.given("connections"), book.given("largest-topic"));
+/// Number of topics with more listeners than one server's capacity. Topic sizes are modeled as a power law of the rank
+/// that starts at the largest topic and adds up to all connections.
+fn topics_larger_than(inputs: &Inputs, capacity: &Figure) -> Figure {
+    let topics = inputs.parameter("shards") / inputs.parameter("shards-a-topic");
+    let (all, largest) = (
+        inputs.parameter("connections"),
+        inputs.parameter("largest-topic"),
+    );
     let sum = all.clone() / largest.clone();
     let (Some(n), Some(sum), Some(over)) = (
         topics.value(),
         sum.value(),
-        (largest.clone() / room.clone()).value(),
+        (largest.clone() / capacity.clone()).value(),
     ) else {
-        return topics + sum + room.clone();
+        return topics + sum + capacity.clone();
     };
-    let adds_up = |power: f64| {
+    let total_size = |power: f64| {
         (1..=n as u64)
             .map(|rank| (rank as f64).powf(-power))
             .sum::<f64>()
@@ -221,19 +234,20 @@
     let (mut low, mut high) = (0.0, 8.0);
     for _ in 0..40 {
         let middle = (low + high) / 2.0;
-        match adds_up(middle) > sum {
+        match total_size(middle) > sum {
             true => low = middle,
             false => high = middle,
         }
     }
     let ranks = over.max(1.0).powf(1.0 / high).min(n).floor();
-    let rest = (topics + all + largest + room.clone()) * 0.0;
-    rest + ranks
+    // Adds nothing to the value, but keeps the sources of the inputs.
+    let provenance = (topics + all + largest + capacity.clone()) * 0.0;
+    provenance + ranks
 }
 
-/// What has to be shared at all, and what it would take if it were.
-pub fn shared(book: &Book) -> String {
-    let of = |name: &str| book.given(name);
+/// Table of the kinds of state: which have to be shared between balancers, and their size if shared.
+pub fn shared(inputs: &Inputs) -> String {
+    let of = |name: &str| inputs.parameter(name);
     let removed = of("restarts-a-day") * of("replaced-share") * of("removed-kept-days");
     let rows: [(&str, Figure, &str, &str); 9] = [
         (
@@ -294,32 +308,32 @@
     let mut text = String::from(
         "| state | how many | shared | why | bytes, if it were, at each balancer |\n| --- | --- | --- | --- | --- |\n",
     );
-    for (what, many, shared, why) in rows {
-        let bytes = many.clone() * book.given("entry-bytes");
-        let say =
-            |figure: &Figure, unit: Unit| figure.value().map_or("-".to_owned(), |v| unit.show(v));
+    for (name, count, shared, reason) in rows {
+        let bytes = count.clone() * inputs.parameter("entry-bytes");
+        let format =
+            |figure: &Figure, unit: Unit| figure.value().map_or("-".to_owned(), |v| unit.format(v));
         let _ = writeln!(
             text,
-            "| {what} | {} | {shared} | {why} | {} |",
-            say(&many, Unit::Count),
-            say(&bytes, Unit::Bytes)
+            "| {name} | {} | {shared} | {reason} | {} |",
+            format(&count, Unit::Count),
+            format(&bytes, Unit::Bytes)
         );
     }
     text
 }
 
-/// An operator's tool.
-pub fn operator(book: &Book) -> Vec<Row> {
-    let balancers = || book.given("balancers");
-    let servers = || book.given("servers");
+/// Rows for operator tools.
+pub fn operator(inputs: &Inputs) -> Vec<Row> {
+    let balancers = || inputs.parameter("balancers");
+    let servers = || inputs.parameter("servers");
     let out = |share: Figure| servers() / share;
     let bound = || {
-        Limit::Code(
-            book.code("crates/admin/src/maintenance.rs", "MAX_ENTRIES"),
+        Limit::Hard(
+            inputs.constant("crates/admin/src/maintenance.rs", "MAX_ENTRIES"),
             "maintenance::MAX_ENTRIES",
         )
     };
-    let members = Mechanism::Is("crates/cluster/src/control.rs", "MAX_CONNECTIONS");
+    let members = Mechanism::Implemented("crates/cluster/src/control.rs", "MAX_CONNECTIONS");
     vec![
         Row::new(
             "calls to take one server out everywhere",
@@ -327,85 +341,85 @@
             Unit::Count,
             balancers(),
         )
-        .by(Mechanism::Missing("one call for all balancers"))
-        .answer(OUTS_SHARED),
+        .provided_by(Mechanism::Missing("one call for all balancers"))
+        .remedy(SHARED_MAINTENANCE),
         Row::new(
             "calls to take out and put back, a day",
             "490 restarts, all of servers",
             Unit::Count,
-            book.given("restarts-a-day") * balancers() * 2.0,
+            inputs.parameter("restarts-a-day") * balancers() * 2.0,
         )
-        .by(OUTS)
-        .answer(OUTS_SHARED),
+        .provided_by(MAINTENANCE)
+        .remedy(SHARED_MAINTENANCE),
         Row::new(
             "servers out at once",
             "rack",
             Unit::Count,
-            book.given("rack-machines"),
+            inputs.parameter("rack-machines"),
         )
         .limit(bound())
-        .by(OUTS),
+        .provided_by(MAINTENANCE),
         Row::new(
             "servers out at once",
             "zone",
             Unit::Count,
-            out(book.given("zones")),
+            out(inputs.parameter("zones")),
         )
         .limit(bound())
-        .by(OUTS),
+        .provided_by(MAINTENANCE),
         Row::new(
             "servers out at once",
             "region",
             Unit::Count,
-            out(book.given("regions")),
+            out(inputs.parameter("regions")),
         )
         .limit(bound())
-        .by(OUTS),
+        .provided_by(MAINTENANCE),
         Row::new(
             "rows of `members`, one gossip of all",
             "each",
             Unit::Count,
             balancers(),
         )
-        .by(members),
+        .provided_by(members),
         Row::new(
             "rows of `members`, the control instances alone",
             "each",
             Unit::Count,
-            book.given("control-machines"),
+            inputs.parameter("control-machines"),
         )
-        .by(members),
+        .provided_by(members),
         Row::new(
             "who lags, and since when a change is in force",
             "each",
             Unit::Count,
             balancers(),
         )
-        .by(Mechanism::Is(
+        .provided_by(Mechanism::Implemented(
             "crates/distribution/src/source/status.rs",
             "pub fn status",
         ))
-        .answer(super::control::DISTRIBUTION),
+        .remedy(super::control::DISTRIBUTION),
     ]
 }
 
-/// What each trouble comes to.
-pub fn troubles(book: &Book) -> String {
-    let g = |name: &str| book.given(name);
-    let one = Figure::of(1.0);
-    let none = Figure::of(0.0);
-    let day = Figure::of(86_400.0);
-    let held = connections(book);
+/// Table of failures and maintenance events, with their frequency and extent.
+pub fn failure_scenarios(inputs: &Inputs) -> String {
+    let g = |name: &str| inputs.parameter(name);
+    let one = Figure::new(1.0);
+    let none = Figure::new(0.0);
+    let day = Figure::new(86_400.0);
+    let connections_per_server = connections(inputs);
     let at_server = g("connections") / g("servers");
     let balancers = |of: Figure| g("balancers") / of;
     let rows: Vec<(&str, Figure, Figure, Figure, Figure, Figure)> = vec![
-        // trouble, times a year, balancers, servers, connections that come again, changes
+        // Event, times per year, balancers, servers, connections that reconnect, configuration changes.
         (
             "a balancer's machine",
             g("failures-a-day") * 365.0,
             one.clone(),
             none.clone(),
-            held.clone(),
+            connections_per_server.clone(),
             none.clone(),
         ),
         (
@@ -418,15 +432,15 @@
         ),
         (
             "a rack of balancers",
-            Figure::of(365.0) / g("rack-every-days"),
+            Figure::new(365.0) / g("rack-every-days"),
             g("rack-machines"),
             none.clone(),
-            held.clone() * g("rack-machines"),
+            connections_per_server.clone() * g("rack-machines"),
             none.clone(),
         ),
         (
             "a rack of stream servers",
-            Figure::of(365.0) / g("rack-every-days"),
+            Figure::new(365.0) / g("rack-every-days"),
             none.clone(),
             g("rack-machines"),
             at_server.clone() * g("rack-machines"),
@@ -434,11 +448,11 @@
         ),
         (
             "a zone",
-            Figure::of(365.0) / g("zone-every-days"),
+            Figure::new(365.0) / g("zone-every-days"),
             balancers(g("zones")),
             g("servers") / g("zones"),
-            // Those at its balancers, and those of other balancers at its servers.
-            g("connections") / g("zones") * (Figure::of(2.0) - Figure::of(1.0) / g("zones")),
+            // Connections at the zone's balancers, and those of other balancers at the zone's servers.
+            g("connections") / g("zones") * (Figure::new(2.0) - Figure::new(1.0) / g("zones")),
             g("servers") / g("zones") * g("changes-a-server"),
         ),
         (
@@ -451,10 +465,10 @@
         ),
         (
             "490 restarts, a day",
-            Figure::of(365.0),
+            Figure::new(365.0),
             g("restarts-a-day"),
             none.clone(),
-            held.clone() * g("restarts-a-day"),
+            connections_per_server.clone() * g("restarts-a-day"),
             none.clone(),
         ),
         (
@@ -470,18 +484,18 @@
         "| trouble | times a year | balancers | stream servers | connections that come again, none handed over | changes of configuration |\n| --- | --- | --- | --- | --- | --- |\n",
     );
     for (name, times, balancers, servers, connections, changes) in rows {
-        let say = |f: Figure| {
+        let format = |f: Figure| {
             f.value()
-                .map_or("not measured".to_owned(), |v| Unit::Count.show(v))
+                .map_or("not measured".to_owned(), |v| Unit::Count.format(v))
         };
         let _ = writeln!(
             text,
             "| {name} | {} | {} | {} | {} | {} |",
-            say(times),
-            say(balancers),
-            say(servers),
-            say(connections),
-            say(changes)
+            format(times),
+            format(balancers),
+            format(servers),
+            format(connections),
+            format(changes)
         );
     }
     text
--- a/crates/fleet-rig/src/capacity/figure.rs
+++ b/crates/fleet-rig/src/capacity/figure.rs
@@ -1,28 +1,28 @@
-//! A figure with what it rests on: arithmetic keeps the sources, and what lacks one of them has no value.
+//! A number together with its provenance: arithmetic merges the sources, and a result with a missing source has no value.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Add, Div, Mul, Sub};
 
-/// What a figure counts, in base units: bytes, seconds, cores.
+/// The unit of a figure. Values are in base units: bytes, seconds, cores.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unit {
-    /// Things.
+    /// A number of items.
     Count,
-    /// Things a second.
+    /// Items per second.
     Rate,
     /// Bytes.
     Bytes,
-    /// Bytes a second.
+    /// Bytes per second.
     ByteRate,
-    /// Seconds of processor time a second.
+    /// Seconds of CPU time per second.
     Cores,
     /// Seconds.
     Seconds,
 }
 
 impl Unit {
-    /// A unit as a series names it: what it counts, and how many base units it is.
-    pub fn read(name: &str) -> Option<(Self, f64)> {
+    /// Parses the unit name of a series; returns the unit and the factor to its base unit.
+    pub fn parse(name: &str) -> Option<(Self, f64)> {
         Some(match name {
             "B" | "bytes" => (Self::Bytes, 1.0),
             "kB" => (Self::Bytes, 1e3),
@@ -39,50 +39,54 @@
         })
     }
 
-    /// A value with its unit, to three digits.
-    pub fn show(self, value: f64) -> String {
+    /// Formats a value with its unit, to three significant digits.
+    pub fn format(self, value: f64) -> String {
         match self {
-            Self::Count => count(value),
-            Self::Rate => format!("{}/s", count(value)),
-            Self::Bytes => scaled(
+            Self::Count => format_count(value),
+            Self::Rate => format!("{}/s", format_count(value)),
+            Self::Bytes => format_scaled(
                 value,
                 &[(1e12, "TB"), (1e9, "GB"), (1e6, "MB"), (1e3, "kB")],
                 "B",
             ),
-            Self::ByteRate => format!("{}/s", Self::Bytes.show(value)),
+            Self::ByteRate => format!("{}/s", Self::Bytes.format(value)),
             Self::Cores if value == 1.0 => "1 core".to_owned(),
-            Self::Cores if value.abs() >= 1.0 => format!("{} cores", digits(value)),
-            Self::Cores => format!("{}% of a core", digits(value * 100.0)),
-            Self::Seconds if value.abs() >= 3600.0 => format!("{} h", digits(value / 3600.0)),
-            Self::Seconds if value.abs() >= 120.0 => format!("{} min", digits(value / 60.0)),
-            Self::Seconds if value.abs() >= 1.0 || value == 0.0 => format!("{} s", digits(value)),
-            Self::Seconds => scaled(value * 1e6, &[(1e3, "ms")], "us"),
+            Self::Cores if value.abs() >= 1.0 => format!("{} cores", format_number(value)),
+            Self::Cores => format!("{}% of a core", format_number(value * 100.0)),
+            Self::Seconds if value.abs() >= 3600.0 => {
+                format!("{} h", format_number(value / 3600.0))
+            }
+            Self::Seconds if value.abs() >= 120.0 => format!("{} min", format_number(value / 60.0)),
+            Self::Seconds if value.abs() >= 1.0 || value == 0.0 => {
+                format!("{} s", format_number(value))
+            }
+            Self::Seconds => format_scaled(value * 1e6, &[(1e3, "ms")], "us"),
         }
     }
 }
 
-fn scaled(value: f64, units: &[(f64, &str)], least: &str) -> String {
+fn format_scaled(value: f64, units: &[(f64, &str)], base_unit: &str) -> String {
     let unit = units.iter().find(|unit| value.abs() >= unit.0);
-    let (by, name) = unit.copied().unwrap_or((1.0, least));
-    format!("{} {name}", digits(value / by))
+    let (factor, name) = unit.copied().unwrap_or((1.0, base_unit));
+    format!("{} {name}", format_number(value / factor))
 }
 
-fn count(value: f64) -> String {
+fn format_count(value: f64) -> String {
     match value.abs() >= 1e6 {
-        true => format!("{} million", digits(value / 1e6)),
-        false => digits(value),
+        true => format!("{} million", format_number(value / 1e6)),
+        false => format_number(value),
     }
 }
 
-/// Three digits at least, all before the point, and commas between thousands.
-pub fn digits(value: f64) -> String {
+/// Formats a number with three significant digits, all integer digits, and commas between thousands.
+pub fn format_number(value: f64) -> String {
     if value == 0.0 {
         return "0".to_owned();
     }
-    let before = value.abs().log10().floor() as i32 + 1;
-    let after = (3 - before).clamp(0, 9) as usize;
-    let text = format!("{value:.after$}");
-    if after > 0 {
+    let integer_digits = value.abs().log10().floor() as i32 + 1;
+    let decimals = (3 - integer_digits).clamp(0, 9) as usize;
+    let text = format!("{value:.decimals$}");
+    if decimals > 0 {
         let text = text.trim_end_matches('0').trim_end_matches('.');
         return text.to_owned();
     }
@@ -100,72 +104,72 @@
     sign.to_owned() + &out
 }
 
-/// A figure: no value where something that it rests on is not measured, or not there.
+/// A number with its provenance. It has no value if one of its sources is not measured or does not exist.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Figure {
     value: f64,
-    /// What is lacking.
-    pub lacks: BTreeSet<String>,
-    /// The series that it rests on, each with what the page says of it.
+    /// Sources that are missing.
+    pub missing: BTreeSet<String>,
+    /// Measured series the figure is derived from, each with its description on the page.
     pub series: BTreeMap<String, String>,
-    /// The assumptions that it rests on.
-    pub assumed: BTreeSet<String>,
+    /// Assumptions the figure is derived from.
+    pub assumptions: BTreeSet<String>,
 }
 
 impl Figure {
-    /// A number of arithmetic alone.
-    pub fn of(value: f64) -> Self {
+    /// A plain number without sources.
+    pub fn new(value: f64) -> Self {
         Self {
             value,
             ..Self::default()
         }
     }
 
-    /// No value, for want of this.
-    pub fn lacking(what: impl Into<String>) -> Self {
+    /// A figure without a value because `source` is missing.
+    pub fn missing(source: impl Into<String>) -> Self {
         Self {
-            lacks: [what.into()].into(),
+            missing: [source.into()].into(),
             ..Self::default()
         }
     }
 
-    /// Rests on this, of which the page says so.
-    pub fn resting_on(mut self, name: &str, said: String) -> Self {
-        self.series.insert(name.to_owned(), said);
+    /// Adds the source `name`, with its description on the page.
+    pub fn derived_from(mut self, name: &str, description: String) -> Self {
+        self.series.insert(name.to_owned(), description);
         self
     }
 
-    /// The value; `None` where something is lacking.
+    /// The value; `None` if a source is missing.
     pub fn value(&self) -> Option<f64> {
-        self.lacks.is_empty().then_some(self.value)
+        self.missing.is_empty().then_some(self.value)
     }
 
-    fn with(mut self, other: Self, of: fn(f64, f64) -> f64) -> Self {
-        self.value = of(self.value, other.value);
-        self.lacks.extend(other.lacks);
+    fn combine(mut self, other: Self, operation: fn(f64, f64) -> f64) -> Self {
+        self.value = operation(self.value, other.value);
+        self.missing.extend(other.missing);
         self.series.extend(other.series);
-        self.assumed.extend(other.assumed);
+        self.assumptions.extend(other.assumptions);
         self
     }
 
-    /// The greater of two.
+    /// The greater of two figures, with the sources of both.
     pub fn max(self, other: Self) -> Self {
-        self.with(other, f64::max)
+        self.combine(other, f64::max)
     }
 }
 
 macro_rules! arithmetic {
-    ($($trait:ident $method:ident $of:expr;)*) => {$(
+    ($($trait:ident $method:ident $operation:expr;)*) => {$(
         impl $trait for Figure {
             type Output = Self;
             fn $method(self, other: Self) -> Self {
-                self.with(other, $of)
+                self.combine(other, $operation)
             }
         }
         impl $trait<f64> for Figure {
             type Output = Self;
             fn $method(self, other: f64) -> Self {
-                self.with(Self::of(other), $of)
+                self.combine(Self::new(other), $operation)
             }
         }
     )*};
--- a/crates/fleet-rig/src/capacity/mod.rs
+++ b/crates/fleet-rig/src/capacity/mod.rs
@@ -1,127 +1,139 @@
-//! What the size of two years asks of each role, worked out from measured slopes, the letter's figures and named
-//! assumptions, and written between marks in docs/CAPACITY.md. Start reading at [`tables`].
+//! Capacity estimates for each role at the planned fleet size, derived from measured slopes, the customer's
+//! requirements and named assumptions, and written between markers in docs/CAPACITY.md. [`tables`] is the entry point.
 
-pub mod book;
 pub mod control;
-pub mod data;
-pub mod edges;
+pub mod data_path;
+pub mod dependencies;
 pub mod figure;
+pub mod inputs;
 pub mod rank;
 pub mod row;
 
-pub use book::{Assumptions, Book, Given};
+pub use inputs::{Inputs, Parameter, Parameters};
 
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// The page, under the workspace's folder.
+/// Path of the generated page, relative to the workspace root.
 pub const PAGE: &str = "docs/CAPACITY.md";
-/// The questions, some of whose headings the assumptions name.
+/// Path of the page of open questions; each assumption names one of its headings.
 pub const QUESTIONS: &str = "docs/QUESTIONS.md";
 
-/// All tables by name; or everything that is wrong with the data.
-pub fn tables(book: &Book) -> Result<BTreeMap<&'static str, String>, Vec<String>> {
+/// All tables by name. Fails with every error found in the input data.
+pub fn tables(inputs: &Inputs) -> Result<BTreeMap<&'static str, String>, Vec<String>> {
     let groups = [
-        ("balancer-flat", control::balancer_flat(book)),
-        ("balancer-follow", control::balancer_follow(book)),
-        ("control-flat", control::control_flat(book)),
-        ("control-follow", control::control_follow(book)),
-        ("discovery", edges::discovery(book)),
-        ("server", edges::server(book)),
-        ("operator", edges::operator(book)),
-        ("data-path", data::rows(book)),
+        ("balancer-flat", control::balancer_flat(inputs)),
+        ("balancer-follow", control::balancer_follow(inputs)),
+        ("control-flat", control::control_flat(inputs)),
+        ("control-follow", control::control_follow(inputs)),
+        ("discovery", dependencies::discovery(inputs)),
+        ("server", dependencies::server(inputs)),
+        ("operator", dependencies::operator(inputs)),
+        ("data-path", data_path::rows(inputs)),
     ];
     let mut tables = BTreeMap::from([
-        ("letter", data::given_table(&book.given.letter, false)),
-        ("assumptions", data::given_table(&book.given.assumed, true)),
-        ("shared", edges::shared(book)),
-        ("troubles", edges::troubles(book)),
-        ("series", data::series_table(book)),
-        ("ranking", rank::table(book, &groups, false)),
-        ("ranking-built", rank::table(book, &groups, true)),
-        ("left", rank::lacking(&groups)),
+        (
+            "letter",
+            data_path::parameter_table(&inputs.parameters.requirements, false),
+        ),
+        (
+            "assumptions",
+            data_path::parameter_table(&inputs.parameters.assumptions, true),
+        ),
+        ("shared", dependencies::shared(inputs)),
+        ("troubles", dependencies::failure_scenarios(inputs)),
+        ("series", data_path::series_table(inputs)),
+        ("ranking", rank::table(inputs, &groups, false)),
+        ("ranking-built", rank::table(inputs, &groups, true)),
+        ("left", rank::missing_measurements(&groups)),
     ]);
     tables.extend(
         groups
             .iter()
-            .map(|(name, rows)| (*name, row::table(book, rows))),
+            .map(|(name, rows)| (*name, row::table(inputs, rows))),
     );
-    let faults = book.faults();
-    match faults.is_empty() {
+    let errors = inputs.errors();
+    match errors.is_empty() {
         true => Ok(tables),
-        false => Err(faults),
+        false => Err(errors),
     }
 }
 
-fn marks(name: &str) -> (String, String) {
+fn markers(name: &str) -> (String, String) {
     (
         format!("<!-- capacity:{name} -->"),
         format!("<!-- /capacity:{name} -->"),
     )
 }
 
-/// The page with each table between its marks. A table without marks, or marks without a table, is wrong.
-pub fn fill(page: &str, tables: &BTreeMap<&'static str, String>) -> Result<String, String> {
+/// Replaces the text between each table's markers. Fails for a table without markers and for markers without a table.
+pub fn fill_page(page: &str, tables: &BTreeMap<&'static str, String>) -> Result<String, String> {
     let mut page = page.to_owned();
     for (name, table) in tables {
-        let (begin, end) = marks(name);
-        if page.matches(&begin).count() != 1 || page.matches(&end).count() != 1 {
+        let (start_marker, end_marker) = markers(name);
+        if page.matches(&start_marker).count() != 1 || page.matches(&end_marker).count() != 1 {
             return Err(format!(
-                "{PAGE} needs the marks {begin} and {end} once each"
+                "{PAGE} must contain the markers {start_marker} and {end_marker} exactly once each"
             ));
         }
-        let from = page.find(&begin).unwrap_or(0) + begin.len();
-        let to = page.find(&end).unwrap_or(0);
+        let from = page.find(&start_marker).unwrap_or(0) + start_marker.len();
+        let to = page.find(&end_marker).unwrap_or(0);
         if to < from {
-            return Err(format!("{PAGE}: {end} comes before {begin}"));
+            return Err(format!("{PAGE}: {end_marker} comes before {start_marker}"));
         }
         page.replace_range(from..to, &format!("\n\n{table}\n"));
     }
-    let known = page.matches("<!-- capacity:").count();
-    match known == tables.len() {
+    let marker_count = page.matches("<!-- capacity:").count();
+    match marker_count == tables.len() {
         true => Ok(page),
-        false => Err(format!("{PAGE} has marks that no table is for")),
+        false => Err(format!("{PAGE} has markers without a table")),
     }
 }
 
-/// Each assumption has to be asked under a heading of the page of questions.
-pub fn unasked(given: &Assumptions, questions: &str) -> Vec<String> {
+/// Checks that each assumption names a heading of the questions page; returns an error text for each one that does not.
+pub fn assumptions_without_question(parameters: &Parameters, questions: &str) -> Vec<String> {
     let headings: Vec<&str> = questions
         .lines()
         .filter_map(|line| line.strip_prefix("## "))
         .collect();
-    let asked = |given: &Given| {
-        given
-            .asked
+    let has_question = |parameter: &Parameter| {
+        parameter
+            .question
             .as_deref()
-            .is_some_and(|a| headings.contains(&a))
+            .is_some_and(|question| headings.contains(&question))
     };
-    let unasked = given.assumed.iter().filter(|(_, given)| !asked(given));
+    let unasked = parameters
+        .assumptions
+        .iter()
+        .filter(|(_, parameter)| !has_question(parameter));
     unasked
-        .map(|(name, _)| format!("the assumption '{name}' is not asked in {QUESTIONS}"))
+        .map(|(name, _)| format!("{QUESTIONS} has no question for the assumption '{name}'"))
         .collect()
 }
 
-/// Writes the page under a workspace's folder anew, or checks that it is what the data comes to.
+/// Regenerates the page under a workspace root. With `check`, fails if the page is out of date and writes nothing.
 pub fn run(root: &Path, check: bool) -> Result<(), String> {
     let read =
         |file: &str| std::fs::read_to_string(root.join(file)).map_err(|e| format!("{file}: {e}"));
-    let book = Book::read(root)?;
-    let tables = tables(&book).map_err(|faults| faults.join("\n"))?;
-    let unasked = unasked(&book.given, &read(QUESTIONS)?);
+    let inputs = Inputs::read(root)?;
+    let tables = tables(&inputs).map_err(|errors| errors.join("\n"))?;
+    let unasked = assumptions_without_question(&inputs.parameters, &read(QUESTIONS)?);
     if !unasked.is_empty() {
         return Err(unasked.join("\n"));
     }
     let page = read(PAGE)?;
-    let filled = fill(&page, &tables)?;
+    let filled = fill_page(&page, &tables)?;
     if filled == page {
         return Ok(());
     }
     if check {
-        let differs = page.lines().zip(filled.lines()).find(|(is, be)| is != be);
-        let (is, be) = differs.unwrap_or(("its end", "another"));
+        let difference = page
+            .lines()
+            .zip(filled.lines())
+            .find(|(actual, expected)| actual != expected);
+        let (actual, expected) = difference.unwrap_or(("its end", "another"));
         return Err(format!(
-            "{PAGE} differs from the data (cargo run --release -p spanspur-fleet-rig -- capacity writes it):\n- {is}\n+ {be}"
+            "{PAGE} differs from the data (cargo run --release -p spanspur-fleet-rig -- capacity writes it):\n- {actual}\n+ {expected}"
         ));
     }
     std::fs::write(root.join(PAGE), filled).map_err(|e| format!("{PAGE}: {e}"))
--- a/crates/fleet-rig/src/capacity/row.rs
+++ b/crates/fleet-rig/src/capacity/row.rs
@@ -1,202 +1,215 @@
-//! Rows of the page's tables.
+//! Rows of the capacity tables, and their formatting.
 
-use super::book::Book;
-use super::figure::{Figure, Unit, digits};
+use super::figure::{Figure, Unit, format_number};
+use super::inputs::Inputs;
 use std::collections::BTreeSet;
 use std::fmt::Write;
 
-/// What is said of something that did not come about at all, as far as it was waited for.
-pub const NOT: &str = "did not come about";
+/// Text for an event that never occurred within the observed time.
+pub const NEVER_REACHED: &str = "did not come about";
 
-/// What a figure may come to.
+/// The upper limit of a row's estimate.
 #[derive(Clone, Debug)]
 pub enum Limit {
-    /// The letter says it.
-    Letter(Figure),
-    /// This project's own, or an assumption: the words say whose.
-    Own(Figure, &'static str),
-    /// A bound in the code, by its name: past it, it cannot be done at all.
-    Code(Figure, &'static str),
-    /// Nobody has told one.
-    Untold,
+    /// Stated by the customer's requirements.
+    Requirement(Figure),
+    /// Set by this project or assumed; the text names the origin.
+    Internal(Figure, &'static str),
+    /// A constant in the code, by name. Beyond it the operation is impossible.
+    Hard(Figure, &'static str),
+    /// No limit is known.
+    Unspecified,
 }
 
 impl Limit {
     fn figure(&self) -> Option<&Figure> {
         match self {
-            Self::Letter(figure) | Self::Own(figure, _) | Self::Code(figure, _) => Some(figure),
-            Self::Untold => None,
+            Self::Requirement(figure) | Self::Internal(figure, _) | Self::Hard(figure, _) => {
+                Some(figure)
+            }
+            Self::Unspecified => None,
         }
     }
 }
 
-/// What carries a row.
+/// The mechanism that provides what a row describes.
 #[derive(Clone, Copy, Debug)]
 pub enum Mechanism {
-    /// A file, and what it has to name.
-    Is(&'static str, &'static str),
-    /// Nothing does, by what it would have to do.
+    /// Implemented: a source file, and a text the file must contain.
+    Implemented(&'static str, &'static str),
+    /// Not implemented; the text says what is needed.
     Missing(&'static str),
-    /// Nothing is needed beyond arithmetic, or it is not this program's.
-    Outside(&'static str),
+    /// Nothing to implement: plain arithmetic, or outside this program.
+    External(&'static str),
 }
 
-/// One row.
+/// One row of a table.
 #[derive(Clone, Debug)]
 pub struct Row {
-    /// What is counted.
-    pub what: String,
-    /// In which situations.
-    pub when: &'static str,
-    /// Its unit.
+    /// The quantity that is estimated.
+    pub quantity: String,
+    /// The scenario the estimate is for.
+    pub scenario: &'static str,
+    /// Unit of the estimate and the limit.
     pub unit: Unit,
-    /// What it may come to.
+    /// Upper limit of the estimate.
     pub limit: Limit,
-    /// What it comes to.
-    pub comes: Figure,
-    /// What carries it.
-    pub by: Mechanism,
-    /// What would put it right where it is over; empty where that is `by` itself.
-    pub answer: &'static str,
+    /// The estimate.
+    pub estimate: Figure,
+    /// The mechanism that provides it.
+    pub mechanism: Mechanism,
+    /// The remedy if the limit is exceeded; empty if it is `mechanism` itself.
+    pub remedy: &'static str,
 }
 
 impl Row {
-    /// A row without a limit.
-    pub fn new(what: impl Into<String>, when: &'static str, unit: Unit, comes: Figure) -> Self {
+    /// Creates a row without a limit, remedy or implemented mechanism.
+    pub fn new(
+        quantity: impl Into<String>,
+        scenario: &'static str,
+        unit: Unit,
+        estimate: Figure,
+    ) -> Self {
         Self {
-            what: what.into(),
-            when,
+            quantity: quantity.into(),
+            scenario,
             unit,
-            limit: Limit::Untold,
-            comes,
-            by: Mechanism::Outside("arithmetic"),
-            answer: "",
+            limit: Limit::Unspecified,
+            estimate,
+            mechanism: Mechanism::External("arithmetic"),
+            remedy: "",
         }
     }
 
-    /// Its limit.
+    /// Sets the limit.
     pub fn limit(mut self, limit: Limit) -> Self {
         self.limit = limit;
         self
     }
 
-    /// What carries it.
-    pub fn by(mut self, by: Mechanism) -> Self {
-        self.by = by;
+    /// Sets the mechanism.
+    pub fn provided_by(mut self, mechanism: Mechanism) -> Self {
+        self.mechanism = mechanism;
         self
     }
 
-    /// What would put it right where it is over.
-    pub fn answer(mut self, answer: &'static str) -> Self {
-        self.answer = answer;
+    /// Sets the remedy.
+    pub fn remedy(mut self, remedy: &'static str) -> Self {
+        self.remedy = remedy;
         self
     }
 
-    /// How many times the limit it comes to; `None` without both.
-    pub fn times(&self) -> Option<f64> {
+    /// The estimate divided by the limit; `None` unless both have a value.
+    pub fn limit_ratio(&self) -> Option<f64> {
         let limit = self.limit.figure()?.value()?;
-        Some(self.comes.value()? / limit)
+        Some(self.estimate.value()? / limit)
     }
 
-    /// Past a bound of the code.
-    pub fn cannot(&self) -> bool {
-        matches!(self.limit, Limit::Code(..)) && self.times().is_some_and(|times| times > 1.0)
+    /// Whether the estimate exceeds a limit in the code.
+    pub fn exceeds_hard_limit(&self) -> bool {
+        matches!(self.limit, Limit::Hard(..)) && self.limit_ratio().is_some_and(|ratio| ratio > 1.0)
     }
 
-    /// What is lacking for what it comes to, or for its limit.
-    pub fn lacks(&self) -> BTreeSet<String> {
-        let mut lacks = self.comes.lacks.clone();
-        lacks.extend(
+    /// Missing sources of the estimate and of the limit.
+    pub fn missing(&self) -> BTreeSet<String> {
+        let mut missing = self.estimate.missing.clone();
+        missing.extend(
             self.limit
                 .figure()
                 .into_iter()
-                .flat_map(|limit| limit.lacks.clone()),
+                .flat_map(|limit| limit.missing.clone()),
         );
-        lacks
+        missing
     }
 
-    /// What the row comes to, or what is lacking.
-    pub fn comes_to(&self) -> String {
-        show(self.unit, &self.comes)
+    /// The formatted estimate, or what is missing for it.
+    pub fn format_estimate(&self) -> String {
+        format_figure(self.unit, &self.estimate)
     }
 
-    fn limit_said(&self) -> String {
+    fn format_limit(&self) -> String {
         match &self.limit {
-            Limit::Letter(figure) => format!("{}, the letter", show(self.unit, figure)),
-            Limit::Own(figure, whose) => format!("{}, {whose}", show(self.unit, figure)),
-            Limit::Code(figure, name) => format!("{}, `{name}`", show(self.unit, figure)),
-            Limit::Untold => "none told".to_owned(),
+            Limit::Requirement(figure) => {
+                format!("{}, the letter", format_figure(self.unit, figure))
+            }
+            Limit::Internal(figure, source) => {
+                format!("{}, {source}", format_figure(self.unit, figure))
+            }
+            Limit::Hard(figure, name) => format!("{}, `{name}`", format_figure(self.unit, figure)),
+            Limit::Unspecified => "none told".to_owned(),
         }
     }
 
-    fn margin(&self) -> String {
-        match self.times() {
+    fn format_margin(&self) -> String {
+        match self.limit_ratio() {
             None => "-".to_owned(),
-            Some(times) if times.is_infinite() => format!("**{NOT}**"),
-            Some(times) if times > 1.0 && self.cannot() => {
-                format!("**cannot be done**, over x{}", digits(times))
+            Some(ratio) if ratio.is_infinite() => format!("**{NEVER_REACHED}**"),
+            Some(ratio) if ratio > 1.0 && self.exceeds_hard_limit() => {
+                format!("**cannot be done**, over x{}", format_number(ratio))
             }
-            Some(times) if times > 1.0 => format!("**over x{}**", digits(times)),
-            Some(times) if times <= 0.0 => "-".to_owned(),
-            Some(times) => format!("room x{}", digits(1.0 / times)),
+            Some(ratio) if ratio > 1.0 => format!("**over x{}**", format_number(ratio)),
+            Some(ratio) if ratio <= 0.0 => "-".to_owned(),
+            Some(ratio) => format!("room x{}", format_number(1.0 / ratio)),
         }
     }
 
-    fn from(&self) -> String {
-        let mut said: Vec<String> = self.comes.series.values().cloned().collect();
-        let mut assumed = self.comes.assumed.clone();
+    fn format_sources(&self) -> String {
+        let mut sources: Vec<String> = self.estimate.series.values().cloned().collect();
+        let mut assumed = self.estimate.assumptions.clone();
         if let Some(limit) = self.limit.figure() {
-            assumed.extend(limit.assumed.iter().cloned());
+            assumed.extend(limit.assumptions.iter().cloned());
         }
         if !assumed.is_empty() {
             let names: Vec<&str> = assumed.iter().map(String::as_str).collect();
-            said.push(format!("assumed: {}", names.join(", ")));
+            sources.push(format!("assumed: {}", names.join(", ")));
         }
-        match said.is_empty() {
-            true if self.comes.lacks.is_empty() => "the letter, the code".to_owned(),
+        match sources.is_empty() {
+            true if self.estimate.missing.is_empty() => "the letter, the code".to_owned(),
             true => "-".to_owned(),
-            false => said.join("; "),
+            false => sources.join("; "),
         }
     }
 
-    /// What carries it, as far as the workspace has it.
-    pub fn carried(&self, book: &Book) -> String {
-        match self.by {
-            Mechanism::Is(file, what) if book.has(file, what) => format!("`{file}`, `{what}`"),
-            Mechanism::Is(file, what) => format!("**missing** (`{file}`, `{what}`)"),
+    /// The formatted mechanism, marked as missing if the workspace does not contain it.
+    pub fn format_mechanism(&self, inputs: &Inputs) -> String {
+        match self.mechanism {
+            Mechanism::Implemented(file, what) if inputs.source_contains(file, what) => {
+                format!("`{file}`, `{what}`")
+            }
+            Mechanism::Implemented(file, what) => format!("**missing** (`{file}`, `{what}`)"),
             Mechanism::Missing(what) => format!("**missing**: {what}"),
-            Mechanism::Outside(what) => what.to_owned(),
+            Mechanism::External(what) => what.to_owned(),
         }
     }
 
-    /// Nothing carries it.
-    pub fn is_missing(&self, book: &Book) -> bool {
-        match self.by {
-            Mechanism::Is(file, what) => !book.has(file, what),
+    /// Whether the mechanism does not exist in the workspace.
+    pub fn lacks_mechanism(&self, inputs: &Inputs) -> bool {
+        match self.mechanism {
+            Mechanism::Implemented(file, what) => !inputs.source_contains(file, what),
             Mechanism::Missing(_) => true,
-            Mechanism::Outside(_) => false,
+            Mechanism::External(_) => false,
         }
     }
 }
 
-fn show(unit: Unit, figure: &Figure) -> String {
+fn format_figure(unit: Unit, figure: &Figure) -> String {
     match figure.value() {
-        Some(value) if value.is_infinite() => NOT.to_owned(),
-        Some(value) => unit.show(value),
+        Some(value) if value.is_infinite() => NEVER_REACHED.to_owned(),
+        Some(value) => unit.format(value),
         None => {
-            let lacks: Vec<String> = figure.lacks.iter().map(|l| format!("`{l}`")).collect();
-            // A bound is not measured but read from the code.
-            let what = match figure.lacks.iter().all(|l| l.contains(".rs: ")) {
+            let missing: Vec<String> = figure.missing.iter().map(|l| format!("`{l}`")).collect();
+            // Constants are read from source files rather than measured.
+            let what = match figure.missing.iter().all(|l| l.contains(".rs: ")) {
                 true => "not there",
                 false => "not measured",
             };
-            format!("{what} ({})", lacks.join(", "))
+            format!("{what} ({})", missing.join(", "))
         }
     }
 }
 
-/// The rows as a table.
-pub fn table(book: &Book, rows: &[Row]) -> String {
+/// Formats the rows as a Markdown table.
+pub fn table(inputs: &Inputs, rows: &[Row]) -> String {
     let mut text = String::from(
         "| what | when | limit | comes to | margin | from | carried by |\n| --- | --- | --- | --- | --- | --- | --- |\n",
     );
@@ -204,13 +217,13 @@
         let _ = writeln!(
             text,
             "| {} | {} | {} | {} | {} | {} | {} |",
-            row.what,
-            row.when,
-            row.limit_said(),
-            row.comes_to(),
-            row.margin(),
-            row.from(),
-            row.carried(book)
+            row.quantity,
+            row.scenario,
+            row.format_limit(),
+            row.format_estimate(),
+            row.format_margin(),
+            row.format_sources(),
+            row.format_mechanism(inputs)
         );
     }
     text
