--- a/crates/fleet-rig/src/capacity/inputs.rs
+++ b/crates/fleet-rig/src/capacity/inputs.rs
@@ -2,7 +2,7 @@
 //! the source code.
 
 use super::figure::{Figure, Unit, format_number};
-use crate::series::{FAR, MIN_SIZES, Measured, Series};
+use crate::series::{FAR_EXTRAPOLATION, MIN_SIZES, MeasuredSeries, Series};
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -44,7 +44,7 @@
     /// Workspace root; constants are read from its source files.
     pub root: PathBuf,
     /// Measured series.
-    pub measured: Measured,
+    pub measured: MeasuredSeries,
     /// Single simulation runs at full fleet size, from `docs/measured/distribution.json`.
     pub simulation_runs: serde_json::Value,
     /// Requirements and assumptions.
@@ -57,7 +57,7 @@
     /// Combines the given data with the source code under `root`.
     pub fn new(
         root: &Path,
-        measured: Measured,
+        measured: MeasuredSeries,
         simulation_runs: serde_json::Value,
         parameters: Parameters,
     ) -> Self {
@@ -74,7 +74,7 @@
     /// Reads the data files under a workspace root. The files of measurements may be absent; the file of assumptions must
     /// exist.
     pub fn read(root: &Path) -> Result<Self, String> {
-        let measured = Measured::read(&root.join("docs/measured/scale.json"))?;
+        let measured = MeasuredSeries::read(&root.join("docs/measured/scale.json"))?;
         let parameters = read(&root.join("docs/measured/assumptions.json"))?;
         let file = root.join("docs/measured/distribution.json");
         let simulation_runs = match file.exists() {
@@ -284,7 +284,7 @@
             let (low, high) = (points[i - 1], points[i]);
             Some(low.1 + (high.1 - low.1) * (size - low.0) / (high.0 - low.0))
         }
-        _ => series.at(size),
+        _ => series.predict(size),
     }
 }
 
@@ -303,20 +303,20 @@
         description += &format!(
             "; {} ± {} {} each",
             format_number(fit.slope),
-            format_number(fit.spread),
+            format_number(fit.slope_error),
             series.unit
         );
-        if fit.off > NONLINEARITY_THRESHOLD {
-            description += &format!("; bends, off by {:.0}%", fit.off * 100.0);
+        if fit.max_residual > NONLINEARITY_THRESHOLD {
+            description += &format!("; bends, off by {:.0}%", fit.max_residual * 100.0);
         }
     }
-    let stretch = series.stretch(size);
-    if stretch > FAR {
-        description += &format!("; **stretched x{}**", format_number(stretch));
-    } else if stretch > 1.0 {
-        description += &format!("; stretched x{}", format_number(stretch));
+    let extrapolation = series.extrapolation(size);
+    if extrapolation > FAR_EXTRAPOLATION {
+        description += &format!("; **stretched x{}**", format_number(extrapolation));
+    } else if extrapolation > 1.0 {
+        description += &format!("; stretched x{}", format_number(extrapolation));
     }
-    if sizes.len() < MIN_SIZES && stretch > 1.0 {
+    if sizes.len() < MIN_SIZES && extrapolation > 1.0 {
         description += "; **too few sizes**";
     }
     description + ")"
--- a/crates/fleet-rig/tests/capacity.rs
+++ b/crates/fleet-rig/tests/capacity.rs
@@ -6,7 +6,7 @@
     Inputs, PAGE, Parameters, QUESTIONS, assumptions_without_question, control, data_path,
     dependencies, figure, fill_page, run, tables,
 };
-use spanspur_fleet_rig::series::{Measured, Series};
+use spanspur_fleet_rig::series::{MeasuredSeries, Series};
 use std::collections::BTreeMap;
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -55,7 +55,7 @@
 }
 
 fn inputs_of(series: BTreeMap<String, Series>) -> Inputs {
-    Inputs::new(&root(), Measured(series), Value::Null, parameters())
+    Inputs::new(&root(), MeasuredSeries(series), Value::Null, parameters())
 }
 
 fn row<'a>(rows: &'a [Row], what: &str, when: &str) -> &'a Row {
@@ -193,7 +193,12 @@
     for name in parameters().assumptions.keys() {
         let mut changed = parameters();
         changed.assumptions.get_mut(name).expect("present").value *= 1.5;
-        let inputs = Inputs::new(&root(), Measured(synthetic_series()), Value::Null, changed);
+        let inputs = Inputs::new(
+            &root(),
+            MeasuredSeries(synthetic_series()),
+            Value::Null,
+            changed,
+        );
         let after = tables(&inputs).expect("valid data");
         let differ = before
             .iter()
@@ -307,7 +312,7 @@
         "flat-news".into(),
         line("ms", &[100.0, 200.0, 400.0], 0.0, 10.0),
     );
-    let inputs = Inputs::new(&root(), Measured(series), Value::Null, small);
+    let inputs = Inputs::new(&root(), MeasuredSeries(series), Value::Null, small);
     let flat = control::balancer_flat(&inputs);
     assert_close(value(row(&flat, news, "at rest")), 3.0);
 }
@@ -350,7 +355,7 @@
     let one = assumed.assumptions["servers"].clone();
     assumed.assumptions.insert("odd".into(), one);
     assumed.assumptions.remove("warm-up");
-    let inputs = Inputs::new(&root(), Measured::default(), Value::Null, assumed);
+    let inputs = Inputs::new(&root(), MeasuredSeries::default(), Value::Null, assumed);
     let what = refused(&inputs);
     assert!(
         what.contains("'odd'") && what.contains("'warm-up'"),
@@ -441,7 +446,12 @@
     ], "cuts": [
         {"what": "a region for an hour", "control": null, "followers": 350, "bytes": 7e6, "all": 14e6},
     ]});
-    let inputs = Inputs::new(&root(), Measured::default(), simulation_runs, parameters());
+    let inputs = Inputs::new(
+        &root(),
+        MeasuredSeries::default(),
+        simulation_runs,
+        parameters(),
+    );
     let rows = control::balancer_follow(&inputs);
     let when = "5,700 a day and a burst of 100 in a minute, 1% loss";
     let last = row(
