--- a/src/proxy/closing.rs
+++ b/src/proxy/closing.rs
@@ -52,12 +52,14 @@
     Ok(())
 }
 
-/// Makes the connection close with a reset, to propagate the reset of the other side.
-pub fn close_with_reset(stream: &TcpStream) {
+/// Sets the socket to reset the connection when it is closed, to propagate the reset of the other side. Does not close
+/// it.
+pub fn reset_on_close(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Whether the peer has closed or reset its side. Asks the kernel, which may know before the event loop does.
+/// Whether the peer has closed or reset its side. A close is not detected while received bytes are unread. Asks the
+/// kernel, which may know before the event loop does.
 pub fn has_disconnected(stream: &TcpStream) -> bool {
     match SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]) {
         Ok(received) => received == 0,
--- a/src/proxy/direction.rs
+++ b/src/proxy/direction.rs
@@ -22,13 +22,13 @@
 /// The side of a direction that failed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FailedSide {
-    /// Reading from the source failed.
+    /// Reading from the source failed, or the source sent a line that is too long.
     Source,
     /// Writing to the destination failed.
     Destination,
 }
 
-/// The bytes buffered in one direction.
+/// One direction of a connection: the bytes read from its source and not yet written, and how far its end has come.
 pub struct Direction {
     buffer: Vec<u8>,
     /// Number of bytes at the start of the buffer that may be written: the complete lines, or the whole buffer once the
@@ -62,7 +62,8 @@
         self.writable = self.line_ends.last().copied().unwrap_or(self.writable);
     }
 
-    /// Writes what is writable, else reads more: reading never grows the buffer past [`MAX_LINE`]. Cancel safe.
+    /// Writes complete lines if there are any, else reads more. Once the source has ended and all is written, forwards
+    /// the end; after that, the future never completes. Reading never grows the buffer past [`MAX_LINE`]. Cancel safe.
     ///
     /// # Errors
     /// Returns the side that failed.
@@ -162,7 +163,7 @@
         &self.buffer
     }
 
-    /// Whether bytes wait to be written to the destination.
+    /// Whether complete lines, or the incomplete last line of a source that has ended, wait to be written.
     pub fn has_unwritten_lines(&self) -> bool {
         self.writable > 0
     }
--- a/src/proxy/relay.rs
+++ b/src/proxy/relay.rs
@@ -4,7 +4,7 @@
 use crate::api::Outcome;
 use crate::invariants;
 use crate::proxy::attempt::Backend;
-use crate::proxy::closing::{CLOSE_TIMEOUT, close_with_reset, discard};
+use crate::proxy::closing::{CLOSE_TIMEOUT, discard, reset_on_close};
 use crate::proxy::direction::{Direction, FailedSide, Step};
 use crate::proxy::session::Session;
 use crate::runtime::{Command, Runtime};
@@ -20,7 +20,8 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::{Instant, sleep_until};
 
-/// Time for a backend that has announced the end of the connection to close it, once the client is to migrate.
+/// Time from the command to migrate the client within which a backend that has announced or begun to end the connection
+/// has to close it.
 const ANNOUNCED_END_TIMEOUT: Duration = Duration::from_secs(1);
 /// Wake-up interval of a connection without a pending timeout.
 const IDLE_WAKE_UP: Duration = Duration::from_secs(3600);
@@ -34,7 +35,7 @@
     backend: TcpStream,
     to_backend: Direction,
     to_client: Direction,
-    /// When the connection is closed at the latest; `None` while neither side is ending.
+    /// When the connection is closed at the latest; `None` until one side ends or the balancer ends the connection.
     close_at: Option<Instant>,
     /// Nothing more is forwarded to the backend.
     to_backend_stopped: bool,
@@ -193,7 +194,7 @@
             }
             Err(FailedSide::Source) => {
                 self.session.notify_end(Outcome::Reset);
-                close_with_reset(&self.client);
+                reset_on_close(&self.client);
                 return CLOSE;
             }
             Err(FailedSide::Destination) => return self.close_after_client(),
@@ -233,10 +234,10 @@
         CONTINUE
     }
 
-    /// Handles a failure of the client's side: closes the backend's side with a reset.
+    /// Closes the connection after a failure of the client's side, and resets the backend's side.
     fn close_after_client(&mut self) -> Flow {
         self.session.notify_client_end();
-        close_with_reset(&self.backend);
+        reset_on_close(&self.backend);
         CLOSE
     }
 
@@ -245,7 +246,7 @@
         self.to_backend_stopped && self.to_client.is_end_forwarded()
     }
 
-    /// When the next timeout of the connection has to be checked.
+    /// When [`Self::handle_wake_up`] has to check the timeouts of the connection next.
     fn wake_up(&self) -> Instant {
         let silence_deadline = || {
             let silence_deadline = self.session.replies.silence_deadline();
@@ -259,7 +260,8 @@
         if self.close_at.is_some() {
             return CLOSE;
         }
-        // While lines wait to be written to the client, nothing is read from the backend: the client is what is slow.
+        // While lines wait to be written to the client, nothing is read from the backend, so the silence is not the
+        // backend's fault.
         if self.session.replies.is_silent() && !self.to_client.has_unwritten_lines() {
             invariants::count("backend fell silent");
             self.session.notify_end(Outcome::Reset);
@@ -282,7 +284,8 @@
         self.close_at.get_or_insert_with(|| Instant::now() + time);
     }
 
-    /// Handles the lines read from the backend, except the first `skip`, which are neither replies nor reports.
+    /// Handles the lines read from the backend, except the first `skip`, which are neither replies nor messages of the
+    /// backend to the balancer.
     fn handle_backend_lines(&mut self, skip: usize) {
         self.session.replies.record_received();
         let mut start = 0;
--- a/src/proxy/reply_tracker.rs
+++ b/src/proxy/reply_tracker.rs
@@ -7,10 +7,11 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A backend that owes a reply and has sent nothing for this long is considered failed. Clients send a line every 2 s,
-/// and the connection has to end within 7 s: this leaves a second for the balancer's own delays.
+/// A backend that owes a reply and has sent nothing for this long is considered failed. The connection to a backend
+/// that stops responding has to end within 7 s. Clients send a line every 2 s, so up to 2 s pass before a reply is
+/// owed; this timeout leaves a second for the balancer's own delays.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Maximum number of lines without a reply whose send time is kept.
+/// Maximum number of lines without a reply whose send time is kept. Lines beyond it are forwarded but not tracked.
 const MAX_UNANSWERED: usize = 64;
 
 /// Matches a backend's replies to the lines sent to it.
--- a/src/proxy/session.rs
+++ b/src/proxy/session.rs
@@ -1,4 +1,5 @@
-//! Reports an established connection to the balancer: the messages of its backend, and how the connection ends.
+//! Reports to the balancer what happens on an established connection: the load reports and reply times of its backend,
+//! and how the connection ends.
 
 use crate::api::{AttemptEnded, Event, Outcome, Request, ServerId};
 use crate::protocol::client::BackendLine;
@@ -17,6 +18,7 @@
     pub replies: ReplyTracker,
     /// Whether the backend has sent a `LOAD` report on this connection.
     has_reported: bool,
+    /// The outcome of the end that the backend has announced with `BYE` or `MOVE`.
     announced_outcome: Option<Outcome>,
     end_notified: bool,
 }
@@ -110,13 +112,14 @@
         }));
     }
 
-    /// Reports to the balancer that the client has disconnected, unless an end was already reported.
+    /// Reports to the balancer that the connection has no client here any more, because the client has disconnected or
+    /// the successor has taken the connection over. Does nothing if an end was already reported.
     pub fn notify_client_end(&mut self) {
         if std::mem::replace(&mut self.end_notified, true) {
             return;
         }
         let (id, server) = (self.request.id, self.server);
-        tracing::debug!(request = %id, %server, "client disconnected");
+        tracing::debug!(request = %id, %server, "client disconnected or transferred");
         self.runtime.handle_event(Event::ClientDisconnected(id));
     }
 }
