--- a/src/proxy/attempt.rs
+++ b/src/proxy/attempt.rs
@@ -11,7 +11,8 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout_at};
 
-/// A request is not sent to a backend with less time left than this: the line gives the time in whole milliseconds.
+/// Minimum time left for a request to be sent to a backend. The request line states the time left in whole
+/// milliseconds, and less than one would read as 0.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(1);
 
 /// A backend that has accepted the request.
@@ -36,7 +37,7 @@
 /// Why an attempt failed.
 #[derive(Debug, Error)]
 pub enum AttemptError {
-    /// The server is not listed.
+    /// The endpoint list does not contain the server.
     #[error("the server is not listed")]
     NotListed,
     /// The connection was not established in time.
@@ -87,12 +88,12 @@
     }
 }
 
-/// Attempts a request at a server until the time `until`. `request_line` returns the line to send for the number of
-/// milliseconds left, or `None` if the client has disconnected.
+/// Sends a request to a server and waits for its response, at most until the time `until`. `request_line` takes the
+/// number of milliseconds left and returns the line to send, or `None` if the client has disconnected.
 ///
 /// # Errors
-/// If the backend does not accept the request. The connection is already closed by then, so that the next attempt is
-/// the only one in flight.
+/// If the request could not be sent, or the backend did not accept it in time. The connection to the backend is already
+/// closed by then, so that the next attempt is the only one in flight.
 pub async fn run(
     runtime: &Runtime,
     server: ServerId,
--- a/src/proxy/client_reader.rs
+++ b/src/proxy/client_reader.rs
@@ -10,10 +10,10 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// Time from connecting in which a client has to send its request line. Some clients take 2 s, and the connection of a
-/// client that sends nothing has to be closed within 3 s.
+/// Time from connecting within which a client has to send its request line. Some clients take 2 s, and the connection
+/// of a client that sends nothing has to be closed within 3 s.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Time from the response to a probe in which the front proxy has to send its next line.
+/// Time from the response to a probe within which the front proxy has to send its next line.
 const FRONT_TIMEOUT: Duration = Duration::from_secs(10);
 /// Interval at which readiness is checked while a front proxy waits for the response to its probe.
 const READINESS_INTERVAL: Duration = Duration::from_millis(20);
@@ -67,8 +67,9 @@
 pub struct ClientReader {
     lines: LineReader,
     deadline: Instant,
-    /// Counts the client as one without a request; `None` once a probe has identified it as a front proxy.
-    pending_request: Option<CountedClient>,
+    /// Counts the client among those that shutdown waits for because they have not sent a request yet; `None` once a
+    /// probe has identified the client as a front proxy.
+    awaiting_request: Option<CountedClient>,
 }
 
 impl ClientReader {
@@ -80,11 +81,11 @@
     /// Creates the reader of a client transferred from another process of this balancer, which had received the bytes
     /// `received`; `time_left` remains until the deadline.
     pub fn resume(runtime: &Runtime, received: Vec<u8>, time_left: Duration) -> Self {
-        let pending_request = runtime.lifecycle.clients_without_request.count_client();
+        let awaiting_request = runtime.lifecycle.clients_without_request.count_client();
         Self {
             lines: LineReader::from(received),
             deadline: Instant::now() + time_left,
-            pending_request: Some(pending_request),
+            awaiting_request: Some(awaiting_request),
         }
     }
 
@@ -93,18 +94,20 @@
         self.lines.buffered()
     }
 
-    /// Seconds left until the deadline.
+    /// Seconds left until the deadline; 0 once it has passed.
     pub fn time_left(&self) -> f64 {
         (self.deadline - Instant::now()).as_secs_f64()
     }
 
-    /// Whether the client has sent a probe. Such a client is a front proxy and does not expect a response to a request.
+    /// Whether the client is a front proxy, as shown by a probe that this reader has responded to. A probe from before
+    /// a transfer does not count.
     pub fn is_front(&self) -> bool {
-        self.pending_request.is_none()
+        self.awaiting_request.is_none()
     }
 
-    /// Reads the first line other than a probe, and responds to probes. The client must not send more before its
-    /// response. Cancel safe.
+    /// Reads the first line other than a probe, and responds to probes. A client that sends more than one line at a
+    /// time has sent a malformed request. If the future is dropped, received bytes are kept, except a probe that is
+    /// waiting for its response.
     pub async fn first_line(&mut self, runtime: &Runtime, client: &TcpStream) -> FirstLine {
         loop {
             let line = match timeout_at(self.deadline, self.lines.next_line(client)).await {
@@ -123,7 +126,7 @@
             if client.try_write(probe_response(runtime)).is_err() {
                 return FirstLine::Disconnected;
             }
-            self.pending_request.take();
+            self.awaiting_request.take();
             self.deadline = Instant::now() + FRONT_TIMEOUT;
         }
     }
@@ -137,8 +140,8 @@
     }
 }
 
-/// Waits until requests can be decided or, in draining mode, the probe is refused anyway: a front proxy starts to send
-/// clients as soon as its probe is answered.
+/// Delays the response to a probe until requests can be decided, because a front proxy starts to send clients as soon
+/// as its probe is answered. In draining mode, the probe is refused without delay.
 async fn wait_until_ready(runtime: &Runtime) {
     while !runtime.is_ready() && !runtime.lifecycle.is_draining() {
         sleep(READINESS_INTERVAL).await;
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -8,10 +8,10 @@
 /// Maximum number of connections that wait to be accepted.
 const BACKLOG: u32 = 1024;
 
-/// Binds a listening socket to this address.
+/// Creates a listening socket that is bound to this address.
 ///
 /// # Errors
-/// If the address cannot be bound.
+/// If the socket cannot be created, bound or made to listen.
 pub fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() {
         TcpSocket::new_v4()
@@ -24,10 +24,11 @@
     socket.listen(BACKLOG)
 }
 
-/// Uses an inherited listening socket. `configured` is the address that the socket is expected to listen at.
+/// Uses an inherited listening socket. `configured` is the address that the socket is expected to listen at; a
+/// different address is logged and used nevertheless.
 ///
 /// # Errors
-/// If the socket cannot be made non-blocking or registered.
+/// If the socket cannot be made non-blocking or registered with the event loop.
 pub fn inherited(socket: Socket, configured: SocketAddr) -> io::Result<TcpListener> {
     let bound = socket
         .local_addr()
--- a/src/proxy/reopen.rs
+++ b/src/proxy/reopen.rs
@@ -53,7 +53,7 @@
     }
 }
 
-/// Whether the outcome comes from a response of the backend, which a retry would only repeat.
+/// Whether the outcome comes from a response of the backend. A retry would only get the same response.
 fn is_final(outcome: Outcome) -> bool {
     matches!(
         outcome,
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -16,10 +16,10 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::{Sleep, sleep_until};
 
-/// Seconds by which the request's deadline precedes the client's own: covers the time that the request line took to
-/// arrive and that the response takes to return.
+/// Seconds by which the request's deadline precedes the end of the client's wait. Covers the time that the request line
+/// took to arrive and that the response takes to return.
 const DEADLINE_MARGIN: Time = 0.02;
-/// The longest time to reopen a connection, in seconds.
+/// The longest that a client may wait for its connection to be reopened, in seconds.
 const MAX_REOPEN_WAIT: Time = 40.0;
 
 /// A connection that has been opened for a request.
@@ -163,12 +163,12 @@
         loop {
             let command = tokio::select! {
                 biased;
-                end = wait_for_client_end(self.client) => return Err(self.disconnect(end)),
+                end = wait_for_client_end(self.client) => return Err(self.report_disconnect(end)),
                 command = self.commands.recv() => command,
                 () = &mut client_deadline => {
-                    // The balancer missed the deadline, but the client must still get a response.
+                    // The balancer has not decided the request in time, but the client must still get a response.
                     invariants::holds(false, "requests are decided before their deadline");
-                    self.disconnect(RequestEnd::Disconnected);
+                    self.report_disconnect(RequestEnd::Disconnected);
                     Some(Command::Fail)
                 }
             };
@@ -183,7 +183,11 @@
         }
     }
 
-    /// Runs an attempt. Unless the attempt succeeds, its connection is closed on return, whatever its state.
+    /// Runs an attempt, until `until` or the request's deadline, whichever comes first. Unless the attempt succeeds,
+    /// its connection is closed on return, whatever its state.
+    ///
+    /// # Errors
+    /// How the request ended, if it ended during the attempt. The inner result is that of the attempt.
     async fn run_attempt(
         &mut self,
         server: ServerId,
@@ -204,7 +208,7 @@
         ));
         let attempted = tokio::select! {
             biased;
-            end = wait_for_client_end(self.client) => return Err(self.disconnect(end)),
+            end = wait_for_client_end(self.client) => return Err(self.report_disconnect(end)),
             command = wait_for_attempt_end(self.commands, self.attempt) => match command {
                 Some(Command::Reject(retry_after)) => return Err(rejected(retry_after)),
                 Some(Command::Fail) => return Err(failed()),
@@ -213,7 +217,7 @@
             attempted = attempt => attempted,
         };
         if attempted.is_err() && has_disconnected(self.client) {
-            return Err(self.disconnect(RequestEnd::Disconnected));
+            return Err(self.report_disconnect(RequestEnd::Disconnected));
         }
         Ok(attempted)
     }
@@ -232,8 +236,8 @@
         self.attempt += 1;
     }
 
-    /// Reports to the balancer that the client no longer waits. Returns `end`.
-    fn disconnect(&self, end: RequestEnd) -> RequestEnd {
+    /// Reports to the balancer that the client no longer waits for a response. Returns `end` unchanged.
+    fn report_disconnect(&self, end: RequestEnd) -> RequestEnd {
         let id = self.open_request.request.id;
         self.runtime.handle_event(Event::ClientDisconnected(id));
         end
