--- a/src/invariants.rs
+++ b/src/invariants.rs
@@ -18,8 +18,8 @@
     invariant
 }
 
-/// Counts an event that other parties may cause, such as malformed input. The event is logged when the count is a power
-/// of two, so that the log stays readable under a flood.
+/// Counts an event that peers may cause, such as malformed input, or a violated invariant. The event is logged when the
+/// count is a power of two, so that the log stays readable under a flood.
 pub fn count(counter: &'static str) {
     let count = COUNTERS.with_borrow_mut(|counters| {
         let count = counters.entry(counter).or_default();
--- a/src/runtime/clock.rs
+++ b/src/runtime/clock.rs
@@ -3,7 +3,7 @@
 use crate::api::Time;
 use std::time::{Duration, Instant, SystemTime};
 
-/// The duration that stands in for spans that a [`Duration`] cannot represent, such as infinity.
+/// Used in place of a span that a [`Duration`] cannot represent, such as infinity.
 const FALLBACK_SPAN: Duration = Duration::from_secs(4260);
 
 /// A clock that never goes back. Its times are Unix times, like those of discovery.
@@ -27,7 +27,7 @@
         self.started_unix + self.started.elapsed().as_secs_f64()
     }
 
-    /// The instant at which this clock shows `time`.
+    /// The instant at which this clock shows `time`. A time before the start of the clock becomes the start.
     pub fn instant(&self, time: Time) -> tokio::time::Instant {
         (self.started + duration(time - self.started_unix)).into()
     }
@@ -38,7 +38,7 @@
     }
 }
 
-/// Converts a span in seconds to a duration. Negative spans become zero.
+/// Converts a span in seconds to a duration. Negative spans become zero, and spans that are too long `FALLBACK_SPAN`.
 pub fn duration(span: Time) -> Duration {
     Duration::try_from_secs_f64(span.max(0.0)).unwrap_or(FALLBACK_SPAN)
 }
--- a/src/runtime/connection_limit.rs
+++ b/src/runtime/connection_limit.rs
@@ -8,7 +8,8 @@
 
 /// Descriptors reserved for uses other than clients and their backends, and for connections that are being closed.
 const RESERVED_DESCRIPTORS: usize = 40;
-/// Reserved descriptors that may be used by rejected clients that may still be sending.
+/// Maximum number of reserved descriptors that rejected clients hold while their connections linger, so that what they
+/// still send is read.
 const MAX_LINGERING: usize = 8;
 /// Descriptors of an idle client: that of the client.
 const IDLE_DESCRIPTORS: usize = 1;
@@ -88,8 +89,8 @@
         }
     }
 
-    /// Acquires a reserved descriptor for a rejected client. Returns `None` if all descriptors for rejected clients are
-    /// in use.
+    /// Acquires a reserved descriptor for the lingering connection of a rejected client. Returns `None` if all
+    /// descriptors for this purpose are in use.
     pub fn acquire_for_lingering(&self) -> Option<LingerPermit<'_>> {
         let lingering = &self.lingering;
         (lingering.get() < MAX_LINGERING).then(|| {
@@ -98,13 +99,13 @@
         })
     }
 
-    /// The number of descriptors held.
+    /// The number of descriptors held by permits; those of lingering connections do not count.
     pub fn held(&self) -> usize {
         self.held.get()
     }
 
     /// Evicts the client that has been idle longest. Returns `false` if no client is idle. The client's descriptor is
-    /// closed shortly after; until then the reserved descriptors make up for it.
+    /// closed shortly after; until then the process may use one of the reserved descriptors instead.
     fn evict_one(&self) -> bool {
         let mut evictable = self.evictable.borrow_mut();
         while let Some(client) = evictable.pop_front() {
@@ -117,8 +118,8 @@
 }
 
 impl ConnectionPermit {
-    /// Extends the permit to a client in service, which cannot be evicted. Returns `false` if no descriptor is
-    /// available.
+    /// Extends the permit to a client in service, which cannot be evicted. Evicts an idle client if necessary. Returns
+    /// `false` if no descriptor is available; the client cannot be evicted then either.
     pub fn acquire_for_service(&mut self, descriptor_limit: usize) -> bool {
         self.eviction = None;
         self.grow_to(SERVICE_DESCRIPTORS, client_descriptors(descriptor_limit))
--- a/src/runtime/endpoint_directory.rs
+++ b/src/runtime/endpoint_directory.rs
@@ -11,7 +11,7 @@
 struct DirectoryEntry {
     /// As announced by discovery.
     announced: Endpoint,
-    /// As passed to the balancer, after maintenance and hand-over are applied.
+    /// As passed to the balancer, with the overrides applied.
     effective: Endpoint,
     address: SocketAddr,
 }
@@ -25,16 +25,16 @@
     pub length: Time,
 }
 
-/// The conditions under which an endpoint's effective state differs from the announced one.
+/// What makes an endpoint's effective state differ from the announced one.
 #[derive(Default)]
-struct EndpointMask {
+struct EndpointOverrides {
     maintenance: MaintenanceSet,
-    /// Whether another process accepts the clients. The slow-start budget of cold servers then belongs to that process
-    /// alone.
+    /// Whether another process accepts the clients. The slow-start budget of servers that are warming up then belongs
+    /// to that process alone.
     clients_handed_over: bool,
 }
 
-impl EndpointMask {
+impl EndpointOverrides {
     /// Returns the effective endpoint. A server under maintenance is draining even if the list says it is ready.
     fn apply(&self, announced: Endpoint, window: SlowStartWindow) -> Endpoint {
         let maintenance = self.maintenance.override_for(
@@ -46,7 +46,7 @@
         let warming_up = maintenance.started > window.now - window.length;
         let state = match announced.state {
             EndpointState::Ready if maintenance.draining => EndpointState::Draining,
-            // If two processes both used a cold server's slow-start budget, it would be spent twice.
+            // If two processes both used the slow-start budget of a server, it would be spent twice.
             EndpointState::Ready if self.clients_handed_over && warming_up => {
                 EndpointState::Draining
             }
@@ -64,7 +64,7 @@
 #[derive(Default)]
 pub struct EndpointDirectory {
     listed: HashMap<ServerId, DirectoryEntry>,
-    mask: EndpointMask,
+    overrides: EndpointOverrides,
     revision: u64,
 }
 
@@ -92,10 +92,10 @@
             endpoint: announced,
             address,
         } = listed;
-        self.mask.maintenance.record_listed(announced.id.0);
-        let effective = self.mask.apply(announced, window);
-        let masked = effective.state != announced.state;
-        tracing::debug!(endpoint = ?announced, masked, %address, "endpoint listed");
+        self.overrides.maintenance.record_listed(announced.id.0);
+        let effective = self.overrides.apply(announced, window);
+        let overridden = effective.state != announced.state;
+        tracing::debug!(endpoint = ?announced, overridden, %address, "endpoint update applied");
         if announced.state == EndpointState::Removed {
             self.listed.remove(&announced.id);
         } else {
@@ -113,7 +113,7 @@
     pub fn refresh(&mut self, window: SlowStartWindow) -> Vec<Endpoint> {
         let mut changed = Vec::new();
         for listed in self.listed.values_mut() {
-            let effective = self.mask.apply(listed.announced, window);
+            let effective = self.overrides.apply(listed.announced, window);
             let before = &listed.effective;
             if (effective.state, effective.started_at) != (before.state, before.started_at) {
                 listed.effective = effective;
@@ -130,17 +130,17 @@
 
     /// The servers under maintenance.
     pub fn maintenance(&self) -> &MaintenanceSet {
-        &self.mask.maintenance
+        &self.overrides.maintenance
     }
 
     /// Merges newer entries into the servers under maintenance. They take effect with [`Self::refresh`].
     pub fn merge_maintenance(&mut self, maintenance: &MaintenanceSet) {
-        self.mask.maintenance.merge(maintenance);
+        self.overrides.maintenance.merge(maintenance);
     }
 
     /// Sets whether another process accepts the clients. The change takes effect with [`Self::refresh`].
     pub fn set_clients_handed_over(&mut self, handed_over: bool) {
-        self.mask.clients_handed_over = handed_over;
+        self.overrides.clients_handed_over = handed_over;
     }
 
     /// The address of a listed server.
--- a/src/runtime/endpoints.rs
+++ b/src/runtime/endpoints.rs
@@ -45,13 +45,15 @@
         self.endpoints.borrow().maintenance().clone()
     }
 
-    /// Merges newer entries into the servers under maintenance, and applies them.
+    /// Merges newer entries into the servers under maintenance, and passes the endpoints whose state changes to the
+    /// balancer.
     pub fn merge_maintenance(self: &Rc<Self>, maintenance: &MaintenanceSet) {
         self.endpoints.borrow_mut().merge_maintenance(maintenance);
         self.refresh_endpoints();
     }
 
-    /// Sets whether another process accepts the clients. If so, this process stops accepting them.
+    /// Sets whether another process accepts the clients. If so, this process stops accepting them, else it accepts them
+    /// again.
     pub fn set_clients_handed_over(self: &Rc<Self>, handed_over: bool) {
         self.endpoints
             .borrow_mut()
--- a/src/runtime/latency_tracker.rs
+++ b/src/runtime/latency_tracker.rs
@@ -3,7 +3,7 @@
 use crate::api::{BalancerConfig, Event, ServerId, Time};
 use std::collections::HashMap;
 
-/// A message that takes longer than the shortest latency objective divided by this is slow.
+/// A message is slow if it takes longer than the shortest message latency objective divided by this number.
 const SLOW_DIVISOR: f64 = 3.0;
 /// Interval between reports to the balancer while messages at a backend stay slow, in seconds.
 const REPEAT_INTERVAL: Time = 1.0;
--- a/src/runtime/lifecycle_state.rs
+++ b/src/runtime/lifecycle_state.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// Counts the clients in one state that shutdown waits for.
+/// Counts clients that are in the same state, and that shutdown waits for.
 #[derive(Default)]
 pub struct ClientCounter(Rc<Cell<usize>>);
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// Whether discovery has answered, clients are accepted, the balancer drains and the process shuts down, and the
+/// The lifecycle state of the process: flags that tasks set and others read or subscribe to, and counters of the
 /// clients that shutdown waits for.
 pub struct LifecycleState {
     discovery_answered: Cell<bool>,
@@ -61,12 +61,12 @@
 }
 
 impl LifecycleState {
-    /// Records that discovery has answered this process.
+    /// Records that this process has received an endpoint list, from discovery, its agent or the distribution.
     pub fn set_discovery_answered(&self) {
         self.discovery_answered.set(true);
     }
 
-    /// Whether discovery has answered this process.
+    /// Whether this process has received an endpoint list, from discovery, its agent or the distribution.
     pub fn has_discovery_answered(&self) -> bool {
         self.discovery_answered.get()
     }
@@ -86,7 +86,8 @@
         self.accepting.subscribe()
     }
 
-    /// Sets draining mode, in which front proxies are told not to send clients. Returns whether the mode has changed.
+    /// Sets or clears draining mode, in which front proxies are told not to send clients. Returns whether the mode has
+    /// changed.
     pub fn set_draining(&self, draining: bool) -> bool {
         let replace = |current: &mut bool| std::mem::replace(current, draining) != draining;
         self.draining.send_if_modified(replace)
@@ -102,8 +103,8 @@
         self.draining.subscribe()
     }
 
-    /// Sets whether draining mode was requested at this process. A process that took over a balancer in draining mode
-    /// still counts as ready.
+    /// Sets whether draining mode was requested at this process. A process that has taken over draining mode from its
+    /// predecessor still reports that it is ready.
     pub fn set_draining_requested_here(&self, requested: bool) {
         self.draining_requested_here.set(requested);
     }
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -33,8 +33,8 @@
 use std::time::Duration;
 use tokio::sync::{Notify, mpsc};
 
-/// How long readiness waits for the agent's first answer where endpoint lists are pushed. After that the cached
-/// endpoint list is used.
+/// Time from the start within which an agent that pushes endpoint lists has to answer for the first time. After that,
+/// the process is ready with the cached endpoint list.
 const PUSHED_LIST_WAIT: Duration = Duration::from_secs(1);
 
 /// The balancer and a reusable buffer for its actions.
@@ -72,9 +72,9 @@
     pub peer_processes: PeerProcesses,
     /// Limits the descriptors held by clients of this process.
     pub connection_limit: Rc<ConnectionLimit>,
-    /// Wakes the discovery watcher.
+    /// Notified when the balancer requests a poll of discovery.
     pub poll_requested: Notify,
-    /// Notified when the endpoint list changes.
+    /// Notified when the endpoint list or an endpoint's effective state may have changed.
     pub endpoints_changed: Notify,
 }
 
@@ -106,7 +106,7 @@
         self.process_config.borrow().clone()
     }
 
-    /// Applies a new configuration.
+    /// Applies a new configuration. The measurements of the backends start anew.
     pub fn apply_config(self: &Rc<Self>, process_config: ProcessConfig) {
         let config = process_config.config.clone();
         self.measurements.replace(Measurements::new(&config));
@@ -130,7 +130,7 @@
         let BalancerState { balancer, actions } = &mut *state;
         balancer.handle(self.now(), &event, actions);
         for action in actions.drain(..) {
-            tracing::trace!(?action);
+            tracing::trace!(?action, "dispatching action");
             self.dispatch(action);
         }
     }
@@ -166,14 +166,14 @@
         });
     }
 
-    /// The number of descriptors that this process may hold: the limit of the balancer, less those of its other
-    /// processes.
+    /// The number of descriptors that this process may hold: the limit of the balancer, less the descriptors that its
+    /// other processes hold.
     pub fn descriptor_limit(&self) -> usize {
         let limit = self.process_config().max_descriptors;
         limit.saturating_sub(self.peer_processes.descriptors())
     }
 
-    /// Whether an agent pushes endpoint lists.
+    /// Whether endpoint lists are pushed by an agent, and not polled from discovery when the balancer requests it.
     pub fn has_pushed_discovery(&self) -> bool {
         self.process_config().config.discovery_mode == DiscoveryMode::Pushed
     }
@@ -215,8 +215,8 @@
         self.requests.send_command(id, command);
     }
 
-    /// Handles the value of a `LOAD` report of a backend on a connection. `is_first` tells whether the report is the
-    /// connection's first.
+    /// Handles the value of a `LOAD` report of a backend on a connection: a load in microseconds of work per second, or
+    /// a message time in milliseconds. `is_first` tells whether the report is the connection's first.
     pub fn report_value(
         self: &Rc<Self>,
         id: RequestId,
--- a/src/runtime/peer_processes.rs
+++ b/src/runtime/peer_processes.rs
@@ -45,7 +45,8 @@
         self.descriptors.set(descriptors);
     }
 
-    /// The successor: the process that takes over the established connections when this process shuts down.
+    /// The successor: the process that takes over the clients of this process, those without a request at once and
+    /// established connections when this process shuts down.
     pub fn successor(&self) -> Option<Rc<ConnectionSender>> {
         self.successor.borrow().clone()
     }
--- a/src/runtime/report_classifier.rs
+++ b/src/runtime/report_classifier.rs
@@ -16,12 +16,12 @@
 /// The longest message time, as a multiple of the shortest latency objective. A server that is slower has dropped its
 /// connections.
 const MAX_OBJECTIVE_MULTIPLE: f64 = 10.0;
-/// The number of samples over which the running mean of the loads is weighted.
+/// Number of loads after which the weight of a new load in the running mean no longer decreases.
 const MEAN_LOAD_SAMPLES: f64 = 100.0;
 /// Interval at which a server reports message times, in seconds.
 const REPORT_INTERVAL: Time = 1.0;
-/// The most intervals between two consecutive message times of a server. The load of an idle connection may be as small
-/// as a message time, but is not reported at the interval.
+/// Maximum number of intervals between two consecutive message times of a server. The load of an idle connection may be
+/// as small as a message time, but is not reported at the interval.
 const MAX_INTERVALS: f64 = 2.0;
 /// Permitted deviation from a whole number of intervals, in seconds.
 const INTERVAL_TOLERANCE: Time = 0.05;
@@ -33,7 +33,8 @@
     Load(f64),
     /// The time of a message at the backend, in seconds.
     MessageTime(Time),
-    /// Either kind. A later value at the interval shows that the server reports message times.
+    /// The value may be of either kind, and is not used. A later value at the interval shows that the server reports
+    /// message times.
     Ambiguous,
 }
 
@@ -57,9 +58,10 @@
     /// so that all positive values are loads.
     max_message_time: f64,
     mean_load: MeanLoad,
-    /// When each server last reported a message time, while another may follow.
+    /// When each server last reported a message time. Removed once another one can no longer follow at the interval.
     message_times: HashMap<ServerId, Time>,
-    /// When each server last reported an ambiguous value, while a message time may follow.
+    /// When each server last reported an ambiguous value. Removed once a message time can no longer follow at the
+    /// interval.
     ambiguous: HashMap<ServerId, Time>,
 }
 
@@ -78,7 +80,7 @@
     }
 
     /// Classifies a value reported on a connection. `is_first` tells whether the value is the connection's first, which
-    /// is its load.
+    /// is its load unless the value is too small for any load.
     pub fn classify(&mut self, now: Time, server: ServerId, value: f64, is_first: bool) -> Report {
         let min_load = MIN_LOAD_SHARE * self.mean_load.mean;
         if value > self.max_message_time || (is_first && value >= min_load) {
--- a/src/transfer/connection.rs
+++ b/src/transfer/connection.rs
@@ -13,7 +13,7 @@
     AwaitingRequest(Vec<u8>, f64),
 }
 
-/// A connection established at a backend.
+/// The state of a connection established at a backend, apart from its sockets.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct EstablishedConnection {
     /// The client's request.
--- a/src/transfer/sender.rs
+++ b/src/transfer/sender.rs
@@ -36,7 +36,7 @@
 
     /// Transfers a connection. Returns `true` if the successor has taken it over, else the connection stays with this
     /// process. Waits for the acknowledgement or the end of the link. The future must not be dropped before it
-    /// completes.
+    /// completes: the successor may take the connection over although this process still serves it.
     pub async fn transfer(
         &self,
         connection: TransferredConnection,
@@ -63,7 +63,8 @@
         acknowledged.await.unwrap_or(false)
     }
 
-    /// Upper bound of the number of descriptors of the connections in transit. The successor counts them as its own.
+    /// Upper bound of the number of descriptors of the connections that are sent and not yet acknowledged. The
+    /// successor counts these descriptors as its own.
     pub fn descriptors_in_transit(&self) -> usize {
         self.unacknowledged.borrow().len() * MAX_DESCRIPTORS
     }
