--- a/tests/connection_limit.rs
+++ b/tests/connection_limit.rs
@@ -1,4 +1,5 @@
-//! Permits for descriptors, eviction of idle clients when the descriptors run out, and the descriptors for lingering.
+//! Permits for descriptors, eviction of idle clients when the descriptors run out, and the descriptors reserved for the
+//! lingering connections of rejected clients.
 
 use spanspur::runtime::connection_limit::{ConnectionLimit, ConnectionPermit};
 use std::pin::pin;
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -82,6 +82,7 @@
         }
         balancer.handle(now, Event::ClientDisconnected(id));
     }
+    // The timer of the queue fires.
     balancer.handle(20.0, Event::Timer(2));
     let left = LIVE_BYTES.load(Ordering::Relaxed).saturating_sub(before);
     // The queue and the trees keep some spare capacity, but nothing grows with the number of requests served.
--- a/tests/sockets/endings.rs
+++ b/tests/sockets/endings.rs
@@ -7,10 +7,9 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Replacement of settings: a request of the class must not run twice, so no retry follows an attempt that may have
-/// run.
+/// Replaces a setting: a request of the class must not run twice, so no retry follows an attempt that may have run.
 const SINGLE_SHOT: (&str, &str) = (r#""semantics":"free""#, r#""semantics":"single_shot""#);
-/// Replacement of settings: the clients may wait longer than a process may take to shut down.
+/// Replaces a setting: the clients may wait longer than a process may take to shut down.
 const LONG_HARD_LIMIT: (&str, &str) = (r#""hardLimit":2.0"#, r#""hardLimit":9.0"#);
 
 /// Returns the first word of a client's response; empty if the connection ends without one.
@@ -73,8 +72,8 @@
             (pending.read_line(), idle.read_line()),
             (String::new(), String::new())
         );
-        // The clients have not closed their sides: if they sent more and the process exited, the reset could take the
-        // responses with it.
+        // The clients have not closed their sides, so the process waits: if it exited and a client then sent more, the
+        // reset could discard the response.
         wait_until(|| {
             balancer
                 .log()
@@ -95,8 +94,8 @@
             &[LENIENT_MESSAGE_AIM],
         );
         balancer.signal("-TERM");
-        // While the process is stopped, its next check for remaining clients falls due: after it continues, the check
-        // and the client's connection are pending at the same time.
+        // While the process is stopped, the time of its next check for remaining clients passes: after it continues,
+        // the check and the client's connection are pending at the same time.
         std::thread::sleep(Duration::from_millis(400));
         let mut late = balancer.while_stopped(|| {
             std::thread::sleep(Duration::from_millis(100));
@@ -220,7 +219,7 @@
     }
 }
 
-/// Replacement of settings: the connect timeout is longer than any other timeout of these tests.
+/// Replaces a setting: the connect timeout is longer than any other timeout of these tests.
 const LONG_CONNECT_TIMEOUT: (&str, &str) = (r#""connectTimeout":0.25"#, r#""connectTimeout":4.0"#);
 
 #[test]
@@ -349,20 +348,22 @@
 fn an_evicted_client_with_unread_bytes_still_receives_its_response() {
     let (discovery, backend) = (Discovery::new(), Backend::new("s-1"));
     let balancer = Balancer::start(&discovery, &[backend.endpoint("SERVING")]);
-    let mut crowd: Vec<Peer> = (0..200).map(|_| balancer.connect()).collect();
+    let mut first_clients: Vec<Peer> = (0..200).map(|_| balancer.connect()).collect();
     // When the balancer continues, it has both the incomplete lines of the first clients and the connections of the new
     // clients, for which the first ones are evicted.
-    let more: Vec<Peer> = balancer.while_stopped(|| {
-        crowd.iter_mut().for_each(|client| client.send("OPEN 0000"));
+    let new_clients: Vec<Peer> = balancer.while_stopped(|| {
+        first_clients
+            .iter_mut()
+            .for_each(|client| client.send("OPEN 0000"));
         (0..100).map(|_| balancer.connect()).collect()
     });
-    for client in &mut crowd[..60] {
+    for client in &mut first_clients[..60] {
         assert_eq!(
             (response_word(client), client.read_line()),
             ("BUSY".into(), String::new())
         );
     }
-    drop(more);
+    drop(new_clients);
 }
 
 #[test]
@@ -481,7 +482,7 @@
 }
 
 #[test]
-fn idle_clients_leave_descriptors_for_discovery_attempts_and_admin_calls() {
+fn idle_clients_leave_descriptors_for_discovery_for_attempts_and_for_admin_calls() {
     let (discovery, backend) = (Backend::new("d-1"), echo_backend("s-1"));
     let balancer = Balancer::start_with_settings(
         discovery.address(),
@@ -512,7 +513,7 @@
 }
 
 #[test]
-fn a_retry_that_could_arrive_after_the_repeat_window_is_not_sent() {
+fn a_retry_that_could_arrive_after_the_deduplication_window_is_not_sent() {
     let (one, two) = (Backend::new("s-1"), Backend::new("s-2"));
     let entries = [one.endpoint("SERVING"), two.endpoint("SERVING")];
     let guarded = (
@@ -524,7 +525,7 @@
         let mut client = balancer.open(0x700 + pause, 1800);
         let (mut server, _) = accept_any(&[&one, &two]);
         // Connecting to the next server may take 0.25 s: a retry that starts after 0.45 s could arrive after 0.7 s,
-        // past the window of 0.6 s.
+        // past the deduplication window of 0.6 s.
         std::thread::sleep(Duration::from_millis(pause));
         server.send("?\r\n");
         if is_retried {
--- a/tests/sockets/service.rs
+++ b/tests/sockets/service.rs
@@ -96,7 +96,7 @@
     assert_eq!(balancer.admin_request(DETACH, "s-1").0, 200);
     balancer.kill();
     let balancer = start();
-    // All connections stay open: a backend that ends several of its connections gets no requests for a while.
+    // All connections stay open: a backend that ends several of its connections is ejected for a while.
     let mut open = Vec::new();
     for id in 0xe0..0xe8 {
         let (client, mut server) = (balancer.open(id, 2000), two.accept().0);
