--- a/crates/fleet-rig/src/charts.rs
+++ b/crates/fleet-rig/src/charts.rs
@@ -1,4 +1,4 @@
-//! Charts as SVG, by plotters.
+//! Draws charts as SVG files.
 
 use plotters::prelude::*;
 use std::path::Path;
@@ -6,7 +6,8 @@
 /// A named line of points.
 pub type Line = (String, Vec<(f64, f64)>);
 
-/// A chart of lines, its axes named, both from 0 or logarithmic.
+/// Draws a line chart into a file. Both axes start at 0, or are logarithmic if `log` is set. Fails if the file cannot
+/// be written.
 pub fn line_chart(
     file: &Path,
     title: &str,
@@ -15,8 +16,8 @@
     lines: &[Line],
 ) -> Result<(), String> {
     let points = || lines.iter().flat_map(|(_, points)| points.iter());
-    let most = |of: fn(&(f64, f64)) -> f64| points().map(of).fold(1.0, f64::max) * 1.1;
-    let (x_end, y_end) = (most(|p| p.0), most(|p| p.1));
+    let axis_end = |value: fn(&(f64, f64)) -> f64| points().map(value).fold(1.0, f64::max) * 1.1;
+    let (x_end, y_end) = (axis_end(|p| p.0), axis_end(|p| p.1));
     let area = SVGBackend::new(file, (760, 460)).into_drawing_area();
     let failed = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
     area.fill(&WHITE).map_err(|e| failed(&e))?;
@@ -55,12 +56,12 @@
         }};
     }
     if log {
-        let low = points()
+        let y_start = points()
             .map(|p| p.1)
             .filter(|y| *y > 0.0)
             .fold(y_end, f64::min)
             * 0.8;
-        draw!((1.0..x_end).log_scale(), (low..y_end).log_scale());
+        draw!((1.0..x_end).log_scale(), (y_start..y_end).log_scale());
     } else {
         draw!(0.0..x_end, 0.0..y_end);
     }
--- a/crates/fleet-rig/src/data_path.rs
+++ b/crates/fleet-rig/src/data_path.rs
@@ -1,5 +1,5 @@
-//! What the data path costs: memory and processor time of a real balancer process between stand-in clients and
-//! stream servers of this process, and of the decision module and the list, called here.
+//! Measures what the data path costs: the memory and processor time of a real balancer process between clients and
+//! stream servers of this process, and the time of the decision module and of the endpoint list, called here directly.
 
 use crate::series::{MeasuredSeries, Series};
 use spanspur::Balancer;
@@ -13,32 +13,42 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The named command of every series here.
+/// The command that all series of this module name.
 const COMMAND: &str = "cargo run --release -p spanspur-fleet-rig -- data-path";
-/// No step takes longer; a rig that would hang fails instead.
-const PATIENCE: Duration = Duration::from_secs(15);
-/// Standing pairs: two descriptors each, of the 20,000 that a process may hold.
-const PAIRS: [usize; 6] = [1_000, 2_000, 3_000, 4_000, 6_000, 8_000];
-/// Lines in all, a tick of the clock for each connection's one.
+/// The longest wait for one step. A run that would hang fails instead.
+const STEP_TIMEOUT: Duration = Duration::from_secs(15);
+/// Numbers of idle connections. Each needs two descriptors of the 20,000 that a process may hold.
+const IDLE_CONNECTIONS: [usize; 6] = [1_000, 2_000, 3_000, 4_000, 6_000, 8_000];
+/// Numbers of delivered lines over all connections. Each connection delivers one line per tick.
 const LINES: [usize; 5] = [20_000, 40_000, 60_000, 80_000, 100_000];
-const STANDING: usize = 200;
-const LINE: usize = 100;
+/// The number of connections that deliver lines.
+const DELIVERING: usize = 200;
+/// The length of a line in bytes.
+const LINE_BYTES: usize = 100;
+/// The time between two lines of a connection.
 const TICK: Duration = Duration::from_millis(10);
+/// Numbers of connections that are opened and closed.
 const OPENINGS: [usize; 5] = [500, 1_000, 1_500, 2_000, 2_500];
+/// Numbers of servers that the decision module knows.
 const SERVERS: [usize; 5] = [90, 300, 1_000, 5_000, 20_000];
-const GROUP: [usize; 6] = [100, 500, 1_000, 5_000, 10_000, 20_000];
+/// Numbers of connections of one group.
+const GROUP_SIZES: [usize; 6] = [100, 500, 1_000, 5_000, 10_000, 20_000];
+/// The number of runs; each point is their median.
 const RUNS: u32 = 3;
-/// The module's clock in these runs.
-const NOW: Time = 1000.0;
+/// The decision module's clock at the start of a run, in seconds.
+const START_TIME: Time = 1000.0;
 
-/// A balancer process, ended when dropped.
+/// A balancer process and its server. Dropping it ends the process and removes its files.
 struct Process {
     child: Child,
-    at: SocketAddr,
+    /// The address at which the balancer listens.
+    address: SocketAddr,
     servers: TcpListener,
     folder: PathBuf,
+    /// Never answers: the balancer's configuration holds the endpoint list.
     _discovery: TcpListener,
-    opened: u64,
+    /// The number of requested connections, from which the request ids come.
+    requests: u64,
 }
 
 impl Drop for Process {
@@ -49,12 +59,14 @@
     }
 }
 
-fn entry(id: &str, at: &str, phase: &str, up_since_ms: u64) -> String {
+/// An entry of the endpoint list, as JSON.
+fn entry(id: &str, address: &str, phase: &str, up_since_ms: u64) -> String {
     format!(
-        r#"{{"id":"{id}","host_port":"{at}","locality":"a","flavor":"m","cell":0,"phase":"{phase}","size":1.0,"up_since_ms":{up_since_ms}}}"#
+        r#"{{"id":"{id}","host_port":"{address}","locality":"a","flavor":"m","cell":0,"phase":"{phase}","size":1.0,"up_since_ms":{up_since_ms}}}"#
     )
 }
 
+/// An endpoint list, as JSON.
 fn list(revision: u64, complete: bool, entries: &[String]) -> String {
     let members = entries.join(",");
     format!(r#"{{"revision":{revision},"complete":{complete},"members":[{members}]}}"#)
@@ -62,106 +74,116 @@
 
 impl Process {
     fn start(program: &str) -> Result<Self, String> {
-        let fail = |e: std::io::Error| e.to_string();
-        let bind = || TcpListener::bind("127.0.0.1:0").map_err(fail);
+        let to_text = |e: std::io::Error| e.to_string();
+        let bind = || TcpListener::bind("127.0.0.1:0").map_err(to_text);
         let (servers, discovery) = (bind()?, bind()?);
-        let at = bind()?.local_addr().map_err(fail)?;
-        let backend = servers.local_addr().map_err(fail)?;
-        let heard = discovery.local_addr().map_err(fail)?;
-        let name = format!("spanspur-data-path-{}-{}", std::process::id(), at.port());
+        let address = bind()?.local_addr().map_err(to_text)?;
+        let backend = servers.local_addr().map_err(to_text)?;
+        let discovery_address = discovery.local_addr().map_err(to_text)?;
+        let name = format!(
+            "spanspur-data-path-{}-{}",
+            std::process::id(),
+            address.port()
+        );
         let folder = std::env::temp_dir().join(name);
-        std::fs::create_dir_all(&folder).map_err(fail)?;
+        std::fs::create_dir_all(&folder).map_err(to_text)?;
         let known = list(1, true, &[entry("s-1", &backend.to_string(), "SERVING", 0)]);
         let text = format!(
-            r#"{{"name":"n0","listen":"{at}","discovery":"{heard}","seed":"7","limits":{{"sockets":20000}},"known":{known},
+            r#"{{"name":"n0","listen":"{address}","discovery":"{discovery_address}","seed":"7","limits":{{"sockets":20000}},"known":{known},
             "settings":{{"balancers":1,"zone":"a","membershipMode":"on_request",
             "classes":[{{"name":"live","onTime":0.5,"hardLimit":2.0,"semantics":"free","stream":true}}],
             "domain":{{"groups":true,"messageAim":[0.25],"tellsDelay":true}},
             "limits":{{"maxAttempts":3,"connectTimeout":0.25,"cancel":true}},"rules":{{"askWithin":1.0}}}}}}"#
         );
-        std::fs::write(folder.join("config.json"), text).map_err(fail)?;
+        std::fs::write(folder.join("config.json"), text).map_err(to_text)?;
         let child = Command::new(program)
             .env("BALANCER_CONFIG", folder.join("config.json"))
-            .env("BALANCER_DISCOVERY", heard.to_string())
+            .env("BALANCER_DISCOVERY", discovery_address.to_string())
             .env("TMPDIR", &folder)
             .env("RUST_LOG", "error")
             .spawn()
-            .map_err(fail)?;
-        let end = Instant::now() + PATIENCE;
-        while TcpStream::connect(at).is_err() {
-            if Instant::now() > end {
+            .map_err(to_text)?;
+        let deadline = Instant::now() + STEP_TIMEOUT;
+        while TcpStream::connect(address).is_err() {
+            if Instant::now() > deadline {
                 return Err("the balancer does not listen".into());
             }
             std::thread::sleep(Duration::from_millis(20));
         }
         Ok(Self {
             child,
-            at,
+            address,
             servers,
             folder,
             _discovery: discovery,
-            opened: 0,
+            requests: 0,
         })
     }
 
-    /// One standing connection: its client's end and its server's.
+    /// Opens a connection through the balancer, and returns the client's and the server's end.
     fn open(&mut self) -> std::io::Result<(TcpStream, TcpStream)> {
-        self.opened += 1;
-        let mut client = TcpStream::connect(self.at)?;
-        client.set_read_timeout(Some(PATIENCE))?;
-        write!(client, "OPEN {0:016x} k{0} c=live,d=5000\r\n", self.opened)?;
+        self.requests += 1;
+        let mut client = TcpStream::connect(self.address)?;
+        client.set_read_timeout(Some(STEP_TIMEOUT))?;
+        write!(
+            client,
+            "OPEN {0:016x} k{0} c=live,d=5000\r\n",
+            self.requests
+        )?;
         let (mut server, _) = self.servers.accept()?;
-        server.set_read_timeout(Some(PATIENCE))?;
-        let mut said = [0; 256];
-        let _ = server.read(&mut said)?;
+        server.set_read_timeout(Some(STEP_TIMEOUT))?;
+        let mut buffer = [0; 256];
+        let _ = server.read(&mut buffer)?;
         server.write_all(b"UP r1\r\n")?;
-        let n = client.read(&mut said)?;
-        match said[..n].starts_with(b"UP") {
+        let n = client.read(&mut buffer)?;
+        match buffer[..n].starts_with(b"UP") {
             true => Ok((client, server)),
-            false => Err(std::io::Error::other("not opened")),
+            false => Err(std::io::Error::other(
+                "the balancer did not open the connection",
+            )),
         }
     }
 
     fn open_many(&mut self, count: usize) -> Result<Vec<(TcpStream, TcpStream)>, String> {
         let opened: std::io::Result<_> = (0..count).map(|_| self.open()).collect();
-        opened.map_err(|e| format!("opening: {e}"))
+        opened.map_err(|e| format!("cannot open a connection: {e}"))
     }
 
-    /// A figure of its memory, in bytes.
+    /// A value of the process's memory statistics, in bytes.
     fn memory(&self, key: &str) -> Result<f64, String> {
         let path = format!("/proc/{}/smaps_rollup", self.child.id());
         let text = std::fs::read_to_string(path).map_err(|e| e.to_string())?;
         let line = text.lines().find_map(|line| line.strip_prefix(key));
         let kib = line.and_then(|rest| rest.trim().split(' ').next()?.parse::<f64>().ok());
-        Ok(kib.ok_or("no such figure")? * 1024.0)
+        Ok(kib.ok_or("no such memory statistic")? * 1024.0)
     }
 
-    /// Its processor time so far, in microseconds: it has one thread.
-    fn cpu(&self) -> Result<f64, String> {
+    /// The process's processor time so far, in microseconds. The process has one thread.
+    fn cpu_us(&self) -> Result<f64, String> {
         let path = format!("/proc/{}/schedstat", self.child.id());
         let text = std::fs::read_to_string(path).map_err(|e| e.to_string())?;
         let ns = text.split(' ').next().and_then(|ns| ns.parse::<f64>().ok());
-        Ok(ns.ok_or("no schedstat")? / 1000.0)
+        Ok(ns.ok_or("no processor time in schedstat")? / 1000.0)
     }
 }
 
-/// The middle one.
+/// The median; of an even number of values, the higher of the two in the middle.
 pub fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
     values[values.len() / 2]
 }
 
-/// For each size the median of the runs.
-fn stepped(
+/// Repeats a run that measures all sizes, and returns the median value of each size.
+fn median_of_runs(
     sizes: &[usize],
     mut run: impl FnMut() -> Result<Vec<f64>, String>,
 ) -> Result<Vec<(f64, f64)>, String> {
     let runs = (0..RUNS).map(|_| run()).collect::<Result<Vec<_>, _>>()?;
-    let at = |i: usize| median(runs.iter().map(|run| run[i]).collect());
+    let median_at = |i: usize| median(runs.iter().map(|run| run[i]).collect());
     Ok(sizes
         .iter()
         .enumerate()
-        .map(|(i, size)| (*size as f64, at(i)))
+        .map(|(i, size)| (*size as f64, median_at(i)))
         .collect())
 }
 
@@ -176,44 +198,46 @@
     }
 }
 
-fn standing(program: &str, key: &str) -> Result<Vec<(f64, f64)>, String> {
-    stepped(&PAIRS, || {
+/// Measures a memory statistic of the balancer at each number of idle connections.
+fn idle_memory(program: &str, key: &str) -> Result<Vec<(f64, f64)>, String> {
+    median_of_runs(&IDLE_CONNECTIONS, || {
         let mut process = Process::start(program)?;
         let mut pairs = Vec::new();
-        let mut figures = Vec::new();
-        for count in PAIRS {
+        let mut values = Vec::new();
+        for count in IDLE_CONNECTIONS {
             pairs.extend(process.open_many(count - pairs.len())?);
             std::thread::sleep(Duration::from_millis(300));
-            figures.push(process.memory(key)?);
+            values.push(process.memory(key)?);
         }
-        Ok(figures)
+        Ok(values)
     })
 }
 
-/// Sends lines from the servers' ends in ticks, open loop, and takes them at the clients' ends.
+/// Sends lines from the servers' ends, one per connection and tick, whether or not earlier ones have arrived, and reads
+/// them at the clients' ends.
 fn deliver(pairs: &mut [(TcpStream, TcpStream)], lines: usize) -> Result<(), String> {
-    let mut line = vec![b'x'; LINE - 2];
+    let mut line = vec![b'x'; LINE_BYTES - 2];
     line.extend_from_slice(b"\r\n");
-    let wanted = lines * LINE;
+    let expected = lines * LINE_BYTES;
     let (mut clients, mut servers): (Vec<_>, Vec<_>) =
         pairs.iter_mut().map(|(a, b)| (a, b)).unzip();
     for client in &clients {
         client.set_nonblocking(true).map_err(|e| e.to_string())?;
     }
     std::thread::scope(|scope| {
-        let taken = scope.spawn(|| {
-            let (mut taken, mut buffer, mut last) = (0, vec![0; 65_536], Instant::now());
-            while taken < wanted && last.elapsed() < PATIENCE {
+        let reader = scope.spawn(|| {
+            let (mut received, mut buffer, mut last) = (0, vec![0; 65_536], Instant::now());
+            while received < expected && last.elapsed() < STEP_TIMEOUT {
                 for client in &mut clients {
                     match client.read(&mut buffer) {
-                        Ok(n) if n > 0 => (taken, last) = (taken + n, Instant::now()),
+                        Ok(n) if n > 0 => (received, last) = (received + n, Instant::now()),
                         Err(e) if e.kind() == ErrorKind::WouldBlock => {}
-                        _ => return taken,
+                        _ => return received,
                     }
                 }
                 std::thread::sleep(Duration::from_millis(2));
             }
-            taken
+            received
         });
         let start = Instant::now();
         for tick in 0..lines / servers.len() {
@@ -223,43 +247,48 @@
                 server.write_all(&line).map_err(|e| e.to_string())?;
             }
         }
-        match taken.join() {
-            Ok(taken) if taken == wanted => Ok(()),
-            odd => Err(format!("{odd:?} of {wanted} bytes came")),
+        match reader.join() {
+            Ok(received) if received == expected => Ok(()),
+            other => Err(format!("received {other:?} of {expected} bytes")),
         }
     })
 }
 
+/// Measures the balancer's processor time in us for each number of delivered lines.
 fn deliveries(program: &str) -> Result<Vec<(f64, f64)>, String> {
-    stepped(&LINES, || {
+    median_of_runs(&LINES, || {
         let mut process = Process::start(program)?;
-        let mut pairs = process.open_many(STANDING)?;
-        let mut figures = Vec::new();
+        let mut pairs = process.open_many(DELIVERING)?;
+        let mut values = Vec::new();
         for lines in LINES {
-            let before = process.cpu()?;
+            let before = process.cpu_us()?;
             deliver(&mut pairs, lines)?;
-            figures.push(process.cpu()? - before);
+            values.push(process.cpu_us()? - before);
         }
-        Ok(figures)
+        Ok(values)
     })
 }
 
+/// Measures the balancer's processor time in us for each number of openings.
 fn openings(program: &str) -> Result<Vec<(f64, f64)>, String> {
-    stepped(&OPENINGS, || {
+    median_of_runs(&OPENINGS, || {
         let mut process = Process::start(program)?;
-        let mut figures = Vec::new();
+        let mut values = Vec::new();
         for count in OPENINGS {
-            let before = process.cpu()?;
+            let before = process.cpu_us()?;
             for _ in 0..count {
-                let (client, mut server) = process.open().map_err(|e| format!("opening: {e}"))?;
-                // The client leaves first: a server that ended its connections would be left alone as a failing one.
+                let (client, mut server) = process
+                    .open()
+                    .map_err(|e| format!("cannot open a connection: {e}"))?;
+                // The client closes first: the balancer would avoid a server that closes its connections, as a failing
+                // one.
                 drop(client);
                 while server.read(&mut [0; 256]).is_ok_and(|n| n > 0) {}
             }
             std::thread::sleep(Duration::from_millis(100));
-            figures.push(process.cpu()? - before);
+            values.push(process.cpu_us()? - before);
         }
-        Ok(figures)
+        Ok(values)
     })
 }
 
@@ -275,20 +304,24 @@
     }
 }
 
-/// A module that knows so many servers, every second of them cold if `cold`.
-fn module(servers: usize, cold: bool) -> Balancer {
+/// A decision module that knows this many servers. With `cold`, every second one has just started.
+fn balancer(servers: usize, cold: bool) -> Balancer {
     let members: Arc<[Endpoint]> = (0..servers)
         .map(|n| Endpoint {
             id: ServerId::of(&format!("s-{n}")),
             state: EndpointState::Ready,
             weight: 1.0,
-            started_at: if cold && n % 2 == 0 { NOW - 10.0 } else { 0.0 },
+            started_at: if cold && n % 2 == 0 {
+                START_TIME - 10.0
+            } else {
+                0.0
+            },
             ..Endpoint::default()
         })
         .collect();
     let mut balancer = Balancer::new(config(), 7);
     balancer.handle(
-        NOW,
+        START_TIME,
         &Event::EndpointsUpdated {
             kind: UpdateKind::Full,
             endpoints: members,
@@ -298,40 +331,43 @@
     balancer
 }
 
+/// The time since an instant, in microseconds.
 fn micros(since: Instant) -> f64 {
     since.elapsed().as_secs_f64() * 1e6
 }
 
-/// The median time of a request's decision, each from a client of its own that leaves at once.
+/// The median time in us of choosing a server for a request. Each request has its own client, which disconnects at
+/// once.
 fn placement(servers: usize, cold: bool) -> f64 {
-    let mut balancer = module(servers, cold);
+    let mut balancer = balancer(servers, cold);
     let mut actions = Vec::new();
     let times = (0..400).map(|n| {
-        let now = NOW + n as f64 * 0.01;
+        let now = START_TIME + n as f64 * 0.01;
         let mut request = Request::new(RequestId(n), 0, now + 2.0);
         request.key = Some(Key::of(&format!("k{n}")));
         let start = Instant::now();
         balancer.handle(now, &Event::Request(request), &mut actions);
-        let took = micros(start);
+        let time = micros(start);
         balancer.handle(now, &Event::ClientDisconnected(RequestId(n)), &mut actions);
         actions.clear();
-        took
+        time
     });
     median(times.collect())
 }
 
-/// Bytes of a list, and the time to read it and hand it to the module: whole, or one changed entry.
-fn take_over(servers: usize, whole: bool) -> Result<(f64, f64), String> {
-    let named = |n: usize, phase| entry(&format!("s-{n}"), "10.1.2.3:4567", phase, 0);
-    let all: Vec<String> = (0..servers).map(|n| named(n, "SERVING")).collect();
-    let mut balancer = module(servers, false);
+/// The size of a list in bytes, and the median time in us to parse it and to update the decision module. The list is
+/// complete if `whole` is set, and otherwise one changed entry.
+fn apply_list(servers: usize, whole: bool) -> Result<(f64, f64), String> {
+    let entry_of = |n: usize, phase| entry(&format!("s-{n}"), "10.1.2.3:4567", phase, 0);
+    let all: Vec<String> = (0..servers).map(|n| entry_of(n, "SERVING")).collect();
+    let mut balancer = balancer(servers, false);
     let mut times = Vec::new();
     let mut bytes = 0;
     for round in 0..9_u64 {
         let phase = ["SERVING", "DRAINING"][(round % 2) as usize];
         let text = match whole {
             true => list(round, true, &all),
-            false => list(round, false, &[named(0, phase)]),
+            false => list(round, false, &[entry_of(0, phase)]),
         };
         bytes = text.len();
         let start = Instant::now();
@@ -342,7 +378,7 @@
             .iter()
             .map(|listed| listed.endpoint)
             .collect();
-        let now = NOW + round as f64;
+        let now = START_TIME + round as f64;
         balancer.handle(
             now,
             &Event::EndpointsUpdated {
@@ -356,42 +392,43 @@
     Ok((bytes as f64, median(times)))
 }
 
-/// How many servers hold a group's connections, at each step of their number.
-fn group(servers: usize) -> Vec<(f64, f64)> {
-    let mut balancer = module(servers, false);
-    let (mut actions, mut held, mut points) = (Vec::new(), HashSet::new(), Vec::new());
-    let most = GROUP[GROUP.len() - 1];
-    for n in 1..=most {
-        let now = NOW + n as f64 * 0.01;
+/// The number of servers that hold a group's connections, at each size of the group.
+fn group_spread(servers: usize) -> Vec<(f64, f64)> {
+    let mut balancer = balancer(servers, false);
+    let (mut actions, mut holders, mut points) = (Vec::new(), HashSet::new(), Vec::new());
+    let max_size = GROUP_SIZES[GROUP_SIZES.len() - 1];
+    for n in 1..=max_size {
+        let now = START_TIME + n as f64 * 0.01;
         let id = RequestId(n as u64);
         let mut request = Request::new(id, 0, now + 2.0);
         request.key = Some(Key::of(&format!("k{n}")));
         request.group = Some(Key::of("topic"));
         balancer.handle(now, &Event::Request(request), &mut actions);
-        let sent = actions.drain(..).find_map(|action| match action {
+        let chosen = actions.drain(..).find_map(|action| match action {
             Action::StartAttempt { server, .. } => Some(server),
             _ => None,
         });
-        if let Some(server) = sent {
-            held.insert(server);
+        if let Some(server) = chosen {
+            holders.insert(server);
             balancer.handle(now, &Event::Established { id, server }, &mut actions);
             actions.clear();
         }
-        if GROUP.contains(&n) {
-            points.push((n as f64, held.len() as f64));
+        if GROUP_SIZES.contains(&n) {
+            points.push((n as f64, holders.len() as f64));
         }
     }
     points
 }
 
-/// Measures the named parts (all, if none is named) and puts them into the file.
+/// Measures the named parts, or all if none is named, and writes their series into the file. Fails if a measurement
+/// fails or the file cannot be read or written.
 pub fn run(program: &str, file: &Path, parts: &[String]) -> Result<(), String> {
     let wanted = |part: &str| parts.is_empty() || parts.iter().any(|p| p == part);
-    let put = |name: String, series: Series| {
+    let store = |name: String, series: Series| {
         if let Some(fit) = series.fit() {
-            let (slope, spread, off) = (fit.slope, fit.slope_error, fit.max_residual * 100.0);
+            let (slope, error, residual) = (fit.slope, fit.slope_error, fit.max_residual * 100.0);
             println!(
-                "{name}: {slope:.4} +- {spread:.4} {} a step, from {:.1}, off {off:.1}%",
+                "{name}: {slope:.4} +- {error:.4} {} a step, from {:.1}, off {residual:.1}%",
                 series.unit, fit.intercept
             );
         }
@@ -401,33 +438,33 @@
     if wanted("placement") {
         for (name, cold) in [("none", false), ("half", true)] {
             let run = || Ok(SERVERS.map(|n| placement(n, cold)).to_vec());
-            let points = stepped(&SERVERS, run)?;
+            let points = median_of_runs(&SERVERS, run)?;
             let what = format!(
                 "A placement by the decision module, {name} of the servers cold, median of 400 requests with a key each"
             );
             let series = series(&what, "servers", "us", RUNS, points);
-            put(format!("placement, {name} cold"), series)?;
+            store(format!("placement, {name} cold"), series)?;
         }
     }
     if wanted("list") {
         for (name, whole) in [("whole", true), ("one entry", false)] {
             let mut bytes = Vec::new();
-            let points = stepped(&SERVERS, || {
-                let run = SERVERS.map(|n| take_over(n, whole));
+            let points = median_of_runs(&SERVERS, || {
+                let run = SERVERS.map(|n| apply_list(n, whole));
                 let run = run.into_iter().collect::<Result<Vec<_>, _>>()?;
                 bytes = run.iter().map(|(bytes, _)| *bytes).collect();
                 Ok(run.iter().map(|(_, us)| *us).collect())
             })?;
-            let sizes = SERVERS.iter().map(|n| *n as f64).zip(bytes).collect();
+            let byte_points = SERVERS.iter().map(|n| *n as f64).zip(bytes).collect();
             let what = format!("A list from discovery, {name}: read and taken over by the module");
-            put(
+            store(
                 format!("list, {name}, time"),
                 series(&what, "servers", "us", RUNS, points),
             )?;
             let what = format!("A list from discovery, {name}: its text, without the HTTP head");
-            put(
+            store(
                 format!("list, {name}, bytes"),
-                series(&what, "servers", "bytes", 1, sizes),
+                series(&what, "servers", "bytes", 1, byte_points),
             )?;
         }
     }
@@ -441,18 +478,18 @@
                 "connections of the group",
                 "servers",
                 1,
-                group(servers),
+                group_spread(servers),
             );
-            put(format!("group, {servers} servers"), series)?;
+            store(format!("group, {servers} servers"), series)?;
         }
     }
     if wanted("delivery") {
         let what = format!(
-            "Processor time of the balancer process for lines of {LINE} bytes from the servers through the relay, {STANDING} connections, a line each every {} ms, open loop, no loads among them, log at error; the rig is another process",
+            "Processor time of the balancer process for lines of {LINE_BYTES} bytes from the servers through the relay, {DELIVERING} connections, a line each every {} ms, open loop, no loads among them, log at error; the rig is another process",
             TICK.as_millis()
         );
         let points = deliveries(program)?;
-        put(
+        store(
             "delivery, processor".into(),
             series(&what, "lines", "us", RUNS, points),
         )?;
@@ -460,15 +497,15 @@
     if wanted("opening") {
         let what = "Processor time of the balancer process for openings one after the other, each ended at once by its client, one server known, log at error; the rig is another process";
         let points = openings(program)?;
-        put(
+        store(
             "opening, processor".into(),
             series(what, "openings", "us", RUNS, points),
         )?;
     }
     if wanted("standing") {
         let what = "Pss of the balancer process, silent standing connections; the kernel's part is not in it and is not told apart";
-        let points = standing(program, "Pss:")?;
-        put(
+        let points = idle_memory(program, "Pss:")?;
+        store(
             "standing, memory".into(),
             series(what, "standing connections", "bytes", RUNS, points),
         )?;
--- a/crates/fleet-rig/src/real.rs
+++ b/crates/fleet-rig/src/real.rs
@@ -1,5 +1,5 @@
-//! Balancers of one cluster as real processes, with stand-in stream servers and a stand-in discovery in this
-//! process. Every port is one that was free a moment ago, on a loopback address of this rig's own.
+//! Runs balancers as real processes, with stub stream servers and a stub discovery in this process. Each listener has a
+//! loopback address of its own, so that a port that was free when it was chosen stays free.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -10,24 +10,24 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// No step takes longer; a rig that would hang fails instead.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// Probes by which the stand-ins tell who acts in which period; `MS` is replaced by the period.
-const PROBE: &str = r#"{"probe":{"every_ms":MS,"connect_ms":200,"answer_ms":300,"line":"PROBE {period} {instance}","expect":"PONG"}}"#;
+/// The longest wait for one step. A run that would hang fails instead.
+const STEP_TIMEOUT: Duration = Duration::from_secs(30);
+/// A probe whose line tells the server the term and the probing instance. `MS` is replaced by the interval.
+const PROBE_DUTY: &str = r#"{"probe":{"every_ms":MS,"connect_ms":200,"answer_ms":300,"line":"PROBE {period} {instance}","expect":"PONG"}}"#;
 
-/// The duties of an operator's file: to probe every server once in this time.
-pub fn probe_duties(every: Duration) -> String {
-    PROBE.replace("MS", &every.as_millis().to_string())
+/// The `duties` section of an operator's file in which every server is probed at this interval.
+pub fn probe_duties(interval: Duration) -> String {
+    PROBE_DUTY.replace("MS", &interval.as_millis().to_string())
 }
 
-/// So many stand-in servers.
+/// Starts this many stub servers.
 pub fn start_servers(count: usize) -> Vec<StubServer> {
     (0..count)
         .map(|n| StubServer::new(&format!("s-{n}")))
         .collect()
 }
 
-/// Their entries of the list.
+/// The servers' entries of the endpoint list, all in the phase SERVING.
 pub fn serving_entries(servers: &[StubServer]) -> Vec<String> {
     servers
         .iter()
@@ -35,71 +35,74 @@
         .collect()
 }
 
-/// Whether each has been probed more than once.
+/// Whether each server has been probed more than once.
 pub fn all_probed(servers: &[StubServer]) -> bool {
     servers
         .iter()
-        .all(|s| s.probes.lock().expect("whole").len() > 1)
+        .all(|s| s.probes.lock().expect("lock not poisoned").len() > 1)
 }
 
-/// What was done twice or missed for more than a period, by the servers' own record: a sentence for each.
+/// Describes each term that was probed twice and each gap of more than one missed term, by the servers' own records.
+/// Gaps are looked for from `from` to `until`, duplicates in all records.
 pub fn find_violations(
     servers: &[StubServer],
-    every: Duration,
+    interval: Duration,
     from: Instant,
     until: Instant,
 ) -> Vec<String> {
-    let mut faults = Vec::new();
+    let mut violations = Vec::new();
     for server in servers {
-        let probes = server.probes.lock().expect("whole").clone();
-        let mut seen: BTreeMap<u64, &str> = BTreeMap::new();
-        for (_, period, by) in &probes {
-            if let Some(first) = seen.insert(*period, by) {
-                faults.push(format!(
-                    "{}: period {period} by {first} and {by}",
+        let probes = server.probes.lock().expect("lock not poisoned").clone();
+        let mut instances: BTreeMap<u64, &str> = BTreeMap::new();
+        for (_, term, instance) in &probes {
+            if let Some(first) = instances.insert(*term, instance) {
+                violations.push(format!(
+                    "{}: period {term} by {first} and {instance}",
                     server.id
                 ));
             }
         }
-        let (mut highest, mut last) = (0, from);
+        let (mut highest_term, mut last) = (0, from);
         let in_time = probes.iter().filter(|(at, ..)| *at >= from && *at <= until);
-        let kept = in_time.filter(|(_, period, _)| {
-            let newer = *period > highest;
-            highest = highest.max(*period);
-            newer
+        let accepted = in_time.filter(|(_, term, _)| {
+            let is_new = *term > highest_term;
+            highest_term = highest_term.max(*term);
+            is_new
         });
-        for at in kept.map(|(at, ..)| *at).chain([until]) {
-            // One may be missed, and the next comes as late as a take-over takes.
-            if at - last > every * 3 {
-                let (a, b) = ((last - from).as_millis(), (at - from).as_millis());
-                faults.push(format!("{}: nothing from {a} to {b} ms", server.id));
+        for at in accepted.map(|(at, ..)| *at).chain([until]) {
+            // One term may be missed, and the next may be late by the time that a takeover takes.
+            if at - last > interval * 3 {
+                let (start, end) = ((last - from).as_millis(), (at - from).as_millis());
+                violations.push(format!("{}: nothing from {start} to {end} ms", server.id));
             }
             last = at;
         }
     }
-    faults
+    violations
 }
 
-/// An act, as a stand-in server recorded it: when, in which period, by whom.
+/// A probe that a stub server received: the time, the term, and the name of the probing instance.
 pub type ProbeRecord = (Instant, u64, String);
 
-/// A stream server that answers probes and records them.
+/// A stream server that accepts all connections, answers probes and records them.
 pub struct StubServer {
     pub id: String,
     pub address: SocketAddr,
+    /// The received probes, in the order of arrival.
     pub probes: Arc<Mutex<Vec<ProbeRecord>>>,
-    /// Takes connections and says nothing, as one that hangs.
+    /// Whether the server accepts connections without answering, as if it hung.
     pub unresponsive: Arc<AtomicBool>,
-    /// Lines that begin with OPEN, from clients.
+    /// The number of received lines other than probes, which come from clients.
     pub requests: Arc<AtomicUsize>,
 }
 
 impl StubServer {
+    /// Starts a server on a loopback address of its own.
     pub fn new(id: &str) -> Self {
         let listener = listener();
         let server = Self {
             id: id.into(),
-            address: listener.local_addr().expect("bound"),
+            address: listener.local_addr().expect("the listener is bound"),
             probes: Arc::default(),
             unresponsive: Arc::default(),
             requests: Arc::default(),
@@ -114,7 +117,9 @@
                 let (probes, unresponsive, requests) =
                     (probes.clone(), unresponsive.clone(), requests.clone());
                 std::thread::spawn(move || {
-                    let mut lines = BufReader::new(stream.try_clone().expect("cloned")).lines();
+                    let mut lines =
+                        BufReader::new(stream.try_clone().expect("the stream can be cloned"))
+                            .lines();
                     let mut out = stream;
                     while let Some(Ok(line)) = lines.next() {
                         if unresponsive.load(Ordering::Relaxed) {
@@ -122,9 +127,10 @@
                             return;
                         }
                         let answer = match line.split(' ').collect::<Vec<_>>()[..] {
-                            ["PROBE", period, by] => {
-                                let act = (Instant::now(), period.parse().unwrap_or(0), by.into());
-                                probes.lock().expect("whole").push(act);
+                            ["PROBE", term, instance] => {
+                                let probe =
+                                    (Instant::now(), term.parse().unwrap_or(0), instance.into());
+                                probes.lock().expect("lock not poisoned").push(probe);
                                 "PONG\r\n"
                             }
                             _ => {
@@ -142,42 +148,46 @@
         server
     }
 
+    /// The server's entry of the endpoint list, in this phase.
     pub fn entry(&self, phase: &str) -> String {
         entry(&self.id, self.address, phase)
     }
 }
 
-pub fn entry(id: &str, at: SocketAddr, phase: &str) -> String {
+/// An entry of the endpoint list, as JSON.
+pub fn entry(id: &str, address: SocketAddr, phase: &str) -> String {
     format!(
-        r#"{{"id":"{id}","host_port":"{at}","locality":"a","flavor":"m","cell":0,"phase":"{phase}","size":1.0,"up_since_ms":0}}"#
+        r#"{{"id":"{id}","host_port":"{address}","locality":"a","flavor":"m","cell":0,"phase":"{phase}","size":1.0,"up_since_ms":0}}"#
     )
 }
 
 /// A revision and its entries.
-type Listed = (u64, Vec<String>);
+type RevisedList = (u64, Vec<String>);
 
-/// A stand-in discovery that serves one list to all, and counts who watches.
+/// A discovery service that serves one list and counts its requests.
 #[derive(Clone)]
 pub struct StubDiscovery {
     pub address: SocketAddr,
-    list: Arc<(Mutex<Listed>, Condvar)>,
+    list: Arc<(Mutex<RevisedList>, Condvar)>,
+    /// The number of requests at this address.
     pub polls: Arc<AtomicUsize>,
 }
 
 impl StubDiscovery {
+    /// Starts a service with these entries as revision 1.
     pub fn new(entries: Vec<String>) -> Self {
         Self::listen(Arc::new((Mutex::new((1, entries)), Condvar::new())))
     }
 
-    /// The same list at another address: who asks there is counted apart.
+    /// Starts another service for the same list, with an address and a count of its own.
     pub fn share_list(&self) -> Self {
         Self::listen(self.list.clone())
     }
 
-    fn listen(list: Arc<(Mutex<Listed>, Condvar)>) -> Self {
+    fn listen(list: Arc<(Mutex<RevisedList>, Condvar)>) -> Self {
         let listener = listener();
         let new = Self {
-            address: listener.local_addr().expect("bound"),
+            address: listener.local_addr().expect("the listener is bound"),
             list,
             polls: Arc::default(),
         };
@@ -191,9 +201,9 @@
         new
     }
 
-    /// Puts another list in place: the whole of it, under the next revision.
+    /// Replaces the whole list under the next revision, and answers all waiting requests.
     pub fn publish(&self, entries: Vec<String>) {
-        let mut list = self.list.0.lock().expect("whole");
+        let mut list = self.list.0.lock().expect("lock not poisoned");
         *list = (list.0 + 1, entries);
         self.list.1.notify_all();
     }
@@ -202,31 +212,31 @@
         let mut lines = BufReader::new(stream.try_clone().ok()?).lines();
         let mut out = stream;
         loop {
-            let call = lines.next()?.ok()?;
+            let request = lines.next()?.ok()?;
             while !lines.next()?.ok()?.is_empty() {}
             self.polls.fetch_add(1, Ordering::Relaxed);
-            let since = call.split_once("since=").and_then(|(_, rest)| {
+            let since = request.split_once("since=").and_then(|(_, rest)| {
                 rest.split(|c: char| !c.is_ascii_digit())
                     .next()?
                     .parse::<u64>()
                     .ok()
             });
-            let list = self.list.0.lock().expect("whole");
+            let list = self.list.0.lock().expect("lock not poisoned");
             let wait = Duration::from_millis(if since.is_some() { 3500 } else { 0 });
             let (list, _) = self
                 .list
                 .1
                 .wait_timeout_while(list, wait, |list| since == Some(list.0))
-                .expect("whole");
-            let same = since == Some(list.0);
-            let members = if same {
+                .expect("lock not poisoned");
+            let unchanged = since == Some(list.0);
+            let members = if unchanged {
                 String::new()
             } else {
                 list.1.join(",")
             };
             let body = format!(
                 r#"{{"revision":{},"complete":{},"members":[{members}]}}"#,
-                list.0, !same
+                list.0, !unchanged
             );
             drop(list);
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
@@ -235,7 +245,7 @@
     }
 }
 
-/// A loopback address that nobody else uses: another one each time, so that no port on it is ever taken.
+/// A loopback address that this run uses nowhere else, so that its ports stay free.
 fn unique_address() -> Ipv4Addr {
     static NEXT: AtomicUsize = AtomicUsize::new(1);
     let next = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -244,30 +254,37 @@
     Ipv4Addr::new(127, process as u8, high as u8, low as u8)
 }
 
-/// A listener at a port and an address of its own.
+/// Listens at an address of its own, on any port.
 fn listener() -> TcpListener {
-    TcpListener::bind((unique_address(), 0)).expect("a port")
+    TcpListener::bind((unique_address(), 0)).expect("a port is free")
 }
 
-/// A port that is free, at such an address.
+/// A free port at an address of its own.
 pub fn free_address() -> SocketAddr {
-    listener().local_addr().expect("bound")
+    listener().local_addr().expect("the listener is bound")
 }
 
-/// What the instances of a test have in common.
+/// The instances of a test, their files and their processes. Dropping it ends the processes, and removes the files
+/// unless the test has failed.
 pub struct Cluster {
     program: PathBuf,
+    /// The folder of the configurations, logs and control sockets.
     pub dir: PathBuf,
+    /// The discovery that members use.
     pub discovery: StubDiscovery,
     pub names: Vec<String>,
     pub gossip_addresses: Vec<SocketAddr>,
     pub listen_addresses: Vec<SocketAddr>,
+    /// The `duties` section of the operator's file, as JSON.
     pub duties: String,
+    /// The cluster's keys in the operator's file, as a JSON array.
     pub keys: String,
-    /// Sections of the operator's file that an instance has besides; the whole of it for one outside the cluster.
+    /// Additional sections of an instance's operator file. For instances outside the cluster these replace the sections
+    /// `cluster` and `duties`.
     pub sections: BTreeMap<usize, String>,
-    /// Instances outside the cluster, with the discovery that they ask.
+    /// The instances outside the cluster, which are the last ones, with the discovery that each uses.
     pub non_members: BTreeMap<usize, StubDiscovery>,
+    /// The running processes.
     pub running: BTreeMap<usize, Child>,
 }
 
@@ -284,24 +301,24 @@
 }
 
 impl Cluster {
-    /// Starts instances of this program.
+    /// Starts this many instances of the program.
     pub fn new(program: &str, size: usize, discovery: StubDiscovery, duties: &str) -> Self {
         let mut cluster = Self::prepare(program, size, discovery, duties);
         (0..size).for_each(|i| cluster.start(i));
         cluster
     }
 
-    /// Instances that are not started yet.
+    /// Prepares instances without starting them.
     pub fn prepare(program: &str, size: usize, discovery: StubDiscovery, duties: &str) -> Self {
         static COUNT: AtomicUsize = AtomicUsize::new(0);
         let count = COUNT.fetch_add(1, Ordering::Relaxed);
         let dir =
             std::env::temp_dir().join(format!("spanspur-cluster-{}-{count}", std::process::id()));
-        std::fs::create_dir_all(&dir).expect("a folder");
+        std::fs::create_dir_all(&dir).expect("the folder is created");
         let gossip_addresses = (0..size).map(|_| {
-            let at = free_address();
-            UdpSocket::bind(at).expect("free for datagrams too");
-            at
+            let address = free_address();
+            UdpSocket::bind(address).expect("the port is free for UDP too");
+            address
         });
         Self {
             program: program.into(),
@@ -318,11 +335,11 @@
         }
     }
 
-    /// Writes the operator's file of an instance.
+    /// Writes an instance's operator file.
     pub fn write_operator_config(&self, i: usize) {
-        let quoted = |all: Vec<String>| {
-            let all: Vec<String> = all.iter().map(|one| format!("{one:?}")).collect();
-            all.join(",")
+        let quoted = |values: Vec<String>| {
+            let values: Vec<String> = values.iter().map(|value| format!("{value:?}")).collect();
+            values.join(",")
         };
         let head = format!(
             r#"{{"log":{{"format":"json"}},"control":{{"socket":{:?}}}"#,
@@ -331,30 +348,33 @@
         let section = self.sections.get(&i).map_or("", String::as_str);
         let file = self.dir.join(format!("operator-{i}.json"));
         if self.non_members.contains_key(&i) {
-            return std::fs::write(file, format!("{head},{section}}}")).expect("written");
+            return std::fs::write(file, format!("{head},{section}}}"))
+                .expect("the file is written");
         }
-        // Those outside are the last ones.
-        let inside = self.names.len() - self.non_members.len();
-        let seeds = self.gossip_addresses[..inside].iter().take(3);
+        // The instances outside the cluster are the last ones.
+        let members = self.names.len() - self.non_members.len();
+        let seeds = self.gossip_addresses[..members].iter().take(3);
         let seeds = quoted(seeds.map(SocketAddr::to_string).collect());
-        let more = if section.is_empty() { "" } else { "," };
+        let separator = if section.is_empty() { "" } else { "," };
         let text = format!(
-            r#"{head}{more}{section},
+            r#"{head}{separator}{section},
             "cluster":{{"name":"{}","listen":"{}","seeds":[{seeds}],"voters":[{}],"keys":{},
             "clock_skew_ms":200}},"duties":{}}}"#,
             self.names[i],
             self.gossip_addresses[i],
-            quoted(self.names[..inside].to_vec()),
+            quoted(self.names[..members].to_vec()),
             self.keys,
             self.duties,
         );
-        std::fs::write(file, text).expect("written");
+        std::fs::write(file, text).expect("the file is written");
     }
 
+    /// The path of an instance's control socket.
     pub fn control_socket(&self, i: usize) -> PathBuf {
         self.dir.join(format!("{i}.sock"))
     }
 
+    /// Writes an instance's files and starts its process.
     pub fn start(&mut self, i: usize) {
         self.write_operator_config(i);
         let config = self.dir.join(format!("config-{i}.json"));
@@ -369,12 +389,12 @@
             self.non_members.get(&i).unwrap_or(&self.discovery).address,
             i + 1
         );
-        std::fs::write(&config, text).expect("written");
+        std::fs::write(&config, text).expect("the file is written");
         let log = std::fs::OpenOptions::new()
             .create(true)
             .append(true)
             .open(self.dir.join(format!("log-{i}")))
-            .expect("a log");
+            .expect("the log file opens");
         let child = Command::new(&self.program)
             .args(["serve", "--operator"])
             .arg(self.dir.join(format!("operator-{i}.json")))
@@ -389,70 +409,85 @@
         self.running.insert(i, child);
     }
 
+    /// Sends a signal, named as an option of `kill`, to an instance's process.
     pub fn signal(&self, i: usize, name: &str) {
         let pid = self.running[&i].id().to_string();
         let sent = Command::new("kill").args([name, &pid]).status();
-        assert!(sent.is_ok_and(|status| status.success()), "{name} to {i}");
+        assert!(
+            sent.is_ok_and(|status| status.success()),
+            "cannot send {name} to instance {i}"
+        );
     }
 
+    /// Kills an instance's process, if it runs.
     pub fn kill(&mut self, i: usize) {
         if let Some(mut child) = self.running.remove(&i) {
-            child.kill().expect("killed");
-            child.wait().expect("ended");
+            child.kill().expect("the process is killed");
+            child.wait().expect("the process has ended");
         }
     }
 
-    /// Waits for an instance to end by itself.
+    /// Waits until an instance's process ends by itself, and returns its exit code.
     pub fn wait_for_exit(&mut self, i: usize) -> Option<i32> {
         let mut child = self.running.remove(&i)?;
         let mut code = None;
         wait_until("the process ends", || {
-            let ended = child.try_wait().expect("a child");
-            ended.map(|status| code = status.code()).is_some()
+            let status = child.try_wait().expect("the process can be polled");
+            status.map(|status| code = status.code()).is_some()
         });
         code
     }
 
-    /// Asks a running instance by the sub-command, in JSON.
-    pub fn query(&self, i: usize, question: &str) -> Option<serde_json::Value> {
-        let done = Command::new(&self.program)
-            .args([question, "--json", "--socket"])
+    /// Queries a running instance with a sub-command. Returns the JSON answer; `None` if there is none.
+    pub fn query(&self, i: usize, command: &str) -> Option<serde_json::Value> {
+        let output = Command::new(&self.program)
+            .args([command, "--json", "--socket"])
             .arg(self.control_socket(i))
             .output()
             .ok()?;
-        serde_json::from_slice(&done.stdout).ok()
+        serde_json::from_slice(&output.stdout).ok()
     }
 
-    /// The same in the form for people.
-    pub fn query_as_text(&self, i: usize, question: &str) -> String {
-        let done = Command::new(&self.program)
-            .args([question, "--operator"])
+    /// Queries a running instance with a sub-command, and returns the answer as text for people.
+    pub fn query_as_text(&self, i: usize, command: &str) -> String {
+        let output = Command::new(&self.program)
+            .args([command, "--operator"])
             .arg(self.dir.join(format!("operator-{i}.json")))
             .output()
-            .expect("it runs");
-        String::from_utf8_lossy(&done.stdout).into_owned()
+            .expect("the program runs");
+        String::from_utf8_lossy(&output.stdout).into_owned()
     }
 
+    /// The log of an instance over all its processes; empty if there is none.
     pub fn log(&self, i: usize) -> String {
         std::fs::read_to_string(self.dir.join(format!("log-{i}"))).unwrap_or_default()
     }
 
-    /// A client asks instance `i` for a connection: the answer's first line.
+    /// Requests a connection from an instance as a client, and returns the first line of the answer.
     pub fn open_connection(&self, i: usize, id: u64, key: &str) -> String {
-        let mut stream = TcpStream::connect(self.listen_addresses[i]).expect("accepted");
-        stream.set_read_timeout(Some(PATIENCE)).expect("settable");
+        let mut stream =
+            TcpStream::connect(self.listen_addresses[i]).expect("the instance accepts");
+        stream
+            .set_read_timeout(Some(STEP_TIMEOUT))
+            .expect("the timeout is set");
         let line = format!("OPEN {id:016x} 7f3a c=live,d=1500,g={key}\r\n");
-        stream.write_all(line.as_bytes()).expect("written");
+        stream
+            .write_all(line.as_bytes())
+            .expect("the request is written");
         let mut answer = String::new();
         let _ = BufReader::new(stream).read_line(&mut answer);
         answer
     }
 }
 
-pub fn wait_until(what: &str, mut fact: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
-    while !fact() {
-        assert!(Instant::now() < end, "in vain: {what}");
+/// Waits until a condition holds. Panics after `STEP_TIMEOUT`.
+pub fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + STEP_TIMEOUT;
+    while !condition() {
+        assert!(
+            Instant::now() < deadline,
+            "timed out waiting until {description}"
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
 }
