--- a/crates/membership/src/authentication.rs
+++ b/crates/membership/src/authentication.rs
@@ -1,5 +1,5 @@
-//! Sealed datagrams: authenticated, not encrypted. The message authentication code is the first 16 bytes of a keyed
-//! BLAKE3 hash under one of the cluster's keys.
+//! Sealed datagrams: authenticated, not encrypted. The message authentication code, or tag, is the first 16 bytes of a
+//! keyed BLAKE3 hash under one of the cluster's keys.
 //!
 //! | bytes | holds |
 //! | --- | --- |
@@ -12,10 +12,12 @@
 //! | .. | the body |
 //! | last 16 | the authentication code over all preceding bytes |
 //!
-//! Integers are little-endian. While the receiver runs, its replay window detects a replayed datagram by the sequence
-//! number. After a restart of the receiver, the receiver's incarnation no longer matches. Only greetings are not bound
-//! to an incarnation. All that a greeting causes is an answer, which has the format of a greeting: a replayed greeting
-//! changes no state and is not answered with more bytes than its own.
+//! Integers are little-endian. While the receiver runs, its replay window detects a replayed data datagram by the
+//! sequence number. A replayed answer is accepted again, but only repeats an incarnation that the receiver knows. After
+//! a restart of the receiver, the receiver's incarnation no longer matches in either kind. Only greetings are not bound
+//! to an incarnation. All that a greeting causes is an answer, so a replayed greeting changes no state except the count
+//! of answers in [`Handshakes`](crate::Handshakes), which limits their rate. The answer carries the identity of the
+//! instance that answers, so it can be larger than the greeting; [`MAX_DATAGRAM`] is the only bound on its size here.
 
 use crate::replay::Peer;
 use std::collections::BTreeMap;
@@ -29,10 +31,10 @@
 const HEADER_BYTES: usize = 34;
 const TAG_BYTES: usize = 16;
 /// Maximum number of remembered senders. When all other control instances are down, one control instance has to
-/// remember 2,100 balancers, and possibly each of them a second time under the name of the balancer that it replaced.
-/// The limit is a power of two with room for that.
+/// remember 2,100 balancers, and a balancer that was replaced also under the name of its predecessor. The limit leaves
+/// room for 1,996 predecessors, which is not quite one for each balancer.
 pub const MAX_SENDERS: usize = 4096;
-/// Minimum length of a secret, in bytes.
+/// Minimum length of a secret, in bytes. [`Key::new`] does not check it; that is up to the caller.
 pub const MIN_SECRET: usize = 16;
 /// The context string of key derivation. It is part of the format and must not change.
 const KEY_CONTEXT: &str = "spanspur cluster datagrams v1";
@@ -88,7 +90,7 @@
 }
 
 /// The keys in use. The first key seals datagrams, and every key opens them, so that a key can be replaced without an
-/// interruption while both the old and the new key are configured.
+/// interruption while both the old and the new key are configured. Without a key, nothing is sealed or opened.
 #[derive(Clone, Debug)]
 pub struct Keys(pub Vec<Key>);
 
@@ -101,7 +103,8 @@
     /// The datagram has another version of the format, or an unknown kind.
     #[error("the datagram's version or kind is not supported")]
     UnsupportedVersion,
-    /// The authentication code matches no configured key: the datagram is forged, truncated or corrupted.
+    /// The authentication code matches no configured key: the datagram is forged, truncated or corrupted, or was sealed
+    /// with a key that is not configured here.
     #[error("the authentication code does not match any key")]
     InvalidTag,
     /// The datagram was received before, or it is too old for the replay window.
@@ -138,9 +141,11 @@
     pub sender: u64,
     /// The sender's incarnation.
     pub incarnation: u64,
-    /// Whether this is the first recorded datagram of the sender's incarnation. Always false for a greeting.
+    /// Whether the sender's incarnation was not remembered before this datagram. Always false for a greeting, which is
+    /// not recorded.
     pub is_new_incarnation: bool,
-    /// The payload.
+    /// The bytes between the header and the tag. In a greeting or an answer: the sender's encoded
+    /// [`Identity`](crate::Identity).
     pub body: &'a [u8],
 }
 
@@ -178,7 +183,8 @@
     }
 }
 
-/// The incarnations and sequence numbers of all other instances.
+/// Seals and opens one instance's datagrams. Remembers the incarnations and sequence numbers of up to [`MAX_SENDERS`]
+/// other instances.
 #[derive(Debug)]
 pub struct Sessions {
     own_id: u64,
@@ -192,8 +198,8 @@
 }
 
 impl Sessions {
-    /// Creates the sessions of an instance. `own_incarnation` must not be 0, which stands for no incarnation in the
-    /// header of a greeting.
+    /// Creates the sessions of an instance. `own_id` is the id by which other instances address it. `own_incarnation`
+    /// must not be 0, which stands for no incarnation in the header of a greeting.
     pub fn new(own_id: u64, own_incarnation: u64, keys: Keys) -> Self {
         Self {
             own_id,
@@ -206,15 +212,16 @@
 
     /// Forgets a peer, so that another sender can be remembered.
     ///
-    /// A recorded datagram that the peer sent to this incarnation before then opens once more, and is reported as a
-    /// new incarnation of the peer. Use this only where a replayed old message does no harm.
+    /// The peer's replay windows are dropped: a datagram that the peer has sent to this incarnation of the instance can
+    /// be replayed once more. The first datagram of the peer that opens afterwards is reported as a new incarnation.
+    /// Use this only where a replayed old message does no harm.
     pub fn forget(&mut self, peer: u64) {
         if let Some(peer) = self.peers.remove(&peer) {
             self.first_sequence_number = self.first_sequence_number.max(peer.last_sequence_number);
         }
     }
 
-    /// Replaces the keys.
+    /// Replaces the keys. Peers stay remembered.
     pub fn rekey(&mut self, keys: Keys) {
         self.keys = keys;
     }
@@ -225,8 +232,8 @@
         self.peers.get(&peer)?.current_incarnation
     }
 
-    /// Seals a datagram for a peer. Returns `None` while the peer's incarnation is unknown, or if the body is too
-    /// large.
+    /// Seals a datagram for a peer. Returns `None` while the peer's incarnation is unknown, if the body is larger than
+    /// [`MAX_DATAGRAM`] minus [`OVERHEAD`], or if there is no key.
     pub fn seal(&mut self, to: u64, kind: DatagramKind, body: &[u8]) -> Option<Vec<u8>> {
         let peer = self.peers.get_mut(&to)?;
         let incarnation = peer.current_incarnation?;
@@ -236,12 +243,12 @@
     }
 
     /// Seals an answer to a greeting sent by `incarnation`. That incarnation is not recorded, since the greeting may be
-    /// a replay. Returns `None` if the body is too large.
+    /// a replay. Returns `None` if the body is too large or if there is no key.
     pub fn seal_answer(&self, incarnation: u64, body: &[u8]) -> Option<Vec<u8>> {
         self.encode_datagram(DatagramKind::Answer, incarnation, 0, body)
     }
 
-    /// Seals a greeting. Returns `None` if the body is too large.
+    /// Seals a greeting. Returns `None` if the body is too large or if there is no key.
     pub fn seal_greeting(&self, body: &[u8]) -> Option<Vec<u8>> {
         self.encode_datagram(DatagramKind::Greeting, 0, 0, body)
     }
@@ -296,7 +303,7 @@
         })
     }
 
-    /// Checks the authentication code and returns the bytes that it covers.
+    /// Checks the size, the version and the authentication code, and returns the bytes that the code covers.
     fn authenticate<'a>(&self, bytes: &'a [u8]) -> Result<&'a [u8], DatagramError> {
         if bytes.len() < OVERHEAD || bytes.len() > MAX_DATAGRAM {
             return Err(DatagramError::InvalidSize);
@@ -326,7 +333,7 @@
             return Err(DatagramError::TooManySenders);
         }
         // The datagram names this instance's incarnation, so its sender has received a message of this incarnation. The
-        // datagram therefore proves the sender's incarnation, and is no recording from before this process started.
+        // sender's incarnation has therefore run since this process started: the datagram is no older recording.
         let peer = self.peers.entry(header.sender).or_default();
         peer.record_datagram(
             kind,
--- a/crates/membership/tests/authentication.rs
+++ b/crates/membership/tests/authentication.rs
@@ -107,7 +107,7 @@
 /// comes back accepts the datagrams sent to it.
 #[test]
 fn remembered_senders_are_limited_and_a_forgotten_one_can_come_back() {
-    // 2,100 balancers, and about as many again that they replaced.
+    // Room for 2,100 balancers and 1,996 predecessors that they replaced.
     const { assert!(MAX_SENDERS >= 4096) };
     let mut sessions = Sessions::new(1, 100, keys(&[SECRET]));
     let answer_from = |id: u64| {
