--- a/crates/membership/src/handshake.rs
+++ b/crates/membership/src/handshake.rs
@@ -15,8 +15,8 @@
 
 /// Minimum time between two greetings to one address, in milliseconds.
 pub const GREETING_INTERVAL_MS: Millis = 100;
-/// Maximum number of addresses greeted within [`GREETING_INTERVAL_MS`]. Further addresses have to wait for a later
-/// attempt of the caller.
+/// Maximum number of addresses greeted within [`GREETING_INTERVAL_MS`]. No greeting is built or queued for a further
+/// address; the caller has to try again later.
 pub const MAX_GREETED_ADDRESSES: usize = 1024;
 /// Length of the window over which answers are counted, in milliseconds.
 const ANSWER_WINDOW_MS: Millis = 1000;
@@ -24,7 +24,7 @@
 /// Why a greeting or an answer is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HandshakeError {
-    /// The identity cannot be decoded, or it belongs to another instance or incarnation than the sender's.
+    /// The identity cannot be decoded, or it belongs to another instance or incarnation than the datagram.
     #[error("the identity cannot be decoded or does not match the datagram's sender")]
     InvalidIdentity,
     /// The sender uses this instance's name.
@@ -58,7 +58,7 @@
 }
 
 impl Handshakes {
-    /// Allows `max_answers` answers per second, which bounds the cost of a flood of greetings.
+    /// Allows `max_answers` answers in each window of one second, which bounds the cost of a flood of greetings.
     pub fn new(max_answers: u32) -> Self {
         Self {
             max_answers,
@@ -68,7 +68,8 @@
     }
 
     /// Builds a greeting for an address. Returns `None` if the address was greeted within [`GREETING_INTERVAL_MS`], if
-    /// [`MAX_GREETED_ADDRESSES`] other addresses were, or if the identity is too large for a datagram.
+    /// [`MAX_GREETED_ADDRESSES`] other addresses were, if the identity is too large for a datagram, or if there is no
+    /// key.
     pub fn build_greeting(
         &mut self,
         now: Millis,
@@ -90,7 +91,7 @@
     }
 
     /// Builds an answer to a greeting sent by `incarnation`. Returns `None` if the limit for the current window is
-    /// reached, or if the identity is too large for a datagram.
+    /// reached, if the identity is too large for a datagram, or if there is no key.
     pub fn build_answer(
         &mut self,
         now: Millis,
@@ -112,7 +113,7 @@
     }
 }
 
-/// The id of the instance with this name. Datagrams carry the id as their sender.
+/// The id of the instance with this name: the XXH3 hash of the name. Datagrams carry the id as their sender.
 pub fn id_of(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -38,6 +38,8 @@
     pub refutations: u32,
 }
 
+/// The library calls the key of a member its address, and keeps one identity per key. Here the key is the name, so that
+/// a later incarnation supersedes an earlier one even if its socket address differs.
 impl foca::Identity for Identity {
     type Addr = String;
 
