--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -70,7 +70,8 @@
 }
 
 impl Membership {
-    /// Creates the membership of an instance that knows no other member. The seed determines the order of probes.
+    /// Creates the membership of an instance that knows no other member. The seed determines the random choices,
+    /// such as the order of probes.
     pub fn new(own_identity: Identity, timing: ProbeTiming, seed: u64) -> Self {
         let non_zero = |n| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
         let periodic = |frequency, num_members| {
--- a/crates/membership/src/replay.rs
+++ b/crates/membership/src/replay.rs
@@ -4,7 +4,8 @@
 use crate::authentication::{DatagramError, DatagramKind};
 use std::collections::VecDeque;
 
-/// Size of the window, in sequence numbers. A datagram that is further behind the highest number is rejected.
+/// Size of the window, in sequence numbers. A datagram whose number is lower than the highest one by this much or more
+/// is rejected.
 const WINDOW: u64 = 1024;
 /// Number of bits in one word of the window.
 const WORD_BITS: u64 = 64;
@@ -15,7 +16,8 @@
 #[derive(Debug, Default)]
 pub(crate) struct Peer {
     windows: VecDeque<ReplayWindow>,
-    /// The highest incarnation whose window was evicted. An unknown incarnation up to this one may be an evicted one.
+    /// The highest incarnation whose window was evicted; 0 for none. Any incarnation up to this one that has no window
+    /// may be an evicted one, so its datagrams are rejected.
     evicted_incarnation: u64,
     /// The incarnation recorded last. Datagrams for the peer are addressed to it.
     pub current_incarnation: Option<u64>,
@@ -34,7 +36,7 @@
 
 impl Peer {
     /// Records a datagram from the peer and returns whether the peer's incarnation is new. Sequence numbers for
-    /// datagrams to a new incarnation start above `first_sequence_number`.
+    /// datagrams to a new incarnation start above `first_sequence_number`. A replayed datagram is an error.
     pub fn record_datagram(
         &mut self,
         kind: DatagramKind,
@@ -87,9 +89,9 @@
             return false;
         }
         if sequence_number > self.highest {
-            let first_skipped = self.highest.max(sequence_number.saturating_sub(WINDOW)) + 1;
-            for skipped in first_skipped..=sequence_number {
-                self.seen[word_index(skipped)] &= !bit_mask(skipped);
+            let first_new = self.highest.max(sequence_number.saturating_sub(WINDOW)) + 1;
+            for number in first_new..=sequence_number {
+                self.seen[word_index(number)] &= !bit_mask(number);
             }
             self.highest = sequence_number;
         }
