--- a/crates/fleet-rig/src/capacity/control.rs
+++ b/crates/fleet-rig/src/capacity/control.rs
@@ -230,7 +230,7 @@
         Row::new(what, scenario, unit, estimate).provided_by(FOLLOWER)
     };
     let idle = || inputs.value_at("follow-bytes", Unit::ByteRate, balancers());
-    let full = || entries(inputs) * inputs.parameter("entry-bytes");
+    let full_copy_bytes = || entries(inputs) * inputs.parameter("entry-bytes");
     let mut rows = vec![
         row("entries held", "all", Unit::Count, entries(inputs))
             .limit(Limit::Hard(
@@ -270,7 +270,7 @@
             .remedy("a change told by one of the two sources alone: missing"),
         );
     }
-    let restarts = full() * inputs.parameter("restarts-a-day") / balancers() / 86_400.0;
+    let restarts = full_copy_bytes() * inputs.parameter("restarts-a-day") / balancers() / 86_400.0;
     rows.push(
         row(
             "bytes, both ways",
@@ -284,7 +284,7 @@
         "bytes of one start, all in all",
         "a restart",
         Unit::Bytes,
-        full(),
+        full_copy_bytes(),
     ));
     rows.push(row(
         "until full, p50",
@@ -549,13 +549,13 @@
             - inputs.constant(MESSAGES_FILE, "MAX_HEADER");
         inputs.struct_field(SOURCE_CONFIG_FILE, "datagrams_per_second") * rows
     };
-    let full = || entries(inputs) * inputs.parameter("entry-bytes");
+    let full_copy_bytes = || entries(inputs) * inputs.parameter("entry-bytes");
     rows.push(
         row(
             "bytes of starts",
             "490 restarts, shared out over the day",
             Unit::ByteRate,
-            full() * inputs.parameter("restarts-a-day") / control_instances() / 86_400.0,
+            full_copy_bytes() * inputs.parameter("restarts-a-day") / control_instances() / 86_400.0,
         )
         .limit(Limit::Internal(budget(), "its stated rate"))
         .provided_by(RATE_LIMITER),
@@ -567,7 +567,7 @@
             "until a region's balancers are full from its one control instance, at the stated rate",
             "a region at once, release of everything at once",
             Unit::Seconds,
-            region * full() / budget(),
+            region * full_copy_bytes() / budget(),
         )
         .provided_by(RATE_LIMITER),
     );
@@ -576,7 +576,7 @@
             "until all are full from one control instance",
             "all but one lost, all start at once",
             Unit::Seconds,
-            balancers() * full() / budget(),
+            balancers() * full_copy_bytes() / budget(),
         )
         .provided_by(RATE_LIMITER),
     );
--- a/crates/fleet-rig/src/distribution/chaos.rs
+++ b/crates/fleet-rig/src/distribution/chaos.rs
@@ -1,94 +1,95 @@
-//! Faults drawn from a seed: kills, starts with nothing, freezes, cuts between any sets, also one-way, lost, doubled
-//! and late datagrams, and forged ones; then all is healed, and judged once it is quiet.
+//! Runs with random faults drawn from a seed: crashes, restarts without state, freezes, cuts between arbitrary sets of
+//! instances (also one-way), lost, duplicated, delayed and forged datagrams. All faults end before the final check.
 
-use super::checker::Wrong;
-use super::world::{CONTROLS, Fault, Plan, Planted, REGIONS, World, key};
+use super::checker::Violation;
+use super::world::{CONTROLS, Fault, InjectedBug, Plan, REGIONS, World, key};
 use rand::{Rng, RngExt};
 use rand_chacha::ChaCha8Rng;
 use spanspur_leases::Millis;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The control instances find each other and the first rows are written.
-const FIRST: Millis = 15_000;
-/// Faults from here to there.
-const FAULTS: (Millis, Millis) = (20_000, 170_000);
-/// All is healed, and quiet from here on; judged then.
-const HEALED: Millis = 175_000;
-const JUDGED: Millis = 265_000;
-/// Control instances that are down, frozen or have not yet heard all again, at once at most.
-const MAX_WEAK: usize = 4;
-/// One that started with nothing has heard all again by then.
-const REFILLED: Millis = 30_000;
+/// Start of the followers, in ms; by then the control instances have formed a cluster and written the first rows.
+const FOLLOWERS_START: Millis = 15_000;
+/// First and last time of new faults, in ms.
+const FAULT_SPAN: (Millis, Millis) = (20_000, 170_000);
+/// End of all faults and changes, in ms.
+const HEALED_AT: Millis = 175_000;
+/// Time of the final check, in ms.
+const CHECKED_AT: Millis = 265_000;
+/// Largest number of control instances that are down, frozen or still recovering at the same time.
+const MAX_IMPAIRED: usize = 4;
+/// Time in which a control instance that restarted without state has received all entries again, in ms.
+const RECOVERY_TIME: Millis = 30_000;
 
-/// What came of a seed.
+/// Result of one seed.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// Which.
+    /// The seed.
     pub seed: u64,
-    /// What was wrong, and how often.
-    pub wrong: BTreeMap<Wrong, u64>,
-    /// Of it, told.
-    pub told: Vec<String>,
-    /// Faults played, changes made, and entries looked at.
+    /// Number of violations of each kind.
+    pub violations: BTreeMap<Violation, u64>,
+    /// Descriptions of the first violations.
+    pub descriptions: Vec<String>,
+    /// Number of injected faults.
     pub faults: usize,
-    /// See `faults`.
+    /// Number of changes of the truth.
     pub changes: usize,
-    /// See `faults`.
-    pub looks: u64,
-    /// What sources and followers counted.
+    /// Number of checked entries.
+    pub checks: u64,
+    /// Counters of all sources and followers, added up.
     pub counted: BTreeMap<String, u64>,
 }
 
 impl Outcome {
-    /// Whether nothing was wrong.
+    /// Whether there was no violation.
     pub fn sound(&self) -> bool {
-        self.wrong.is_empty()
+        self.violations.is_empty()
     }
 }
 
-/// Plays a seed.
-pub fn play(seed: u64, followers: usize, planted: Planted) -> Outcome {
+/// Runs one seed.
+pub fn run_seed(seed: u64, followers: usize, injected_bug: InjectedBug) -> Outcome {
     let plan = Plan {
         followers,
-        planted,
-        scan: true,
+        injected_bug,
+        check_all_entries: true,
         ..Plan::default()
     };
     let keys = plan.entries;
     let mut world = World::new(plan, seed);
-    world.start_followers(FIRST, 5000);
-    changes(&mut world, keys);
-    let faults = script(&mut world);
-    let count = faults.len();
+    world.start_followers(FOLLOWERS_START, 5000);
+    schedule_changes(&mut world, keys);
+    let faults = generate_faults(&mut world);
+    let fault_count = faults.len();
     for (at, fault) in faults {
         world.at(at, fault);
     }
-    world.run_until(HEALED);
-    world.at(HEALED, Fault::Heal);
-    world.at(HEALED, Fault::Network(0.01, 0.01, 0.0));
+    world.run_until(HEALED_AT);
+    world.at(HEALED_AT, Fault::Heal);
+    world.at(HEALED_AT, Fault::Network(0.01, 0.01, 0.0));
     for i in 0..CONTROLS + followers {
-        world.at(HEALED, Fault::Thaw(i));
-        world.at(HEALED, Fault::Start(i));
+        world.at(HEALED_AT, Fault::Thaw(i));
+        world.at(HEALED_AT, Fault::Start(i));
     }
-    world.run_until(JUDGED);
-    world.last_look();
+    world.run_until(CHECKED_AT);
+    world.final_check();
     let all = 0..CONTROLS + followers;
     Outcome {
         seed,
-        wrong: world.checker.wrong.clone(),
-        told: world.checker.told.clone(),
-        faults: count,
+        violations: world.checker.violations.clone(),
+        descriptions: world.checker.descriptions.clone(),
+        faults: fault_count,
         changes: world.checker.changes.len(),
-        looks: world.checker.looks,
+        checks: world.checker.checks,
         counted: world.counters(all),
     }
 }
 
-/// Rows change, go, come back and are new, a few of them again and again.
-fn changes(world: &mut World, keys: usize) {
-    let mut at = FAULTS.0;
+/// Schedules changed, removed, restored and new rows; ten rows change most often.
+fn schedule_changes(world: &mut World, keys: usize) {
+    let mut at = FAULT_SPAN.0;
     let mut new = keys;
-    while at < HEALED {
+    while at < HEALED_AT {
         at += world.random().random_range(50..900);
         let hot = world.random().random_range(0..10);
         let any = world.random().random_range(0..keys);
@@ -106,25 +107,25 @@
     }
 }
 
-fn some(random: &mut ChaCha8Rng, all: usize) -> Vec<usize> {
+fn random_subset(random: &mut ChaCha8Rng, all: usize) -> Vec<usize> {
     let share = random.random_range(0.1..0.7);
     (0..all).filter(|_| random.random_bool(share)).collect()
 }
 
-fn script(world: &mut World) -> Vec<(Millis, Fault)> {
+fn generate_faults(world: &mut World) -> Vec<(Millis, Fault)> {
     let all = CONTROLS + world.plan.followers;
-    let splits: Vec<_> = (0..REGIONS as u32).map(|r| world.split(r)).collect();
+    let splits: Vec<_> = (0..REGIONS as u32).map(|r| world.split_region(r)).collect();
     let seed = world.random().next_u64();
     let random = &mut <ChaCha8Rng as rand::SeedableRng>::seed_from_u64(seed);
     let mut faults = Vec::new();
-    // Until when each control instance is weak, and each process is busy with a fault.
-    let mut weak = [0; CONTROLS];
-    let mut busy = vec![0; all];
-    let mut at = FAULTS.0;
-    while at < FAULTS.1 {
+    // Until when each control instance is impaired, and each process is affected by a fault.
+    let mut impaired_until = [0; CONTROLS];
+    let mut busy_until = vec![0; all];
+    let mut at = FAULT_SPAN.0;
+    while at < FAULT_SPAN.1 {
         at += random.random_range(500..4000);
         let span = random.random_range(500..20_000);
-        let end = (at + span).min(FAULTS.1 + 4000);
+        let end = (at + span).min(FAULT_SPAN.1 + 4000);
         match random.random_range(0..12) {
             what @ 0..6 => {
                 let control = what < 4;
@@ -133,17 +134,17 @@
                     false => random.random_range(CONTROLS..all),
                 };
                 let freeze = random.random_bool(0.5);
-                if busy[i] > at {
+                if busy_until[i] > at {
                     continue;
                 }
                 if control {
-                    let others = weak.iter().filter(|until| **until > at).count();
-                    if others >= MAX_WEAK {
+                    let others = impaired_until.iter().filter(|until| **until > at).count();
+                    if others >= MAX_IMPAIRED {
                         continue;
                     }
-                    weak[i] = end + if freeze { 0 } else { REFILLED };
+                    impaired_until[i] = end + if freeze { 0 } else { RECOVERY_TIME };
                 }
-                busy[i] = end + 1;
+                busy_until[i] = end + 1;
                 let (first, then) = match freeze {
                     true => (Fault::Freeze(i), Fault::Thaw(i)),
                     false => (Fault::Kill(i), Fault::Start(i)),
@@ -151,20 +152,20 @@
                 faults.extend([(at, first), (end, then)]);
             }
             6 => {
-                // Everybody of a region starts again at once.
+                // All followers of a region restart at once.
                 let region = &splits[random.random_range(0..REGIONS)].0;
                 let of = region.iter().copied().filter(|i| *i >= CONTROLS);
-                for i in of.filter(|i| busy[*i] <= at).collect::<Vec<_>>() {
-                    busy[i] = at + 101;
+                for i in of.filter(|i| busy_until[*i] <= at).collect::<Vec<_>>() {
+                    busy_until[i] = at + 101;
                     faults.extend([(at, Fault::Kill(i)), (at + 100, Fault::Start(i))]);
                 }
             }
             7 | 8 => {
                 let (a, b) = match random.random_range(0..3) {
                     0 => splits[random.random_range(0..REGIONS)].clone(),
-                    1 => (some(random, all), some(random, all)),
+                    1 => (random_subset(random, all), random_subset(random, all)),
                     _ => {
-                        let a: BTreeSet<usize> = some(random, all).into_iter().collect();
+                        let a: BTreeSet<usize> = random_subset(random, all).into_iter().collect();
                         let b = (0..all).filter(|i| !a.contains(i)).collect();
                         (a.into_iter().collect(), b)
                     }
@@ -199,8 +200,8 @@
     faults
 }
 
-/// Plays many seeds on a few threads; tells what each came to.
-pub fn many(seeds: std::ops::Range<u64>, followers: usize, jobs: usize) -> Vec<Outcome> {
+/// Runs a range of seeds on `jobs` threads; returns the results in order of the seeds.
+pub fn run_seeds(seeds: std::ops::Range<u64>, followers: usize, jobs: usize) -> Vec<Outcome> {
     let next = std::sync::atomic::AtomicU64::new(seeds.start);
     let work = || {
         let mut outcomes = Vec::new();
@@ -209,13 +210,13 @@
             if seed >= seeds.end {
                 return outcomes;
             }
-            outcomes.push(play(seed, followers, Planted::None));
+            outcomes.push(run_seed(seed, followers, InjectedBug::None));
         }
     };
     let mut all: Vec<Outcome> = std::thread::scope(|scope| {
         let threads: Vec<_> = (0..jobs).map(|_| scope.spawn(work)).collect();
         let joined = threads.into_iter().map(|t| t.join());
-        joined.flat_map(|of| of.expect("a play ends")).collect()
+        joined.flat_map(|of| of.expect("a run panicked")).collect()
     });
     all.sort_by_key(|outcome| outcome.seed);
     all
--- a/crates/fleet-rig/src/distribution/checker.rs
+++ b/crates/fleet-rig/src/distribution/checker.rs
@@ -1,64 +1,64 @@
-//! What was written, what each follower holds, and what of it is wrong.
+//! Records what was written and what each follower holds, and reports violations.
 
 use spanspur_leases::GossipEntry;
 use spanspur_leases::Millis;
 use std::collections::{BTreeMap, HashMap};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Descriptions that are kept; all are counted.
-const MAX_TOLD: usize = 50;
+/// Number of violations whose description is kept; all are counted.
+const MAX_DESCRIPTIONS: usize = 50;
 
-/// What must not be.
+/// A violated guarantee. The variant names appear in results.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Wrong {
-    /// A follower holds a lower version than it held before, or none any more.
+pub enum Violation {
+    /// A follower holds a lower version of an entry than before, or has lost an entry.
     Back,
-    /// A follower holds an entry that it held as removed, at a lower version.
+    /// A follower holds an entry that it held as removed, now at a lower version.
     Returned,
-    /// A follower holds what nobody wrote.
+    /// A follower holds an entry that was never written.
     Invented,
     /// Two values were written under one version.
     Twofold,
-    /// All is healed and quiet, and a follower lacks what was written, or holds something else.
+    /// After recovery a follower or the writer lacks an entry, or holds a different one.
     Lost,
 }
 
-/// One change of the truth that the writer watches.
+/// One change of the truth.
 #[derive(Clone, Debug)]
 pub struct Change {
-    /// Its key.
+    /// The changed key.
     pub key: u64,
-    /// When it was made.
+    /// Time of the change, in ms.
     pub at: Millis,
-    /// Which follower had it, or a later one of the key, in force when.
+    /// For each follower, when it first held the change or a later change of the key.
     pub in_force: Vec<(u32, Millis)>,
 }
 
-/// See the module's page.
+/// Checks what followers hold against what was written.
 #[derive(Debug, Default)]
 pub struct Checker {
-    /// What each version of a key was written with, and the last change of the key when it was.
+    /// By key and version: the hash of the value, and the index after the key's last change at the time of the write.
     written: HashMap<(u64, u64), (u64, usize)>,
-    /// By follower and key: the version held, whether as removed, and the last change that it contains.
+    /// By follower and key: the version held, whether it is a removal, and the index after the last change it contains.
     held: Vec<HashMap<u64, (u64, bool, usize)>>,
-    /// All changes, and those of each key.
+    /// All changes, in order.
     pub changes: Vec<Change>,
     by_key: HashMap<u64, Vec<usize>>,
-    /// How often what was wrong.
-    pub wrong: BTreeMap<Wrong, u64>,
-    /// The first of it, told.
-    pub told: Vec<String>,
-    /// Entries that were looked at.
-    pub looks: u64,
+    /// Number of violations of each kind.
+    pub violations: BTreeMap<Violation, u64>,
+    /// Descriptions of the first violations.
+    pub descriptions: Vec<String>,
+    /// Number of checked entries.
+    pub checks: u64,
 }
 
-/// Whether an entry of the rig says that the key is removed.
+/// Whether an entry of the simulation marks its key as removed.
 pub fn is_removed(entry: &GossipEntry) -> bool {
     entry.value.get(1) == Some(&2)
 }
 
 impl Checker {
-    /// For so many followers.
+    /// Creates a checker for a number of followers.
     pub fn new(followers: usize) -> Self {
         Self {
             held: vec![HashMap::new(); followers],
@@ -66,21 +66,21 @@
         }
     }
 
-    /// Whether nothing was wrong.
+    /// Whether there was no violation.
     pub fn sound(&self) -> bool {
-        self.wrong.is_empty()
+        self.violations.is_empty()
     }
 
-    /// Puts down something wrong.
-    pub fn wrong(&mut self, what: Wrong, text: String) {
-        *self.wrong.entry(what).or_default() += 1;
-        if self.told.len() < MAX_TOLD {
-            self.told.push(format!("{what:?}: {text}"));
+    /// Records a violation.
+    pub fn report(&mut self, kind: Violation, text: String) {
+        *self.violations.entry(kind).or_default() += 1;
+        if self.descriptions.len() < MAX_DESCRIPTIONS {
+            self.descriptions.push(format!("{kind:?}: {text}"));
         }
     }
 
-    /// The truth has changed.
-    pub fn changed(&mut self, now: Millis, key: u64) {
+    /// Records a change of the truth.
+    pub fn record_change(&mut self, now: Millis, key: u64) {
         self.by_key.entry(key).or_default().push(self.changes.len());
         self.changes.push(Change {
             key,
@@ -89,16 +89,16 @@
         });
     }
 
-    /// A writer has written an entry.
-    pub fn wrote(&mut self, now: Millis, by: usize, entry: &GossipEntry) {
+    /// Records an entry written by a control instance.
+    pub fn record_write(&mut self, now: Millis, writer: usize, entry: &GossipEntry) {
         let value = xxh3_64(&entry.value);
         let last = self.by_key.get(&entry.key).and_then(|of| of.last());
         let change = last.map_or(0, |last| last + 1);
         let place = (entry.key, entry.version);
         let (before, _) = *self.written.entry(place).or_insert((value, change));
         if before != value {
-            let text = format!("{now} c{by} writes {place:x?} anew");
-            self.wrong(Wrong::Twofold, text);
+            let text = format!("{now} c{writer} writes {place:x?} anew");
+            self.report(Violation::Twofold, text);
         }
     }
 
@@ -108,14 +108,14 @@
         keys.into_iter()
     }
 
-    /// A follower starts with nothing.
-    pub fn restarted(&mut self, follower: usize) {
+    /// Forgets what a follower held; it restarts without state.
+    pub fn reset_follower(&mut self, follower: usize) {
         self.held[follower].clear();
     }
 
-    /// What a follower holds for a key.
-    pub fn holds(&mut self, now: Millis, follower: usize, entry: &GossipEntry) {
-        self.looks += 1;
+    /// Checks an entry that a follower holds.
+    pub fn check_entry(&mut self, now: Millis, follower: usize, entry: &GossipEntry) {
+        self.checks += 1;
         let before = self.held[follower].get(&entry.key).copied();
         let removed = is_removed(entry);
         if before.is_some_and(|before| before.0 == entry.version && before.1 == removed) {
@@ -129,18 +129,18 @@
         let change = match self.written.get(&(entry.key, entry.version)) {
             Some((written, change)) if *written == value => *change,
             _ => {
-                self.wrong(Wrong::Invented, text());
+                self.report(Violation::Invented, text());
                 0
             }
         };
         if let Some((version, was_removed, _)) = before
             && entry.version < version
         {
-            let what = match was_removed && !removed {
-                true => Wrong::Returned,
-                false => Wrong::Back,
+            let kind = match was_removed && !removed {
+                true => Violation::Returned,
+                false => Violation::Back,
             };
-            self.wrong(what, text());
+            self.report(kind, text());
         }
         let seen = before.map_or(0, |before| before.2);
         if let Some(of) = self.by_key.get(&entry.key) {
@@ -152,8 +152,8 @@
         self.held[follower].insert(entry.key, now_held);
     }
 
-    /// All that a follower holds: what it held before must be among it.
-    pub fn scan<'a>(
+    /// Checks all entries of a follower; none that it held before may be missing.
+    pub fn check_all<'a>(
         &mut self,
         now: Millis,
         follower: usize,
@@ -162,39 +162,39 @@
         let mut count = 0;
         for entry in entries {
             count += 1;
-            self.holds(now, follower, entry);
+            self.check_entry(now, follower, entry);
         }
         let known = self.held[follower].len();
         if count < known {
             let text = format!("{now} follower {follower}: {count} of {known} entries left");
-            self.wrong(Wrong::Back, text);
+            self.report(Violation::Back, text);
         }
     }
 
-    /// All is quiet: a follower must hold exactly this.
-    pub fn last_look<'a>(
+    /// Checks after recovery that a follower holds exactly the expected entries.
+    pub fn final_check<'a>(
         &mut self,
         now: Millis,
         follower: usize,
         entries: impl Iterator<Item = &'a GossipEntry>,
-        right: &BTreeMap<u64, GossipEntry>,
+        expected: &BTreeMap<u64, GossipEntry>,
     ) {
         let (mut count, mut differ) = (0, Vec::new());
         for entry in entries {
             count += 1;
-            if right.get(&entry.key) != Some(entry) {
+            if expected.get(&entry.key) != Some(entry) {
                 differ.push((entry.key, entry.version));
             }
         }
-        if count != right.len() || !differ.is_empty() {
+        if count != expected.len() || !differ.is_empty() {
             let first = differ.first();
             let text = format!(
                 "{now} follower {follower}: {count} entries for {}, {} differ, first {first:x?} for {:x?}",
-                right.len(),
+                expected.len(),
                 differ.len(),
-                first.map(|(key, _)| right.get(key).map(|e| e.version))
+                first.map(|(key, _)| expected.get(key).map(|e| e.version))
             );
-            self.wrong(Wrong::Lost, text);
+            self.report(Violation::Lost, text);
         }
     }
 }
--- a/crates/fleet-rig/src/distribution/measure.rs
+++ b/crates/fleet-rig/src/distribution/measure.rs
@@ -1,10 +1,11 @@
-//! The sized runs: how long a change takes, what a balancer and a control instance spend, a region cut off for an hour,
-//! and the start of everybody. Results are kept as data, part by part, and the page is made from them.
+//! Measurements at fleet size: propagation delay of changes, costs of a balancer and of a control instance, a region cut
+//! off for an hour, and simultaneous starts. Results are stored as data, part by part, and the page is generated from
+//! them.
 
 use super::chaos;
-use super::checker::Wrong;
-use super::sockets::{self, Play, Sockets};
-use super::world::{self, CONTROLS, Fault, Meter, Plan, REGIONS, VALUE, World, key};
+use super::checker::Violation;
+use super::sockets::{self, SocketRunConfig, Sockets};
+use super::world::{self, CONTROLS, Fault, Meter, Plan, REGIONS, VALUE_BYTES, World, key};
 use crate::charts;
 use crate::series::{MeasuredSeries, Series};
 use hdrhistogram::Histogram;
@@ -18,32 +19,32 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// The balancers and the servers that the operators name.
+/// Number of balancers and servers as stated by the operators.
 const BALANCERS: usize = 2100;
 const SERVERS: usize = 630;
-/// Followers of the stepped runs, and entries.
+/// Numbers of followers and of entries in the runs at stepped sizes.
 const FOLLOWERS: [usize; 6] = [100, 300, 600, 1000, 1500, 2100];
 const ENTRIES: [usize; 5] = [630, 1000, 2500, 5000, 10_000];
-/// Followers of the runs over sockets, their changes, and for how long the rest is measured.
-const OVER_SOCKETS: [usize; 4] = [100, 300, 1000, 2100];
+/// Runs over sockets: numbers of followers, number of changes, and duration of the measurement at rest.
+const SOCKET_FOLLOWERS: [usize; 4] = [100, 300, 1000, 2100];
 const SOCKET_CHANGES: usize = 10;
-const SOCKET_REST: Duration = Duration::from_secs(5);
-/// Followers that start one after another where the time until they are full is taken.
-const FILLING: usize = 60;
-/// Runs behind each point.
+const SOCKET_IDLE_TIME: Duration = Duration::from_secs(5);
+/// Number of followers that start one after another to measure the time until they are synchronized.
+const STARTING_FOLLOWERS: usize = 60;
+/// Runs (seeds) for each measured point.
 const RUNS: u64 = 3;
-/// The control instances have found each other, and hold all.
-const CONTROL: Millis = 30_000;
-/// The letter's changes in a day, and those of a burst.
-const A_DAY: f64 = 5700.0;
+/// Time by which the control instances have formed a cluster and hold all entries, in ms.
+const CONTROLS_READY: Millis = 30_000;
+/// Required rate of changes per day, and the size of a burst.
+const CHANGES_PER_DAY: f64 = 5700.0;
 const BURST: usize = 100;
-/// An entry travels as its key, its version and its value.
-const ENTRY: usize = 16 + VALUE;
+/// Size of an entry on the wire: key, version and value.
+const ENTRY_BYTES: usize = 16 + VALUE_BYTES;
 
-/// The counter of sources that counts datagrams of entries or hashes.
-const PIECES: &str = "pieces";
+/// Name of the source counter for datagrams with entries or hashes.
+const PIECES_COUNTER: &str = "pieces";
 
-/// The rate that a source states, and what its schedule lets through in a second at most: see `Pace`.
+/// The configured rate of a source, and the most datagrams its `RateLimiter` allows in any one second.
 fn budget() -> (u64, u64) {
     let limits = Limits::default();
     let rate = u64::from(limits.datagrams_per_second);
@@ -51,180 +52,180 @@
     (rate, most)
 }
 
-/// p50, p99 and the last, in ms, of so many.
+/// Summary of durations in ms.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Spread {
-    /// Half of them came within this.
+    /// Median.
     pub p50: u64,
-    /// 99 of 100 did.
+    /// 99th percentile.
     pub p99: u64,
-    /// All did.
+    /// Maximum.
     pub last: u64,
-    /// How many.
+    /// Number of durations.
     pub count: u64,
 }
 
-/// Changes in force at all followers.
+/// Result of [`measure_delay`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Delay {
-    /// What it was like.
+    /// Description of the run.
     pub what: String,
-    /// Balancers.
+    /// Number of balancers.
     pub followers: usize,
-    /// Changes.
+    /// Number of changes.
     pub changes: usize,
-    /// For each change and follower.
+    /// Delay of each change at each follower.
     pub each: Spread,
-    /// For each change, until the last follower had it.
+    /// Delay of each change until the last follower held it.
     pub everywhere: Spread,
-    /// Of a change and a follower, not in force half a minute after the last change.
+    /// Pairs of change and follower not in effect half a minute after the last change.
     pub missing: usize,
-    /// Seconds of ours, and of virtual time.
+    /// Wall-clock time of the run, in seconds.
     pub wall: f64,
-    /// See `wall`.
+    /// Virtual time of the run, in seconds.
     pub played: f64,
 }
 
-/// What an instance spends in a second, and keeps.
+/// Resource usage of an instance. Rates are per second.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct Spent {
     /// Bytes sent and received.
     pub bytes: f64,
     /// Datagrams sent and received.
     pub datagrams: f64,
-    /// Microseconds of a processor.
+    /// CPU time in microseconds.
     pub cpu: f64,
-    /// Bytes kept.
+    /// Allocated bytes.
     pub memory: f64,
 }
 
-/// Costs at rest.
+/// Result of [`measure_cost`]: resource usage at rest.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Cost {
-    /// Balancers, entries and the seed.
+    /// Number of balancers.
     pub followers: usize,
-    /// See `followers`.
+    /// Number of entries.
     pub entries: usize,
-    /// See `followers`.
+    /// The seed.
     pub seed: u64,
-    /// A balancer's mean, and the one that spends most.
+    /// Mean of the balancers.
     pub follow: Spent,
-    /// See `follow`.
+    /// Maximum over the balancers, separately for each resource.
     pub follow_most: Spent,
-    /// The busiest control instance, with its node, and the mean of the nine.
+    /// Maximum over the control instances, including their nodes, separately for each resource.
     pub control: Spent,
-    /// See `control`.
+    /// Mean of the control instances, including their nodes.
     pub control_mean: Spent,
-    /// Of the mean, what the node spends: membership, claims and board.
+    /// Share of the cluster node in `control_mean`: membership, leases and gossip.
     pub node: Spent,
-    /// Followers that were full when the measuring began.
+    /// Number of followers that were synchronized when the measurement began.
     pub full: usize,
-    /// Seconds of ours.
+    /// Wall-clock time of the run, in seconds.
     pub wall: f64,
 }
 
-/// Followers that start one after another.
+/// Result of [`measure_filling`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Filling {
-    /// Entries and the seed.
+    /// Number of entries.
     pub entries: usize,
-    /// See `entries`.
+    /// The seed.
     pub seed: u64,
-    /// From the start of a follower until it is full.
+    /// Time from the start of a follower until it is synchronized.
     pub until_full: Spread,
-    /// Bytes that a follower keeps.
+    /// Mean of the bytes allocated by a follower.
     pub memory: f64,
-    /// Seconds of ours.
+    /// Wall-clock time of the run, in seconds.
     pub wall: f64,
 }
 
-/// A region cut off.
+/// Result of [`measure_cut`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Cut {
-    /// What it was like.
+    /// Description of the run.
     pub what: String,
-    /// Its balancers, the seconds of the cut, the changes in it, and all entries.
+    /// Number of balancers in the region.
     pub followers: usize,
-    /// See `followers`.
+    /// Duration of the cut, in seconds.
     pub seconds: u64,
-    /// See `followers`.
+    /// Number of changes during the cut.
     pub changes: usize,
-    /// See `followers`.
+    /// Number of entries.
     pub entries: usize,
-    /// From the healing until a change is in force, by change and follower.
+    /// Time from the end of the cut until a change is in effect, for each change and follower of the region.
     pub each: Spread,
-    /// Of these, not in force a minute after the healing.
+    /// Pairs of change and follower not in effect a minute after the end of the cut.
     pub missing: usize,
-    /// Bytes that the region's balancers received over those at rest, in the minute after the healing.
+    /// Bytes received by the region's balancers in the minute after the cut, less those of a minute at rest.
     pub bytes: f64,
-    /// What all entries would have been, and the entries that changed.
+    /// Size of all entries, times the region's balancers.
     pub all: f64,
-    /// See `all`.
+    /// Size of the changed entries, times the region's balancers.
     pub changed: f64,
-    /// From the healing until the region's own control instances hold all, over the board's comparison; `None`: not
-    /// within a minute.
+    /// Time from the end of the cut until the region's own control instances hold all entries, in ms; `None` if longer
+    /// than a minute. They receive the entries by the comparison of gossip stores.
     pub control: Option<u64>,
-    /// What a balancer said of its age at the end of the cut, in ms: the least of the region.
+    /// Lowest data age that a balancer of the region reported at the end of the cut, in ms.
     pub age: u64,
-    /// Seconds of ours.
+    /// Wall-clock time of the run, in seconds.
     pub wall: f64,
 }
 
-/// A start of many at once.
+/// Result of [`measure_simultaneous_start`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Start {
-    /// Balancers that start, of all, and entries.
+    /// Number of balancers that start.
     pub starting: usize,
-    /// See `starting`.
+    /// Number of all balancers.
     pub followers: usize,
-    /// See `starting`.
+    /// Number of entries.
     pub entries: usize,
-    /// From the start until full.
+    /// Time from the start until a balancer is synchronized.
     pub until_full: Spread,
-    /// Not full after the longest wait.
+    /// Number of balancers not synchronized when the run ended.
     pub missing: usize,
-    /// The most pieces, bytes and datagrams that any control instance sent in any second.
+    /// The most datagrams with entries or hashes that a control instance sent in any second.
     pub pieces: u64,
-    /// See `pieces`.
+    /// The most bytes that a control instance sent in any second.
     pub bytes: u64,
-    /// See `pieces`.
+    /// The most datagrams that a control instance sent in any second.
     pub datagrams: u64,
-    /// Pieces a second that a source states, and the most that its schedule lets through in any second.
+    /// Limits for `pieces`: the configured rate of a source, and the most its rate limiter allows in any second.
     pub budget: (u64, u64),
-    /// What sources and followers counted meanwhile.
+    /// Increase of the counters of sources and followers during the start.
     pub counted: BTreeMap<String, u64>,
-    /// Seconds of ours.
+    /// Wall-clock time of the run, in seconds.
     pub wall: f64,
 }
 
-/// Many seeds of faults.
+/// Result of [`measure_seeds`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Seeds {
-    /// The first, and how many.
+    /// The first seed.
     pub first: u64,
-    /// See `first`.
+    /// Number of seeds.
     pub seeds: u64,
-    /// Balancers of each.
+    /// Number of balancers in each run.
     pub followers: usize,
-    /// Faults, changes and looks of all.
+    /// Total number of injected faults.
     pub faults: usize,
-    /// See `faults`.
+    /// Total number of changes.
     pub changes: usize,
-    /// See `faults`.
+    /// Total number of checked entries.
     pub looks: u64,
-    /// Seeds that were not sound, each with the first thing wrong.
+    /// Seeds with violations, each with the description of the first one.
     pub unsound: BTreeMap<u64, String>,
-    /// How often what was wrong.
+    /// Number of violations of each kind.
     pub wrong: BTreeMap<String, u64>,
-    /// Seconds of ours.
+    /// Wall-clock time of the run, in seconds.
     pub wall: f64,
 }
 
-/// All that was measured.
+/// All stored results.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Results {
-    /// The machine.
+    /// Processor of the machine of the last run.
     pub machine: String,
     delays: Vec<Delay>,
     costs: Vec<Cost>,
@@ -235,27 +236,29 @@
     sockets: Vec<Sockets>,
 }
 
-/// A part of the runs.
+/// A group of runs that is measured and stored together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Part {
-    /// Changes in force.
+    /// Propagation delay of changes.
     Delay,
-    /// Costs at rest by followers.
+    /// Costs at rest, by number of followers.
     Cost,
-    /// Memory and time until full by entries.
+    /// Memory and time until synchronized, by number of entries.
     Entries,
-    /// A region cut off.
+    /// A region that is cut off.
     Cut,
-    /// The start of many.
+    /// Simultaneous starts.
     Start,
-    /// Over sockets in real time.
+    /// Runs over sockets in real time.
     Sockets,
 }
 
-pub(super) fn spread(values: impl IntoIterator<Item = u64>) -> Spread {
-    let mut histogram = Histogram::<u64>::new(3).expect("three digits");
+pub(super) fn summarize(values: impl IntoIterator<Item = u64>) -> Spread {
+    let mut histogram = Histogram::<u64>::new(3).expect("three digits are supported");
     for value in values {
-        histogram.record(value).expect("in range");
+        histogram
+            .record(value)
+            .expect("a histogram without an upper bound takes every value");
     }
     Spread {
         p50: histogram.value_at_quantile(0.5),
@@ -265,45 +268,45 @@
     }
 }
 
-/// A world whose followers have all started and are at rest.
-fn rested(plan: Plan, seed: u64) -> World {
+/// Creates a simulation whose followers have all started and are synchronized, or had ten minutes for it.
+fn world_at_rest(plan: Plan, seed: u64) -> World {
     let followers = plan.followers as u64;
     let mut world = World::new(plan, seed);
-    world.run_until(CONTROL);
-    // As fast as 100 a second, so that nobody has to wait for a budget.
+    world.run_until(CONTROLS_READY);
+    // 100 starts per second, slow enough that no rate limit delays them.
     let span = followers * 10;
-    world.start_followers(CONTROL, span);
-    let mut end = CONTROL + span + 10_000;
+    world.start_followers(CONTROLS_READY, span);
+    let mut end = CONTROLS_READY + span + 10_000;
     world.run_until(end);
-    while end < CONTROL + span + 600_000 && !all_full(&world) {
+    while end < CONTROLS_READY + span + 600_000 && !all_synchronized(&world) {
         end += 1000;
         world.run_until(end);
     }
     world
 }
 
-fn all_full(world: &World) -> bool {
+fn all_synchronized(world: &World) -> bool {
     let mut all = world.followers();
-    all.all(|i| world.full_at[i].is_some())
+    all.all(|i| world.synchronized_at[i].is_some())
 }
 
-/// Which control instances die in a run of [`delay`].
+/// Which control instances crash in a run of [`measure_delay`].
 #[derive(Clone, Copy, Debug)]
-pub enum Dead {
-    /// None.
-    Nobody,
-    /// These, half a minute before the first change.
-    Before([usize; 2]),
-    /// The writer and another one, in the middle of the burst.
-    Writer,
+pub enum Failures {
+    /// No control instance.
+    None,
+    /// These two, half a minute before the first change.
+    BeforeChanges([usize; 2]),
+    /// The writer and one other, in the middle of the burst.
+    WriterInBurst,
 }
 
-/// How long changes take.
-pub fn delay(
+/// Measures the time until changes are in effect, at the required rate over `minutes` with a burst in the middle.
+pub fn measure_delay(
     what: &str,
     followers: usize,
     loss: f64,
-    dead: Dead,
+    failures: Failures,
     minutes: u64,
     seed: u64,
 ) -> Delay {
@@ -313,16 +316,18 @@
         entries: SERVERS,
         ..Plan::default()
     };
-    let mut world = rested(plan, seed);
+    let mut world = world_at_rest(plan, seed);
     world.at(world.now, Fault::Network(loss, 0.01, 0.0));
     let mut from = world.now + 1000;
-    if let Dead::Before(dead) = dead {
-        dead.iter().for_each(|i| world.at(from, Fault::Kill(*i)));
+    if let Failures::BeforeChanges(failures) = failures {
+        failures
+            .iter()
+            .for_each(|i| world.at(from, Fault::Kill(*i)));
         from += 30_000;
     }
     let span = minutes * 60_000;
-    let count = (A_DAY / 86_400_000.0 * span as f64).round() as usize;
-    // Spread over the span, and a burst in its middle minute.
+    let count = (CHANGES_PER_DAY / 86_400_000.0 * span as f64).round() as usize;
+    // Changes are spread over the span, with a burst in the minute after its middle.
     let mut times: Vec<Millis> = (0..count)
         .map(|_| from + world.random().random_range(0..span))
         .collect();
@@ -330,14 +335,14 @@
     times.extend((0..BURST).map(|_| middle + world.random().random_range(0..60_000)));
     for (n, at) in times.iter().enumerate() {
         let fault = match n % 8 {
-            // A row in eight goes, one is new, the others change.
+            // Of eight rows one is removed, one is new, and the others change.
             0 => Fault::Remove(key(SERVERS - 1 - n)),
             1 => Fault::Set(key(SERVERS + n)),
             _ => Fault::Set(key(n * 3 % (SERVERS / 2))),
         };
         world.at(*at, fault);
     }
-    if let Dead::Writer = dead {
+    if let Failures::WriterInBurst = failures {
         world.run_until(middle + 30_000);
         let writer = world.writer().unwrap_or(0);
         world.at(world.now, Fault::Kill(writer));
@@ -346,29 +351,29 @@
     world.run_until(from + span + 60_000 + 30_000);
     let (mut each, mut everywhere, mut missing) = (Vec::new(), Vec::new(), 0);
     for change in &world.checker.changes {
-        let took = change.in_force.iter().map(|(_, at)| at - change.at);
-        everywhere.push(took.clone().max().unwrap_or(0));
-        each.extend(took);
+        let durations = change.in_force.iter().map(|(_, at)| at - change.at);
+        everywhere.push(durations.clone().max().unwrap_or(0));
+        each.extend(durations);
         missing += followers - change.in_force.len();
     }
     Delay {
         what: what.to_owned(),
         followers,
         changes: times.len(),
-        each: spread(each),
-        everywhere: spread(everywhere),
+        each: summarize(each),
+        everywhere: summarize(everywhere),
         missing,
         wall: start.elapsed().as_secs_f64(),
         played: world.now as f64 / 1000.0,
     }
 }
 
-fn spent(meters: &[Meter], seconds: f64) -> Spent {
+fn usage(meters: &[Meter], seconds: f64) -> Spent {
     let sum = |of: fn(&Meter) -> f64| meters.iter().map(of).sum::<f64>();
     Spent {
         bytes: sum(|m| (m.sent.1 + m.received.1) as f64) / seconds,
         datagrams: sum(|m| (m.sent.0 + m.received.0) as f64) / seconds,
-        cpu: sum(|m| m.cpu as f64) / 1000.0 / seconds,
+        cpu: sum(|m| m.cpu_ns as f64) / 1000.0 / seconds,
         memory: sum(|m| m.memory as f64),
     }
 }
@@ -387,69 +392,71 @@
     fold(all, |a, b| a + b, all.len() as f64)
 }
 
-fn most(all: &[Spent]) -> Spent {
+fn maximum(all: &[Spent]) -> Spent {
     fold(all, f64::max, 1.0)
 }
 
-/// What is spent at rest.
-pub fn cost(followers: usize, entries: usize, seconds: u64, seed: u64) -> Cost {
+/// Measures resource usage at rest, over `seconds`.
+pub fn measure_cost(followers: usize, entries: usize, seconds: u64, seed: u64) -> Cost {
     let start = Instant::now();
     let plan = Plan {
         followers,
         entries,
-        meter: true,
+        metering: true,
         ..Plan::default()
     };
-    let mut world = rested(plan, seed);
-    let full = world.followers().filter(|i| world.full_at[*i].is_some());
-    let full = full.count();
-    // What came with the start is over.
+    let mut world = world_at_rest(plan, seed);
+    let synchronized = world
+        .followers()
+        .filter(|i| world.synchronized_at[*i].is_some());
+    let synchronized = synchronized.count();
+    // Lets traffic from the start fade out.
     world.run_until(world.now + 10_000);
     world.reset_meters();
     world.run_until(world.now + seconds * 1000);
-    let of = |i: usize| spent(&world.meters[i], seconds as f64);
+    let of = |i: usize| usage(&world.meters[i], seconds as f64);
     let follow: Vec<Spent> = world.followers().map(of).collect();
     let control: Vec<Spent> = (0..CONTROLS).map(of).collect();
-    let node = (0..CONTROLS).map(|i| spent(&world.meters[i][1..], seconds as f64));
+    let node = (0..CONTROLS).map(|i| usage(&world.meters[i][1..], seconds as f64));
     Cost {
         followers,
         entries,
         seed,
         follow: mean(&follow),
-        follow_most: most(&follow),
-        control: most(&control),
+        follow_most: maximum(&follow),
+        control: maximum(&control),
         control_mean: mean(&control),
         node: mean(&node.collect::<Vec<_>>()),
-        full,
+        full: synchronized,
         wall: start.elapsed().as_secs_f64(),
     }
 }
 
-/// Followers that start one after another, a second apart.
-pub fn filling(entries: usize, followers: usize, seed: u64) -> Filling {
+/// Measures followers that start one after another, a second apart.
+pub fn measure_filling(entries: usize, followers: usize, seed: u64) -> Filling {
     let start = Instant::now();
     let plan = Plan {
         followers,
         entries,
-        meter: true,
+        metering: true,
         ..Plan::default()
     };
     let mut world = World::new(plan, seed);
-    world.run_until(2 * CONTROL);
+    world.run_until(2 * CONTROLS_READY);
     for (n, i) in world.followers().enumerate() {
-        world.at(2 * CONTROL + 1000 * n as u64, Fault::Start(i));
+        world.at(2 * CONTROLS_READY + 1000 * n as u64, Fault::Start(i));
     }
-    let mut end = 2 * CONTROL + 1000 * followers as u64;
+    let mut end = 2 * CONTROLS_READY + 1000 * followers as u64;
     world.run_until(end);
-    while end < 1_200_000 && !all_full(&world) {
+    while end < 1_200_000 && !all_synchronized(&world) {
         end += 1000;
         world.run_until(end);
     }
-    let took = world.followers().map(|i| match world.full_at[i] {
+    let durations = world.followers().map(|i| match world.synchronized_at[i] {
         Some(at) => at - world.started_at[i],
         None => world.now,
     });
-    let until_full = spread(took.collect::<Vec<_>>());
+    let until_full = summarize(durations.collect::<Vec<_>>());
     let memory = world.followers().map(|i| world.meters[i][0].memory as f64);
     Filling {
         entries,
@@ -460,28 +467,28 @@
     }
 }
 
-/// A region cut off for so long while so many changes are made elsewhere.
-pub fn cut(
+/// Measures a region that is cut off for `seconds` while changes are made elsewhere.
+pub fn measure_cut(
     what: &str,
     followers: usize,
     entries: usize,
     seconds: u64,
     changes: usize,
-    retell: bool,
+    republish_all: bool,
     seed: u64,
 ) -> Cut {
     let start = Instant::now();
     let plan = Plan {
         followers,
         entries,
-        retell,
+        republish_all,
         ..Plan::default()
     };
-    let mut world = rested(plan, seed);
+    let mut world = world_at_rest(plan, seed);
     let writer = world.writer().unwrap_or(0);
-    // Not the writer's region: it keeps to itself who writes.
-    let region = (world::place(writer).region + 1) % REGIONS as u32;
-    let (inside, outside) = world.split(region);
+    // Not the writer's region, because the writer would be cut off with it.
+    let region = (world::location(writer).region + 1) % REGIONS as u32;
+    let (inside, outside) = world.split_region(region);
     let inside_followers: Vec<usize> = inside.iter().copied().filter(|i| *i >= CONTROLS).collect();
     let received = |world: &World| -> u64 {
         let of = inside_followers
@@ -489,10 +496,10 @@
             .map(|i| world.meters[*i][0].received.1);
         of.sum()
     };
-    // Bytes at rest in a minute.
+    // Bytes received at rest in one minute.
     let before = received(&world);
     world.run_until(world.now + 60_000);
-    let rest = received(&world) - before;
+    let idle_bytes = received(&world) - before;
     let (from, span) = (world.now, seconds * 1000);
     world.at(from, Fault::Cut(inside.clone(), outside.clone()));
     world.at(from, Fault::Cut(outside, inside.clone()));
@@ -504,7 +511,7 @@
     world.run_until(heal);
     let ages = inside_followers.iter().filter_map(|i| {
         let follower = world.follower(*i)?;
-        follower.data_age(world.mono(*i))
+        follower.data_age(world.monotonic(*i))
     });
     let age = ages.min().unwrap_or(0);
     let before = received(&world);
@@ -518,7 +525,7 @@
             control = Some(end - heal);
         }
     }
-    let bytes = (received(&world) - before) as f64 - rest as f64;
+    let bytes = (received(&world) - before) as f64 - idle_bytes as f64;
     let is_inside: Vec<bool> = {
         let mut set = vec![false; followers];
         inside_followers
@@ -532,9 +539,9 @@
             .in_force
             .iter()
             .filter(|(f, _)| is_inside[*f as usize]);
-        let took: Vec<u64> = there.map(|(_, at)| at.saturating_sub(heal)).collect();
-        missing += inside_followers.len() - took.len();
-        each.extend(took);
+        let durations: Vec<u64> = there.map(|(_, at)| at.saturating_sub(heal)).collect();
+        missing += inside_followers.len() - durations.len();
+        each.extend(durations);
     }
     let many = inside_followers.len() as f64;
     Cut {
@@ -543,19 +550,24 @@
         seconds,
         changes,
         entries,
-        each: spread(each),
+        each: summarize(each),
         missing,
         bytes,
-        all: (entries * ENTRY) as f64 * many,
-        changed: (changes.min(entries) * ENTRY) as f64 * many,
+        all: (entries * ENTRY_BYTES) as f64 * many,
+        changed: (changes.min(entries) * ENTRY_BYTES) as f64 * many,
         control,
         age,
         wall: start.elapsed().as_secs_f64(),
     }
 }
 
-/// Followers of one region, or all, start at once.
-pub fn start_at_once(followers: usize, entries: usize, region: Option<u32>, seed: u64) -> Start {
+/// Measures a start of all followers of a region, or of all regions, in the same millisecond.
+pub fn measure_simultaneous_start(
+    followers: usize,
+    entries: usize,
+    region: Option<u32>,
+    seed: u64,
+) -> Start {
     let start = Instant::now();
     let plan = Plan {
         followers,
@@ -563,16 +575,16 @@
         ..Plan::default()
     };
     let mut world = match region {
-        Some(_) => rested(plan, seed),
+        Some(_) => world_at_rest(plan, seed),
         None => {
             let mut world = World::new(plan, seed);
-            world.run_until(2 * CONTROL);
+            world.run_until(2 * CONTROLS_READY);
             world
         }
     };
     let starting: Vec<usize> = world
         .followers()
-        .filter(|i| region.is_none_or(|region| world::place(*i).region == region))
+        .filter(|i| region.is_none_or(|region| world::location(*i).region == region))
         .collect();
     let from = world.now + 1000;
     for i in &starting {
@@ -585,7 +597,7 @@
     let mut sent = [0; CONTROLS];
     let count = |world: &World, i: usize| -> u64 {
         let counters = world.counters(i..i + 1);
-        counters.get(PIECES).copied().unwrap_or(0)
+        counters.get(PIECES_COUNTER).copied().unwrap_or(0)
     };
     (0..CONTROLS).for_each(|i| sent[i] = count(&world, i));
     let (mut end, mut pieces) = (from, 0);
@@ -597,12 +609,12 @@
             pieces = pieces.max(now - *sent);
             *sent = now;
         }
-        if starting.iter().all(|i| world.full_at[*i].is_some()) {
+        if starting.iter().all(|i| world.synchronized_at[*i].is_some()) {
             break;
         }
     }
-    let full = starting.iter().filter_map(|i| world.full_at[*i]);
-    let took: Vec<u64> = full.map(|at| at - from).collect();
+    let synchronized = starting.iter().filter_map(|i| world.synchronized_at[*i]);
+    let durations: Vec<u64> = synchronized.map(|at| at - from).collect();
     let mut counted = world.counters(0..CONTROLS + followers);
     for (what, n) in before {
         counted
@@ -617,21 +629,21 @@
         starting: starting.len(),
         followers,
         entries,
-        missing: starting.len() - took.len(),
-        until_full: spread(took),
+        missing: starting.len() - durations.len(),
+        until_full: summarize(durations),
         pieces,
-        bytes: most(|m| m.most.0),
-        datagrams: most(|m| m.most.1),
+        bytes: most(|m| m.peak_second.0),
+        datagrams: most(|m| m.peak_second.1),
         budget: budget(),
         counted,
         wall: start.elapsed().as_secs_f64(),
     }
 }
 
-/// Plays many seeds, and puts down what came of them.
-pub fn seeds(first: u64, seeds: u64, followers: usize, jobs: usize) -> Seeds {
+/// Runs seeds with random faults and adds up the results.
+pub fn measure_seeds(first: u64, seeds: u64, followers: usize, jobs: usize) -> Seeds {
     let start = Instant::now();
-    let outcomes = chaos::many(first..first + seeds, followers, jobs);
+    let outcomes = chaos::run_seeds(first..first + seeds, followers, jobs);
     let mut all = Seeds {
         first,
         seeds,
@@ -644,23 +656,23 @@
         wall: 0.0,
     };
     for what in [
-        Wrong::Back,
-        Wrong::Returned,
-        Wrong::Invented,
-        Wrong::Twofold,
-        Wrong::Lost,
+        Violation::Back,
+        Violation::Returned,
+        Violation::Invented,
+        Violation::Twofold,
+        Violation::Lost,
     ] {
         all.wrong.insert(format!("{what:?}"), 0);
     }
     for outcome in outcomes {
         all.faults += outcome.faults;
         all.changes += outcome.changes;
-        all.looks += outcome.looks;
-        for (what, n) in &outcome.wrong {
+        all.looks += outcome.checks;
+        for (what, n) in &outcome.violations {
             *all.wrong.entry(format!("{what:?}")).or_default() += n;
         }
         if !outcome.sound() {
-            let first = outcome.told.first().cloned().unwrap_or_default();
+            let first = outcome.descriptions.first().cloned().unwrap_or_default();
             all.unsound.insert(outcome.seed, first);
         }
     }
@@ -690,19 +702,19 @@
     format!("{cores} cores, {model}")
 }
 
-const FILE: &str = "distribution.json";
+const RESULTS_FILE: &str = "distribution.json";
 
-fn change(folder: &Path, with: impl FnOnce(&mut Results)) -> Result<(), String> {
-    let file = folder.join(FILE);
+fn update_results(folder: &Path, with: impl FnOnce(&mut Results)) -> Result<(), String> {
+    let file = folder.join(RESULTS_FILE);
     let mut results = Results::read(&file)?;
     results.machine = machine();
     with(&mut results);
     let text = serde_json::to_string_pretty(&results).map_err(|e| e.to_string())? + "\n";
     std::fs::write(&file, text).map_err(|e| format!("{}: {e}", file.display()))?;
-    page(folder, &results)
+    update_page(folder, &results)
 }
 
-/// Plays seeds of faults and puts down what came of them; whether all were sound.
+/// Runs seeds with random faults and stores the result. Returns whether no run had a violation.
 pub fn run_seeds(
     folder: &Path,
     first: u64,
@@ -710,66 +722,70 @@
     followers: usize,
     jobs: usize,
 ) -> Result<bool, String> {
-    let all = seeds(first, count, followers, jobs);
+    let all = measure_seeds(first, count, followers, jobs);
     println!("{all:#?}");
     let sound = all.unsound.is_empty();
-    change(folder, |results| results.seeds = Some(all))?;
+    update_results(folder, |results| results.seeds = Some(all))?;
     Ok(sound)
 }
 
-/// Plays one part and puts its results down: data, page, series and charts.
+/// Runs one part and stores its results: data, page, series and charts.
 pub fn run(folder: &Path, part: Part) -> Result<(), String> {
     match part {
         Part::Delay => {
             let minutes = 10;
             let plays = [
-                ("1% loss", 0.01, Dead::Nobody),
-                ("5% loss", 0.05, Dead::Nobody),
-                ("5% loss, two of the nine dead", 0.05, Dead::Before([0, 1])),
+                ("1% loss", 0.01, Failures::None),
+                ("5% loss", 0.05, Failures::None),
+                (
+                    "5% loss, two of the nine dead",
+                    0.05,
+                    Failures::BeforeChanges([0, 1]),
+                ),
                 (
                     "5% loss, two dead that are both of a region's",
                     0.05,
-                    Dead::Before([2, 8]),
+                    Failures::BeforeChanges([2, 8]),
                 ),
                 (
                     "5% loss, the writer and another die in the burst",
                     0.05,
-                    Dead::Writer,
+                    Failures::WriterInBurst,
                 ),
             ];
             let mut delays = Vec::new();
             std::thread::scope(|scope| {
-                let plays = plays.map(|(what, loss, dead)| {
-                    scope.spawn(move || delay(what, BALANCERS, loss, dead, minutes, 1))
+                let plays = plays.map(|(what, loss, failures)| {
+                    scope.spawn(move || measure_delay(what, BALANCERS, loss, failures, minutes, 1))
                 });
-                delays.extend(plays.into_iter().map(|p| p.join().expect("a play ends")));
+                delays.extend(plays.into_iter().map(|p| p.join().expect("a run panicked")));
             });
             delays.iter().for_each(|d| println!("{d:?}"));
-            change(folder, |results| results.delays = delays)
+            update_results(folder, |results| results.delays = delays)
         }
         Part::Cost => {
             let mut costs = Vec::new();
             for followers in FOLLOWERS {
                 for seed in 1..=RUNS {
-                    let cost = cost(followers, SERVERS, 60, seed);
+                    let cost = measure_cost(followers, SERVERS, 60, seed);
                     println!("{cost:?}");
                     costs.push(cost);
                 }
             }
-            put_series(folder, &costs, &[])?;
-            change(folder, |results| results.costs = costs)
+            update_series(folder, &costs, &[])?;
+            update_results(folder, |results| results.costs = costs)
         }
         Part::Entries => {
             let mut fillings = Vec::new();
             for entries in ENTRIES {
                 for seed in 1..=RUNS {
-                    let filling = filling(entries, FILLING, seed);
+                    let filling = measure_filling(entries, STARTING_FOLLOWERS, seed);
                     println!("{filling:?}");
                     fillings.push(filling);
                 }
             }
-            put_series(folder, &[], &fillings)?;
-            change(folder, |results| results.fillings = fillings)
+            update_series(folder, &[], &fillings)?;
+            update_results(folder, |results| results.fillings = fillings)
         }
         Part::Cut => {
             let mut cuts = Vec::new();
@@ -778,13 +794,15 @@
                     ("a region for an hour", 3600, SERVERS, false),
                     ("a region for an hour, 5,000 entries", 3600, 5000, false),
                 ]
-                .map(|(what, seconds, entries, retell)| {
-                    scope.spawn(move || cut(what, BALANCERS, entries, seconds, 240, retell, 1))
+                .map(|(what, seconds, entries, republish_all)| {
+                    scope.spawn(move || {
+                        measure_cut(what, BALANCERS, entries, seconds, 240, republish_all, 1)
+                    })
                 });
-                cuts.extend(plays.into_iter().map(|p| p.join().expect("a play ends")));
+                cuts.extend(plays.into_iter().map(|p| p.join().expect("a run panicked")));
             });
             cuts.iter().for_each(|c| println!("{c:?}"));
-            change(folder, |results| results.cuts = cuts)
+            update_results(folder, |results| results.cuts = cuts)
         }
         Part::Start => {
             let mut starts = Vec::new();
@@ -796,26 +814,26 @@
                     (5000, None),
                 ]
                 .map(|(entries, region)| {
-                    scope.spawn(move || start_at_once(BALANCERS, entries, region, 1))
+                    scope.spawn(move || measure_simultaneous_start(BALANCERS, entries, region, 1))
                 });
-                starts.extend(plays.into_iter().map(|p| p.join().expect("a play ends")));
+                starts.extend(plays.into_iter().map(|p| p.join().expect("a run panicked")));
             });
             starts.iter().for_each(|s| println!("{s:?}"));
-            change(folder, |results| results.starts = starts)
+            update_results(folder, |results| results.starts = starts)
         }
         Part::Sockets => {
             let mut runs = Vec::new();
-            for followers in OVER_SOCKETS {
-                let run = sockets::play(Play {
+            for followers in SOCKET_FOLLOWERS {
+                let run = sockets::run(SocketRunConfig {
                     followers,
                     entries: SERVERS,
                     changes: SOCKET_CHANGES,
-                    rest: SOCKET_REST,
+                    idle_time: SOCKET_IDLE_TIME,
                 })?;
                 println!("{run:?}");
                 runs.push(run);
             }
-            change(folder, |results| results.sockets = runs)
+            update_results(folder, |results| results.sockets = runs)
         }
     }
 }
@@ -825,16 +843,16 @@
     values[values.len() / 2]
 }
 
-const WHAT: &str = "virtual time, real nodes, sources and followers down to their sealed datagrams; 9 control \
+const SETUP: &str = "virtual time, real nodes, sources and followers down to their sealed datagrams; 9 control \
     instances, 6 regions, 13 zones, one way 1 ms in a zone, 2 ms in a region, 40 to 120 ms between regions and up to a \
     fifth more; 1% lost, 1% doubled; no sockets, no clients, no relay";
 
-/// The medians of the runs as series.
-fn put_series(folder: &Path, costs: &[Cost], fillings: &[Filling]) -> Result<(), String> {
+/// Stores the medians of the runs as series.
+fn update_series(folder: &Path, costs: &[Cost], fillings: &[Filling]) -> Result<(), String> {
     let mut all = BTreeMap::new();
     let command = "cargo run --release -p spanspur-fleet-rig -- distribution";
-    type Take = (&'static str, &'static str, &'static str, fn(&Cost) -> f64);
-    let takes: [Take; 8] = [
+    type CostSeries = (&'static str, &'static str, &'static str, fn(&Cost) -> f64);
+    let definitions: [CostSeries; 8] = [
         (
             "follow-bytes",
             "B/s",
@@ -884,14 +902,14 @@
             |c| c.control.memory,
         ),
     ];
-    for (name, unit, what, of) in takes {
+    for (name, unit, what, of) in definitions {
         let mut by: BTreeMap<usize, Vec<f64>> = BTreeMap::new();
         for cost in costs {
             by.entry(cost.followers).or_default().push(of(cost));
         }
         let points = by.into_iter().map(|(n, values)| (n as f64, median(values)));
         let series = Series {
-            what: format!("{what}, at rest, 630 entries; {WHAT}"),
+            what: format!("{what}, at rest, 630 entries; {SETUP}"),
             command: format!("{command} cost"),
             size: "balancers".to_owned(),
             unit: unit.to_owned(),
@@ -902,13 +920,13 @@
             all.insert(name.to_owned(), series);
         }
     }
-    type Fill = (
+    type FillingSeries = (
         &'static str,
         &'static str,
         &'static str,
         fn(&Filling) -> f64,
     );
-    let takes: [Fill; 2] = [
+    let definitions: [FillingSeries; 2] = [
         (
             "follow-memory-entries",
             "B",
@@ -922,14 +940,14 @@
             |f| f.until_full.p50 as f64,
         ),
     ];
-    for (name, unit, what, of) in takes {
+    for (name, unit, what, of) in definitions {
         let mut by: BTreeMap<usize, Vec<f64>> = BTreeMap::new();
         for filling in fillings {
             by.entry(filling.entries).or_default().push(of(filling));
         }
         let points = by.into_iter().map(|(n, values)| (n as f64, median(values)));
         let series = Series {
-            what: format!("{what}, of 44 B a value; {WHAT}"),
+            what: format!("{what}, of 44 B a value; {SETUP}"),
             command: format!("{command} entries"),
             size: "entries".to_owned(),
             unit: unit.to_owned(),
@@ -943,8 +961,8 @@
     MeasuredSeries::update(&folder.join("scale.json"), all)
 }
 
-/// Charts of a balancer's and a control instance's cost, beside the flat cluster's where it is known.
-pub fn draw(folder: &Path) -> Result<(), String> {
+/// Draws the cost charts of a balancer and a control instance, with the flat cluster for comparison if it was measured.
+pub fn draw_charts(folder: &Path) -> Result<(), String> {
     let measured = MeasuredSeries::read(&folder.join("scale.json"))?;
     for (kind, what) in [
         ("bytes", "bytes a second, sent and received"),
@@ -960,7 +978,7 @@
         .into_iter()
         .filter_map(|(of, label)| {
             let series = measured.0.get(&format!("{of}-{kind}"))?;
-            // The flat cluster's series count what is sent alone; all that is sent is received by another one.
+            // The flat cluster's series count sent traffic only; the same amount is received.
             let both = if of == "flat" && matches!(kind, "bytes" | "datagrams") {
                 2.0
             } else {
@@ -984,38 +1002,38 @@
     Ok(())
 }
 
-/// Writes the page and the charts anew from what is there.
+/// Regenerates the page and the charts from the stored results.
 pub fn write_page(folder: &Path) -> Result<(), String> {
-    change(folder, |_| ())
+    update_results(folder, |_| ())
 }
 
-/// Writes the page of what was measured.
-fn page(folder: &Path, results: &Results) -> Result<(), String> {
-    draw(folder)?;
+/// Writes the page and the charts.
+fn update_page(folder: &Path, results: &Results) -> Result<(), String> {
+    draw_charts(folder)?;
     let measured = MeasuredSeries::read(&folder.join("scale.json"))?;
-    let text = table(results, &measured).map_err(|e| e.to_string())?;
+    let text = format_page(results, &measured).map_err(|e| e.to_string())?;
     let file = folder.join("distribution.md");
     std::fs::write(&file, text).map_err(|e| format!("{}: {e}", file.display()))
 }
 
-fn of_ms(spread: &Spread) -> String {
+fn format_spread(spread: &Spread) -> String {
     format!("{} / {} / {}", spread.p50, spread.p99, spread.last)
 }
 
-/// Whether a bound is held, and by how much it is not.
-fn held(value: f64, bound: f64) -> String {
+/// Says whether a bound is met, or by how much it is exceeded.
+fn format_bound(value: f64, bound: f64) -> String {
     match value <= bound {
         true => "held".to_owned(),
         false => format!("**missed by {:.0}%**", (value / bound - 1.0) * 100.0),
     }
 }
 
-fn table(results: &Results, measured: &MeasuredSeries) -> Result<String, std::fmt::Error> {
+fn format_page(results: &Results, measured: &MeasuredSeries) -> Result<String, std::fmt::Error> {
     let mut text = format!(
         "# Distribution, measured\n\nMade by `cargo run --release -p spanspur-fleet-rig -- distribution PART` with PART \
-         `delay`, `cost`, `entries`, `cut`, `start`, `seeds` or `sockets`; each replaces its own part of `{FILE}`, from which this \
+         `delay`, `cost`, `entries`, `cut`, `start`, `seeds` or `sockets`; each replaces its own part of `{RESULTS_FILE}`, from which this \
          page is made. The last run was on {}.\n\n\
-         How: {WHAT}. A row of the list has {VALUE} bytes. One thread plays all instances of a run, so a \
+         How: {SETUP}. A row of the list has {VALUE_BYTES} bytes. One thread plays all instances of a run, so a \
          datagram is taken at the moment it arrives, and what a loaded processor adds is not in the delays. The writer \
          holds the permit of the duty `list` (period 4 s) and writes only what differs from discovery's list.\n",
         results.machine
@@ -1032,11 +1050,11 @@
             d.what,
             d.followers,
             d.changes,
-            of_ms(&d.each),
-            of_ms(&d.everywhere),
+            format_spread(&d.each),
+            format_spread(&d.everywhere),
             d.missing,
-            held(d.each.p99 as f64, 3000.0),
-            held(d.each.last as f64, 12_000.0),
+            format_bound(d.each.p99 as f64, 3000.0),
+            format_bound(d.each.last as f64, 12_000.0),
             d.wall,
             d.played
         )?;
@@ -1119,7 +1137,7 @@
             writeln!(
                 text,
                 "| {what} | {value:.0} | {bound:.0} | {} |",
-                held(value, bound)
+                format_bound(value, bound)
             )?;
         }
     }
@@ -1148,7 +1166,7 @@
          ![Processor time](distribution-cpu.svg)\n\n![Memory](distribution-memory.svg)\n";
     writeln!(
         text,
-        "\n## By entries\n\n{FILLING} balancers that start one a second, the least and most of three seeds.\n\n\
+        "\n## By entries\n\n{STARTING_FOLLOWERS} balancers that start one a second, the least and most of three seeds.\n\n\
          | entries | memory of a balancer, kB | until full: p50 / p99 / last, ms | s of ours |\n| --- | --- | --- | --- |"
     )?;
     for f in &results.fillings {
@@ -1157,7 +1175,7 @@
             "| {} | {:.1} | {} | {:.1} |",
             f.entries,
             f.memory / 1000.0,
-            of_ms(&f.until_full),
+            format_spread(&f.until_full),
             f.wall
         )?;
     }
@@ -1175,13 +1193,13 @@
             c.followers,
             c.entries,
             c.seconds,
-            of_ms(&c.each),
+            format_spread(&c.each),
             c.missing,
-            held(c.each.last as f64, 12_000.0),
+            format_bound(c.each.last as f64, 12_000.0),
             c.bytes / 1e6,
             c.bytes / c.changed,
             c.bytes / c.all * 100.0,
-            held(c.bytes, c.all),
+            format_bound(c.bytes, c.all),
             c.control
                 .map_or("not in 60,000".to_owned(), |ms| ms.to_string()),
             c.age as f64 / 1000.0,
@@ -1200,18 +1218,18 @@
             s.starting,
             s.followers,
             s.entries,
-            of_ms(&s.until_full),
+            format_spread(&s.until_full),
             s.missing,
             s.pieces,
             s.budget.0,
             s.budget.1,
-            held(s.pieces as f64, s.budget.1 as f64),
+            format_bound(s.pieces as f64, s.budget.1 as f64),
             s.bytes as f64 / 1000.0,
             s.datagrams,
             s.wall
         )?;
     }
-    over_sockets(&mut text, results)?;
+    format_socket_runs(&mut text, results)?;
     if let Some(seeds) = &results.seeds {
         writeln!(
             text,
@@ -1236,8 +1254,8 @@
     Ok(text)
 }
 
-/// The runs over sockets beside those in virtual time.
-fn over_sockets(text: &mut String, results: &Results) -> std::fmt::Result {
+/// Appends the table of the runs over sockets, next to the runs in virtual time.
+fn format_socket_runs(text: &mut String, results: &Results) -> std::fmt::Result {
     if results.sockets.is_empty() {
         return Ok(());
     }
@@ -1264,8 +1282,8 @@
             text,
             "| {} | sockets | {full} | {} | {} | {} | {} / {}, {} | {:.0} | {:.1} | {:.1} | {} | {:.1} | {:.0} | {:.0} | {} | {:.0} |",
             s.followers,
-            of_ms(&s.each),
-            of_ms(&s.everywhere),
+            format_spread(&s.each),
+            format_spread(&s.everywhere),
             s.missing,
             s.lost.0,
             s.lost.1,
@@ -1296,8 +1314,8 @@
             "| {} | virtual | {} | {} | {} | {} | - | {:.0} | {:.1} | {:.1} | - | {:.1} | {:.0} | {:.0} | - | - |",
             s.followers,
             start.map_or_else(none, |st| st.until_full.last.to_string()),
-            delay.map_or_else(none, |d| of_ms(&d.each)),
-            delay.map_or_else(none, |d| of_ms(&d.everywhere)),
+            delay.map_or_else(none, |d| format_spread(&d.each)),
+            delay.map_or_else(none, |d| format_spread(&d.everywhere)),
             delay.map_or_else(none, |d| d.missing.to_string()),
             of(|c| c.follow.bytes),
             of(|c| c.follow.datagrams),
--- a/crates/fleet-rig/src/distribution/mod.rs
+++ b/crates/fleet-rig/src/distribution/mod.rs
@@ -1,14 +1,14 @@
-//! The distribution of changes in virtual time: control instances, each a real node of the cluster with a real source
-//! beside it, and up to thousands of real followers, down to their sealed datagrams. The network, the clocks, the
-//! deaths and pauses come from a seed; a checker that knows what was written judges by what followers hold.
+//! Simulation of the distribution in virtual time: control instances, each a real cluster node with a real source, and
+//! up to thousands of real followers, including their encrypted datagrams. Network, clocks, crashes and pauses are drawn
+//! from a seed; a checker that records all writes verifies what the followers hold.
 //!
-//! | part | holds |
+//! | module | contents |
 //! | --- | --- |
-//! | [`world`] | instances, places, delays, the list's writer, faults |
-//! | [`checker`] | what was written, what each follower holds, when changes came into force |
-//! | [`chaos`] | faults drawn from a seed, and the verdict after they are over |
-//! | [`measure`] | the sized runs: delay, costs, a region's cut, the start of everybody |
-//! | [`sockets`] | the same drivers over real loopback sockets in real time |
+//! | [`world`] | instances, locations, network delays, the writer of the list, faults |
+//! | [`checker`] | record of writes, of what each follower holds, and of when changes took effect |
+//! | [`chaos`] | runs with random faults drawn from a seed, checked after recovery |
+//! | [`measure`] | measurements at fleet size: delay, costs, a region cut off, simultaneous starts |
+//! | [`sockets`] | the production drivers over loopback sockets in real time |
 
 pub mod chaos;
 pub mod checker;
@@ -16,5 +16,5 @@
 pub mod sockets;
 pub mod world;
 
-pub use checker::{Checker, Wrong};
-pub use world::{Fault, Plan, Planted, World};
+pub use checker::{Checker, Violation};
+pub use world::{Fault, InjectedBug, Plan, World};
--- a/crates/fleet-rig/src/distribution/sockets.rs
+++ b/crates/fleet-rig/src/distribution/sockets.rs
@@ -1,11 +1,11 @@
-//! The distribution over real loopback sockets in real time: nine control instances and many hollow followers in one
-//! process, each with the driver that the program has, on sockets of its own. A check of what virtual time says.
+//! The distribution over loopback sockets in real time, to verify the results of virtual time: nine control instances
+//! and many followers without a balancer in one process, each with the production driver and its own sockets.
 //!
-//! The control instances share one thread, the followers another. One control instance's board is published on without
-//! a claim or a duty; it confirms the list as often as the duty's holder would.
+//! The control instances share one thread, the followers another. Entries are published through the gossip store of one
+//! control instance without holding a lease; it confirms the list as often as the holder of the duty would.
 
-use super::measure::{Spread, spread};
-use super::world::{CONTROLS, PACE, VALUE, key, name, place};
+use super::measure::{Spread, summarize};
+use super::world::{CONTROLS, PROBE_TIMING, VALUE_BYTES, key, location, name};
 use crate::meter::thread_cpu_ns;
 use crate::ranking;
 use serde::{Deserialize, Serialize};
@@ -27,95 +27,97 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{sleep, timeout};
 
-/// Between two looks at whether all are full, or have a change.
-const LOOK: Duration = Duration::from_millis(50);
-/// The list is confirmed so often, as by the holder of the duty.
-const BEAT: Duration = Duration::from_millis(250);
-/// Between two changes.
-const BETWEEN: Duration = Duration::from_secs(1);
-/// The longest wait until all are full, and after the last change.
-const FULL_WITHIN: Duration = Duration::from_secs(15);
-/// See [`FULL_WITHIN`].
-const CHANGED_WITHIN: Duration = Duration::from_secs(5);
-/// The longest wait for an answer of the other thread.
-const ANSWER_WITHIN: Duration = Duration::from_secs(10);
-/// From the last change in force at all until the rest is measured.
-const SETTLE: Duration = Duration::from_secs(1);
-/// Entries have version 1; the n-th change has this and n.
+/// Interval between checks whether all followers are synchronized or hold a change.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval between confirmations of the list, like those of the duty's holder.
+const CONFIRM_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval between changes.
+const CHANGE_INTERVAL: Duration = Duration::from_secs(1);
+/// Longest wait until all followers are synchronized.
+const SYNC_TIMEOUT: Duration = Duration::from_secs(15);
+/// Longest wait after the last change until all followers hold all changes.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Longest wait for an answer from the followers' thread.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
+/// Pause before the measurement at rest, after the last change is in effect at all followers.
+const SETTLE_TIME: Duration = Duration::from_secs(1);
+/// Version of the first change; the n-th change has this version plus n. Initial entries have version 1.
 const FIRST_CHANGE: u64 = 1000;
-/// Ticks of a second in `/proc/thread-self/stat`.
-const TICKS: f64 = 100.0;
+/// Clock ticks per second in `/proc/thread-self/stat`.
+const TICKS_PER_SECOND: f64 = 100.0;
 
-/// What is played.
+/// Parameters of a run.
 #[derive(Clone, Copy, Debug)]
-pub struct Play {
-    /// Balancers.
+pub struct SocketRunConfig {
+    /// Number of balancers.
     pub followers: usize,
-    /// Entries of the list.
+    /// Number of entries in the list.
     pub entries: usize,
-    /// Changes, a second apart.
+    /// Number of changes, a second apart.
     pub changes: usize,
-    /// For so long the rest is measured.
-    pub rest: Duration,
+    /// Duration of the measurement at rest.
+    pub idle_time: Duration,
 }
 
-/// What one instance spends in a second at rest, by the drivers' counters and the thread's clock.
+/// Resource usage of one instance at rest, from the counters of its driver and the CPU clock of its thread. Rates are
+/// per second.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct Rest {
     /// Bytes of datagrams sent and received.
     pub bytes: f64,
     /// Datagrams sent and received.
     pub datagrams: f64,
-    /// Microseconds of a processor: the thread's, divided by its instances.
+    /// CPU time in microseconds: the thread's, divided by the number of its instances.
     pub cpu: f64,
-    /// The kernel's part of that, from 0 to 1; `None` where the thread spent under 10 ticks of 10 ms.
+    /// The kernel's share of the CPU time, from 0 to 1; `None` if the thread used less than 10 ticks of 10 ms.
     pub kernel: Option<f64>,
 }
 
-/// One run.
+/// Result of one run.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Sockets {
-    /// Balancers and entries.
+    /// Number of balancers.
     pub followers: usize,
-    /// See `followers`.
+    /// Number of entries.
     pub entries: usize,
-    /// From the start of everybody until a balancer holds all entries, in ms.
+    /// Time from the start of all instances until a balancer holds all entries.
     pub until_all: Spread,
-    /// From the start of everybody until all hold all entries and have completed a comparison, in ms.
+    /// Time from the start of all instances until all balancers hold all entries and have completed a comparison, in ms.
     pub until_full: Option<u64>,
-    /// Balancers that were full in the end.
+    /// Number of balancers that were synchronized at the end of the run.
     pub full: usize,
-    /// Changes, and for each that came to all: from its publishing until the last balancer had it, in ms.
+    /// Number of changes.
     pub changes: usize,
-    /// See `changes`.
+    /// For each change that reached all balancers: time from its publication until the last balancer held it.
     pub everywhere: Spread,
-    /// For each change and balancer that has it, in ms.
+    /// For each change and balancer that holds it: time from its publication.
     pub each: Spread,
-    /// Of a change and a balancer, not in force in the end.
+    /// Pairs of change and balancer that were not in effect at the end.
     pub missing: usize,
-    /// A balancer's mean.
+    /// Mean of the balancers.
     pub follow: Rest,
-    /// The control instance that had most bytes; processor time is the mean of the nine.
+    /// The control instance with the most bytes; its CPU time is the mean of all control instances.
     pub control: Rest,
-    /// Datagrams of all that were sent and not received, until full and later: those under way among them.
+    /// Datagrams of all instances that were sent and not received, until synchronized and later. Datagrams in flight are
+    /// included.
     pub lost: (u64, u64),
-    /// Datagrams that a socket did not take.
+    /// Datagrams that a socket did not accept.
     pub unsent: u64,
-    /// Seconds of ours.
+    /// Wall-clock time of the run, in seconds.
     pub wall: f64,
 }
 
-/// What went over sockets: datagrams and bytes, both ways.
+/// Datagrams and bytes sent and received over sockets.
 #[derive(Clone, Copy, Debug, Default)]
-struct Went {
+struct Traffic {
     sent: u64,
     received: u64,
     bytes: u64,
     unsent: u64,
 }
 
-impl Went {
-    fn of(answer: &ChangesAnswer) -> Self {
+impl Traffic {
+    fn from_answer(answer: &ChangesAnswer) -> Self {
         let count = |name: &str| answer.counters.get(name).copied().unwrap_or(0);
         Self {
             sent: count("sent"),
@@ -125,7 +127,7 @@
         }
     }
 
-    fn plus(self, other: Self) -> Self {
+    fn add(self, other: Self) -> Self {
         Self {
             sent: self.sent + other.sent,
             received: self.received + other.received,
@@ -135,18 +137,18 @@
     }
 }
 
-/// Processor time of a thread: nanoseconds, and ticks in user mode and in the kernel.
+/// CPU time of a thread: in nanoseconds, and in clock ticks of user mode and of the kernel.
 #[derive(Clone, Copy, Debug, Default)]
-struct Processor {
+struct CpuTime {
     ns: u64,
     user: u64,
     kernel: u64,
 }
 
-impl Processor {
+impl CpuTime {
     fn now() -> Self {
         let text = std::fs::read_to_string("/proc/thread-self/stat").unwrap_or_default();
-        // After the name in brackets: the state is the third field, user and kernel time are the 14th and 15th.
+        // The fields after the name in parentheses: the state is the third, user and kernel time the 14th and 15th.
         let rest = text.rsplit_once(')').map_or("", |(_, rest)| rest);
         let mut fields = rest.split_whitespace().skip(11);
         let mut ticks = || fields.next().and_then(|n| n.parse().ok()).unwrap_or(0);
@@ -157,54 +159,57 @@
         }
     }
 
-    /// Microseconds a second for one of so many, and the kernel's part.
+    /// CPU time per second and instance since `start`, in microseconds, and the kernel's share of it.
     fn since(self, start: Self, instances: usize, seconds: f64) -> (f64, Option<f64>) {
         let us = (self.ns - start.ns) as f64 / 1000.0 / seconds / instances as f64;
         let (user, kernel) = (self.user - start.user, self.kernel - start.kernel);
-        let enough = (user + kernel) as f64 >= TICKS / 10.0;
-        let part = kernel as f64 / (user + kernel) as f64;
-        (us, enough.then_some(part))
+        let enough = (user + kernel) as f64 >= TICKS_PER_SECOND / 10.0;
+        let share = kernel as f64 / (user + kernel) as f64;
+        (us, enough.then_some(share))
     }
 }
 
-/// What the followers' thread is asked.
-enum Ask {
-    /// How many hold all entries and are full; 0 without a closer look while some lack entries, if that is wanted.
-    Full(bool, oneshot::Sender<usize>),
-    /// How many hold each change.
+/// Queries to the followers' thread.
+enum Query {
+    /// Number of followers that hold all entries and are synchronized. If the flag is set, answers 0 without asking each
+    /// follower while some lack entries.
+    Synchronized(bool, oneshot::Sender<usize>),
+    /// Number of followers that hold each change.
     Changed(oneshot::Sender<Vec<usize>>),
-    /// What they spent; the processor is read before and after the look.
-    Spent(oneshot::Sender<(Went, Processor, Processor)>),
-    /// When each had all entries, and when each had which change.
-    Times(oneshot::Sender<Times>),
+    /// Traffic of all followers, and CPU time of the thread before and after it was collected.
+    Usage(oneshot::Sender<(Traffic, CpuTime, CpuTime)>),
+    /// When followers held all entries, and when they held each change.
+    Timeline(oneshot::Sender<Timeline>),
 }
 
 #[derive(Clone, Debug, Default)]
-struct Times {
+struct Timeline {
     all: Vec<Instant>,
     changes: Vec<Vec<Instant>>,
 }
 
-/// Plays once. Fails where a socket cannot be had or a thread does not answer.
-pub fn play(play: Play) -> Result<Sockets, String> {
+/// Runs once. Fails if a socket cannot be bound or a thread does not answer.
+pub fn run(config: SocketRunConfig) -> Result<Sockets, String> {
     let (cluster, sources) = (addresses(65)?, addresses(66)?);
-    let (ask, asked) = mpsc::unbounded_channel();
+    let (queries, received_queries) = mpsc::unbounded_channel();
     let at = sources.clone();
     let began = Instant::now();
-    let follow = std::thread::spawn(move || local(followers(play, at, asked)));
-    let result = local(controls(play, cluster, sources, began, ask));
-    // All that asked is gone, so that thread ends.
-    let followed = follow.join().map_err(|_| "the followers' thread failed")?;
+    let follow = std::thread::spawn(move || run_local(run_followers(config, at, received_queries)));
+    let result = run_local(run_controls(config, cluster, sources, began, queries));
+    // The sender of queries is dropped, so the followers' thread ends.
+    let followed = follow
+        .join()
+        .map_err(|_| "the followers' thread panicked")?;
     followed.and(result)
 }
 
-fn local<T>(run: impl Future<Output = Result<T, String>>) -> Result<T, String> {
+fn run_local<T>(run: impl Future<Output = Result<T, String>>) -> Result<T, String> {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime = builder.enable_all().build().map_err(|e| e.to_string())?;
     LocalSet::new().block_on(&runtime, run)
 }
 
-/// An address for each control instance, with a port that was free a moment ago.
+/// An address for each control instance, with a port that was free when probed.
 fn addresses(net: u8) -> Result<Vec<SocketAddr>, String> {
     let bound = (0..CONTROLS).map(|i| {
         let socket = UdpSocket::bind((Ipv4Addr::new(127, net, 0, 1 + i as u8), 0))?;
@@ -212,7 +217,7 @@
     });
     bound
         .collect::<Result<_, _>>()
-        .map_err(|e| format!("a socket: {e}"))
+        .map_err(|e| format!("cannot bind a UDP socket: {e}"))
 }
 
 fn identity(i: usize, address: SocketAddr) -> Identity {
@@ -229,17 +234,17 @@
     Keys(vec![Key::new(b"a secret of the rig")])
 }
 
-async fn followers(
-    play: Play,
+async fn run_followers(
+    config: SocketRunConfig,
     sources: Vec<SocketAddr>,
-    mut asked: mpsc::UnboundedReceiver<Ask>,
+    mut received_queries: mpsc::UnboundedReceiver<Query>,
 ) -> Result<(), String> {
-    let times = Rc::new(RefCell::new(Times {
-        changes: vec![Vec::new(); play.changes],
-        ..Times::default()
+    let times = Rc::new(RefCell::new(Timeline {
+        changes: vec![Vec::new(); config.changes],
+        ..Timeline::default()
     }));
     let mut all = Vec::new();
-    for n in 0..play.followers {
+    for n in 0..config.followers {
         let i = CONTROLS + n;
         let host = Ipv4Addr::new(127, 67, (n / 250) as u8, 1 + (n % 250) as u8);
         let at = sources
@@ -248,11 +253,11 @@
             .map(|(c, address)| SourceEndpoint {
                 name: name(c),
                 address: *address,
-                location: place(c),
+                location: location(c),
             });
         let setup = FollowerConfig {
             identity: identity(i, SocketAddr::new(IpAddr::V4(host), 0)),
-            location: place(i),
+            location: location(i),
             sources: at.collect(),
             keys: keys(),
             score: ranking().0,
@@ -260,47 +265,47 @@
             seed: i as u64,
         };
         let (held, times) = (Cell::new(0), times.clone());
-        let told = move |entries: &[Entry], _| {
+        let on_update = move |entries: &[Entry], _| {
             for entry in entries {
                 let mut times = times.borrow_mut();
                 match entry.version.checked_sub(FIRST_CHANGE) {
                     Some(change) => times.changes[change as usize].push(Instant::now()),
                     None => {
                         held.set(held.get() + 1);
-                        if held.get() == play.entries {
+                        if held.get() == config.entries {
                             times.all.push(Instant::now());
                         }
                     }
                 }
             }
         };
-        let following = FollowerDriver::start(setup, Box::new(told)).await;
-        all.push(following.map_err(|e| format!("{host}: {e}"))?);
+        let driver = FollowerDriver::start(setup, Box::new(on_update)).await;
+        all.push(driver.map_err(|e| format!("{host}: {e}"))?);
     }
-    let full = |following: &&FollowerDriver| match following.answer().status {
+    let synchronized = |driver: &&FollowerDriver| match driver.answer().status {
         ReplicationStatus::Follower { status } => {
-            status.synchronized && status.entries == play.entries
+            status.synchronized && status.entries == config.entries
         }
         ReplicationStatus::Source { .. } => false,
     };
-    while let Some(ask) = asked.recv().await {
-        // Who asks may have given up; that is no concern of ours.
-        match ask {
-            Ask::Full(cheaply, to) => {
-                let lacks = cheaply && times.borrow().all.len() < all.len();
-                let count = || all.iter().filter(full).count();
-                let _ = to.send(if lacks { 0 } else { count() });
+    while let Some(query) = received_queries.recv().await {
+        // A failed send is ignored: the receiver may have timed out.
+        match query {
+            Query::Synchronized(skip_if_incomplete, to) => {
+                let incomplete = skip_if_incomplete && times.borrow().all.len() < all.len();
+                let count = || all.iter().filter(synchronized).count();
+                let _ = to.send(if incomplete { 0 } else { count() });
             }
-            Ask::Changed(to) => {
+            Query::Changed(to) => {
                 let _ = to.send(times.borrow().changes.iter().map(Vec::len).collect());
             }
-            Ask::Spent(to) => {
-                let before = Processor::now();
-                let went = all.iter().map(|one| Went::of(&one.answer()));
-                let went = went.fold(Went::default(), Went::plus);
-                let _ = to.send((went, before, Processor::now()));
+            Query::Usage(to) => {
+                let before = CpuTime::now();
+                let traffic = all.iter().map(|one| Traffic::from_answer(&one.answer()));
+                let traffic = traffic.fold(Traffic::default(), Traffic::add);
+                let _ = to.send((traffic, before, CpuTime::now()));
             }
-            Ask::Times(to) => {
+            Query::Timeline(to) => {
                 let _ = to.send(times.borrow().clone());
             }
         }
@@ -308,180 +313,183 @@
     Ok(())
 }
 
-/// A control instance: its node and its source.
+/// A control instance: its cluster node and its source.
 type Control = (ClusterHandle, SourceDriver);
 
-async fn start(cluster: &[SocketAddr], sources: &[SocketAddr]) -> Result<Vec<Control>, String> {
+async fn start_controls(
+    cluster: &[SocketAddr],
+    sources: &[SocketAddr],
+) -> Result<Vec<Control>, String> {
     let mut controls = Vec::new();
-    for (i, (at, source)) in cluster.iter().zip(sources).enumerate() {
+    for (i, (at, source_address)) in cluster.iter().zip(sources).enumerate() {
         let setup = NodeConfig {
             identity: identity(i, *at),
             keys: keys(),
             seeds: cluster.iter().take(3).copied().collect(),
             voters: (0..CONTROLS).map(name).collect(),
             max_clock_skew: 1000,
-            probe_timing: PACE,
+            probe_timing: PROBE_TIMING,
             ranking: ranking(),
             random_seed: i as u64,
         };
         let (node, mut fresh) = Cluster::start(setup)
             .await
             .map_err(|e| format!("{at}: {e}"))?;
-        let distributor = SourceDriver::start(SourceConfig {
-            identity: identity(i, *source),
+        let source = SourceDriver::start(SourceConfig {
+            identity: identity(i, *source_address),
             keys: keys(),
             limits: Limits::default(),
             seed: i as u64,
         });
-        let distributor = distributor.await.map_err(|e| format!("{source}: {e}"))?;
-        let to = distributor.clone();
+        let source = source.await.map_err(|e| format!("{source_address}: {e}"))?;
+        let to = source.clone();
         spawn_local(async move {
             while let Some(entry) = fresh.recv().await {
-                match entry.key == beat_key() {
+                match entry.key == confirmation_key() {
                     true => to.confirm_complete(),
                     false => to.publish(&[entry]),
                 }
             }
         });
-        controls.push((node, distributor));
+        controls.push((node, source));
     }
     Ok(controls)
 }
 
-/// Where the list is confirmed on the board; not passed on to followers.
-fn beat_key() -> u64 {
+/// Key of the entry that confirms the list by gossip; not passed on to followers.
+fn confirmation_key() -> u64 {
     LeaseId::of("list/beat").0
 }
 
-fn publish((node, distributor): &Control, entries: Vec<Entry>) {
-    distributor.publish(&entries);
+fn publish((node, source): &Control, entries: Vec<Entry>) {
+    source.publish(&entries);
     node.publish(entries);
 }
 
-/// Confirms the list for as long as the runtime lives.
-async fn confirm((node, distributor): Control) {
+/// Confirms the list until the runtime ends.
+async fn confirm((node, source): Control) {
     for version in 1.. {
         let value = vec![7; 17];
         node.publish(vec![Entry {
-            key: beat_key(),
+            key: confirmation_key(),
             version,
             value,
         }]);
-        distributor.confirm_complete();
-        sleep(BEAT).await;
+        source.confirm_complete();
+        sleep(CONFIRM_INTERVAL).await;
     }
 }
 
-fn went((node, distributor): &Control) -> Went {
-    let traffic = node.traffic();
-    Went::of(&distributor.answer()).plus(Went {
-        sent: traffic.sent,
-        received: traffic.received,
-        bytes: traffic.sent_bytes + traffic.received_bytes,
-        unsent: traffic.unsent,
+fn traffic((node, source): &Control) -> Traffic {
+    let cluster = node.traffic();
+    Traffic::from_answer(&source.answer()).add(Traffic {
+        sent: cluster.sent,
+        received: cluster.received,
+        bytes: cluster.sent_bytes + cluster.received_bytes,
+        unsent: cluster.unsent,
     })
 }
 
-async fn told<T>(
-    ask: &mpsc::UnboundedSender<Ask>,
-    of: impl FnOnce(oneshot::Sender<T>) -> Ask,
+async fn query<T>(
+    queries: &mpsc::UnboundedSender<Query>,
+    query: impl FnOnce(oneshot::Sender<T>) -> Query,
 ) -> Result<T, String> {
     let (to, answer) = oneshot::channel();
-    let sent = ask.send(of(to));
+    let sent = queries.send(query(to));
     sent.map_err(|_| "the followers' thread has ended")?;
-    match timeout(ANSWER_WITHIN, answer).await {
+    match timeout(ANSWER_TIMEOUT, answer).await {
         Ok(Ok(answer)) => Ok(answer),
         _ => Err("the followers' thread does not answer".to_owned()),
     }
 }
 
-async fn controls(
-    play: Play,
+async fn run_controls(
+    config: SocketRunConfig,
     cluster: Vec<SocketAddr>,
     sources: Vec<SocketAddr>,
     began: Instant,
-    ask: mpsc::UnboundedSender<Ask>,
+    queries: mpsc::UnboundedSender<Query>,
 ) -> Result<Sockets, String> {
-    let all = start(&cluster, &sources).await?;
-    let rows = (0..play.entries).map(|n| Entry {
+    let all = start_controls(&cluster, &sources).await?;
+    let rows = (0..config.entries).map(|n| Entry {
         key: key(n),
         version: 1,
-        value: vec![1; VALUE],
+        value: vec![1; VALUE_BYTES],
     });
     publish(&all[0], rows.collect());
     spawn_local(confirm(all[0].clone()));
     let mut result = Sockets {
-        followers: play.followers,
-        entries: play.entries,
-        changes: play.changes,
+        followers: config.followers,
+        entries: config.entries,
+        changes: config.changes,
         ..Sockets::default()
     };
-    while result.until_full.is_none() && began.elapsed() < FULL_WITHIN {
-        sleep(LOOK).await;
-        if told(&ask, |to| Ask::Full(true, to)).await? == play.followers {
+    while result.until_full.is_none() && began.elapsed() < SYNC_TIMEOUT {
+        sleep(POLL_INTERVAL).await;
+        if query(&queries, |to| Query::Synchronized(true, to)).await? == config.followers {
             result.until_full = Some(began.elapsed().as_millis() as u64);
         }
     }
 
-    let (follow, ..) = told(&ask, Ask::Spent).await?;
-    let sum = all.iter().map(went).fold(follow, Went::plus);
+    let (follow, ..) = query(&queries, Query::Usage).await?;
+    let sum = all.iter().map(traffic).fold(follow, Traffic::add);
     result.lost.0 = sum.sent.saturating_sub(sum.received);
 
     let mut published = Vec::new();
-    for n in 0..play.changes {
+    for n in 0..config.changes {
         published.push(Instant::now());
         let entry = Entry {
             key: key(n),
             version: FIRST_CHANGE + n as u64,
-            value: vec![2; VALUE],
+            value: vec![2; VALUE_BYTES],
         };
         publish(&all[0], vec![entry]);
-        sleep(BETWEEN).await;
+        sleep(CHANGE_INTERVAL).await;
     }
     let last = Instant::now();
-    while last.elapsed() < CHANGED_WITHIN {
-        let counts = told(&ask, Ask::Changed).await?;
-        if counts.iter().all(|count| *count == play.followers) {
+    while last.elapsed() < CHANGE_TIMEOUT {
+        let counts = query(&queries, Query::Changed).await?;
+        if counts.iter().all(|count| *count == config.followers) {
             break;
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
-    let times = told(&ask, Ask::Times).await?;
+    let times = query(&queries, Query::Timeline).await?;
     let ms = |at: &Instant, from: Instant| at.duration_since(from).as_millis() as u64;
-    result.until_all = spread(times.all.iter().map(|at| ms(at, began)));
+    result.until_all = summarize(times.all.iter().map(|at| ms(at, began)));
     let changes = || times.changes.iter().zip(&published);
-    let whole = changes().filter(|(at, _)| at.len() == play.followers);
+    let whole = changes().filter(|(at, _)| at.len() == config.followers);
     let latest = whole.filter_map(|(at, from)| Some(ms(at.iter().max()?, *from)));
-    result.everywhere = spread(latest);
-    result.each = spread(changes().flat_map(|(at, from)| at.iter().map(|at| ms(at, *from))));
-    result.missing = play.followers * play.changes - result.each.count as usize;
+    result.everywhere = summarize(latest);
+    result.each = summarize(changes().flat_map(|(at, from)| at.iter().map(|at| ms(at, *from))));
+    result.missing = config.followers * config.changes - result.each.count as usize;
 
-    sleep(SETTLE).await;
-    let (follow, _, processor) = told(&ask, Ask::Spent).await?;
-    let before: Vec<Went> = all.iter().map(went).collect();
-    let (own, start) = (Processor::now(), Instant::now());
-    sleep(play.rest).await;
-    let (seconds, own_now) = (start.elapsed().as_secs_f64(), Processor::now());
-    let after: Vec<Went> = all.iter().map(went).collect();
-    let (follow_now, processor_now, _) = told(&ask, Ask::Spent).await?;
-    let rest = |from: &Went, to: &Went, by: f64, (cpu, kernel)| Rest {
+    sleep(SETTLE_TIME).await;
+    let (follow, _, follow_cpu_start) = query(&queries, Query::Usage).await?;
+    let before: Vec<Traffic> = all.iter().map(traffic).collect();
+    let (control_cpu_start, start) = (CpuTime::now(), Instant::now());
+    sleep(config.idle_time).await;
+    let (seconds, control_cpu_end) = (start.elapsed().as_secs_f64(), CpuTime::now());
+    let after: Vec<Traffic> = all.iter().map(traffic).collect();
+    let (follow_now, follow_cpu_end, _) = query(&queries, Query::Usage).await?;
+    let rest = |from: &Traffic, to: &Traffic, by: f64, (cpu, kernel)| Rest {
         bytes: (to.bytes - from.bytes) as f64 / by,
         datagrams: (to.sent + to.received - from.sent - from.received) as f64 / by,
         cpu,
         kernel,
     };
-    let per = seconds * play.followers as f64;
-    let spent = processor_now.since(processor, play.followers, seconds);
+    let per = seconds * config.followers as f64;
+    let spent = follow_cpu_end.since(follow_cpu_start, config.followers, seconds);
     result.follow = rest(&follow, &follow_now, per, spent);
-    let spent = own_now.since(own, CONTROLS, seconds);
+    let spent = control_cpu_end.since(control_cpu_start, CONTROLS, seconds);
     let each = before.iter().zip(&after);
     let each = each.map(|(from, to)| rest(from, to, seconds, spent));
     let busiest = each.max_by(|a, b| a.bytes.total_cmp(&b.bytes));
     result.control = busiest.unwrap_or_default();
 
-    result.full = told(&ask, |to| Ask::Full(false, to)).await?;
-    let (follow, ..) = told(&ask, Ask::Spent).await?;
-    let sum = all.iter().map(went).fold(follow, Went::plus);
+    result.full = query(&queries, |to| Query::Synchronized(false, to)).await?;
+    let (follow, ..) = query(&queries, Query::Usage).await?;
+    let sum = all.iter().map(traffic).fold(follow, Traffic::add);
     let lost = sum.sent.saturating_sub(sum.received);
     result.lost.1 = lost.saturating_sub(result.lost.0);
     result.unsent = sum.unsent;
--- a/crates/fleet-rig/src/distribution/world.rs
+++ b/crates/fleet-rig/src/distribution/world.rs
@@ -1,9 +1,10 @@
-//! Control instances and followers in virtual time, in regions and zones, with their network. The same seed plays the
-//! same again.
+//! Control instances and followers in virtual time, with regions, zones and the network between them. A run is
+//! reproducible from its seed.
 //!
-//! The truth is a stand-in for discovery: keys with values. The control instance that holds the grant for the duty
-//! `list` watches it and puts on its node's board what differs, with the version period << 20 | step, and a head
-//! several times a second; every control instance hands its own entries and the board's news to its source.
+//! The truth stands in for discovery: a map from keys to values. The control instance that holds the grant for the duty
+//! `list` watches the truth and publishes differences through its node's gossip store, with version
+//! `period << 20 | step`, and a head entry several times per second. Every control instance passes its own entries and
+//! those received by gossip to its source.
 
 use super::checker::{Checker, is_removed};
 use crate::ranking;
@@ -24,77 +25,77 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// Control instances; all vote.
+/// Number of control instances; all are voters.
 pub const CONTROLS: usize = 9;
-/// Regions, and the zones of each.
+/// Number of regions.
 pub const REGIONS: usize = 6;
-/// See [`REGIONS`].
+/// Number of zones in each region.
 pub const ZONES: [u32; REGIONS] = [3, 2, 2, 2, 2, 2];
-/// Datagrams that wait for a frozen process, as the kernel's buffer would hold them.
+/// Datagrams queued for a frozen process, like in a kernel socket buffer; further ones are dropped.
 const KERNEL_BUFFER: usize = 256;
-/// A head is told so often.
-const HEAD_EVERY: Millis = 250;
-/// Versions within one period of the duty.
-const STEPS: u32 = 20;
-/// From a change to the writer's knowledge of it.
-const WATCH: Millis = 5;
-/// From looking at the grant to acting, at most.
-const ACT: Millis = 5;
-/// Bytes of a value: a row of the list.
-pub const VALUE: usize = 44;
-/// Recorded datagrams to be sent again.
-const RECORDED: usize = 512;
-const START: Millis = 1_700_000_000_000;
-/// How fast the control instances look after each other: answers come from 120 ms away and back.
-pub(super) const PACE: ProbeTiming = ProbeTiming {
+/// Interval between publications of the head entry.
+const HEAD_INTERVAL: Millis = 250;
+/// Bits of a version that count the writes within one period of the duty.
+const STEP_BITS: u32 = 20;
+/// Delay from a change of the truth until the writer sees it.
+const WATCH_DELAY: Millis = 5;
+/// Largest delay between receiving a grant and acting on it.
+const MAX_GRANT_DELAY: Millis = 5;
+/// Size of a value in bytes, as of one row of the list.
+pub const VALUE_BYTES: usize = 44;
+/// Number of recorded datagrams kept for replay.
+const MAX_RECORDED: usize = 512;
+const START_WALL_CLOCK: Millis = 1_700_000_000_000;
+/// Probe timing between control instances: the one-way delay between regions is up to 120 ms.
+pub(super) const PROBE_TIMING: ProbeTiming = ProbeTiming {
     probe_interval: Duration::from_millis(1000),
     ack_timeout: Duration::from_millis(400),
     suspicion_timeout: Duration::from_millis(2000),
 };
 const DUTY: &str = "list";
 const SECRET: &[u8] = b"a secret of the rig";
-/// Ports of the cluster's datagrams and of the distribution's.
-const CLUSTER: u16 = 7000;
-const DISTRIBUTION: u16 = 7001;
+/// Ports for the datagrams of the cluster and of the distribution.
+const CLUSTER_PORT: u16 = 7000;
+const DISTRIBUTION_PORT: u16 = 7001;
 const FIRST_ADDRESS: u32 = 0x7f01_0001;
 
-/// A fault built in, as proof that the checker sees it.
+/// A deliberate bug, to prove that the checker detects it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Planted {
-    /// None.
+pub enum InjectedBug {
+    /// No bug.
     #[default]
     None,
-    /// Followers take each entry a second time, seconds later, whatever its version.
-    TakesLower,
-    /// Every source forgets one change in so many.
-    Forgets(u64),
-    /// Followers change a byte of one entry in so many.
-    Invents(u64),
+    /// Followers apply each entry a second time, seconds later, regardless of its version.
+    AcceptsOlderVersions,
+    /// Every source drops one of this many changes.
+    DropsChanges(u64),
+    /// Followers corrupt a byte of one of this many entries.
+    CorruptsEntries(u64),
 }
 
-/// What the world is like.
+/// Parameters of a simulation.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Balancers.
+    /// Number of followers (balancers).
     pub followers: usize,
-    /// Keys that there are at the start.
+    /// Number of keys at the start.
     pub entries: usize,
-    /// Shares of datagrams that are lost, that come twice, and that come seconds late.
+    /// Share of datagrams that are lost.
     pub loss: f64,
-    /// See `loss`.
-    pub twice: f64,
-    /// See `loss`.
-    pub late: f64,
-    /// The period of the duty `list`.
-    pub every: Millis,
-    /// A new writer tells all rows anew, changed or not, as the list duty does today.
-    pub retell: bool,
-    /// What is built in.
-    pub planted: Planted,
-    /// Processor time and memory of the instances are counted.
-    pub meter: bool,
-    /// All that a follower holds is looked at after each of its changes, and not only what it says has changed.
-    pub scan: bool,
+    /// Share of datagrams that are delivered twice.
+    pub duplicated: f64,
+    /// Share of datagrams that are delayed by seconds.
+    pub delayed: f64,
+    /// Period of the duty `list`, in ms.
+    pub duty_period: Millis,
+    /// A new writer publishes all rows again, changed or not, like the list duty does.
+    pub republish_all: bool,
+    /// The deliberate bug.
+    pub injected_bug: InjectedBug,
+    /// Measure CPU time and memory of the instances.
+    pub metering: bool,
+    /// After each change of a follower check all of its entries, not only those it reports as changed.
+    pub check_all_entries: bool,
 }
 
 impl Default for Plan {
@@ -103,163 +104,163 @@
             followers: 60,
             entries: 150,
             loss: 0.01,
-            twice: 0.01,
-            late: 0.0,
-            every: 4000,
-            retell: false,
-            planted: Planted::None,
-            meter: false,
-            scan: false,
+            duplicated: 0.01,
+            delayed: 0.0,
+            duty_period: 4000,
+            republish_all: false,
+            injected_bug: InjectedBug::None,
+            metering: false,
+            check_all_entries: false,
         }
     }
 }
 
-/// What is done to the world. Instances: the control instances first, then the followers.
+/// A fault or event to apply. Instances are numbered with the control instances first, then the followers.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// The process dies without a sign.
+    /// The process crashes.
     Kill(usize),
-    /// It starts, with nothing.
+    /// The process starts without any state.
     Start(usize),
-    /// It stops running for now; its clocks go on.
+    /// The process is paused; its clocks go on.
     Freeze(usize),
-    /// It goes on.
+    /// The process is resumed.
     Thaw(usize),
-    /// Nothing passes from any of the first to any of the second.
+    /// Datagrams from any of the first instances to any of the second are dropped.
     Cut(Vec<usize>, Vec<usize>),
-    /// Everything passes again.
+    /// All cuts end.
     Heal,
-    /// Shares of datagrams that are lost, come twice, and come late from now on.
+    /// Sets the shares of datagrams that are lost, duplicated and delayed.
     Network(f64, f64, f64),
-    /// Bytes that nobody sent: random, cut off, damaged, recorded and sent again, or sealed with another key.
+    /// Delivers a forged datagram: random, truncated, corrupted, replayed, or encrypted with another key.
     Forge(usize),
-    /// The truth: a key is set anew, or there no more.
+    /// Gives a key of the truth a new value.
     Set(u64),
-    /// See `Set`.
+    /// Removes a key from the truth.
     Remove(u64),
 }
 
 enum Event {
     Datagram(u32, u16, SocketAddr, Vec<u8>),
     Wake(u32, u16),
-    Act(u32, u64, LeaseGrant),
-    Head(u32, u64, u64),
-    Watched(u64),
-    /// The planted fault: an entry is taken again.
-    Again(u32, u64, GossipEntry),
+    Granted(u32, u64, LeaseGrant),
+    PublishHead(u32, u64, u64),
+    TruthChanged(u64),
+    /// Bug [`InjectedBug::AcceptsOlderVersions`]: an entry is applied again.
+    Reapply(u32, u64, GossipEntry),
     Fault(Fault),
 }
 
-struct Timed(Millis, u64, Event);
+struct Scheduled(Millis, u64, Event);
 
-impl PartialEq for Timed {
+impl PartialEq for Scheduled {
     fn eq(&self, other: &Self) -> bool {
         self.1 == other.1
     }
 }
-impl Eq for Timed {}
-impl PartialOrd for Timed {
+impl Eq for Scheduled {}
+impl PartialOrd for Scheduled {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Timed {
+impl Ord for Scheduled {
     fn cmp(&self, other: &Self) -> Ordering {
         (other.0, other.1).cmp(&(self.0, self.1))
     }
 }
 
-/// What one part of an instance has sent, received, spent and keeps.
+/// Traffic, CPU time and memory of one component of an instance.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Meter {
     /// Datagrams sent, and their bytes.
     pub sent: (u64, u64),
     /// Datagrams received, and their bytes.
     pub received: (u64, u64),
-    /// Processor time in nanoseconds, of the instance's own calls.
-    pub cpu: i64,
-    /// Bytes that it holds of the allocator.
+    /// CPU time of calls into the component, in nanoseconds.
+    pub cpu_ns: i64,
+    /// Bytes allocated by the component and not yet freed.
     pub memory: i64,
-    /// The most bytes and datagrams sent in any whole second.
-    pub most: (u64, u64),
-    second: (u64, u64, u64),
+    /// The most bytes, and the most datagrams, sent in any whole second.
+    pub peak_second: (u64, u64),
+    current_second: (u64, u64, u64),
 }
 
 impl Meter {
-    fn sends(&mut self, now: Millis, bytes: usize) {
+    fn record_sent(&mut self, now: Millis, bytes: usize) {
         self.sent = (self.sent.0 + 1, self.sent.1 + bytes as u64);
-        if self.second.0 != now / 1000 {
-            self.second = (now / 1000, 0, 0);
+        if self.current_second.0 != now / 1000 {
+            self.current_second = (now / 1000, 0, 0);
         }
-        self.second.1 += bytes as u64;
-        self.second.2 += 1;
-        self.most = (
-            self.most.0.max(self.second.1),
-            self.most.1.max(self.second.2),
+        self.current_second.1 += bytes as u64;
+        self.current_second.2 += 1;
+        self.peak_second = (
+            self.peak_second.0.max(self.current_second.1),
+            self.peak_second.1.max(self.current_second.2),
         );
     }
 }
 
-struct Lead {
+struct WriterTerm {
     period: u64,
     step: u64,
     until: Millis,
 }
 
-struct Control {
+struct ControlInstance {
     node: Node,
     source: Source,
-    leads: Option<Lead>,
-    /// Keys to compare with the truth; `None`: all.
+    writer_term: Option<WriterTerm>,
+    /// Keys to compare with the truth; `None` for all.
     dirty: Option<BTreeSet<u64>>,
 }
 
-enum Part {
+enum Role {
     Down,
-    Control(Box<Control>),
+    Control(Box<ControlInstance>),
     Follower(Box<Follower>),
 }
 
 struct Process {
-    part: Part,
-    boot: u64,
+    role: Role,
+    incarnation: u64,
     frozen: bool,
-    waiting: Vec<Event>,
-    datagrams_waiting: usize,
-    mono: u64,
-    wall: i64,
+    queued_events: Vec<Event>,
+    queued_datagrams: usize,
+    monotonic_offset: u64,
+    wall_offset: i64,
     wake_at: [Millis; 2],
-    /// What the planted follower makes of it.
-    own: BTreeMap<u64, GossipEntry>,
+    /// Entries as a follower with an injected bug would hold them.
+    buggy_entries: BTreeMap<u64, GossipEntry>,
 }
 
-/// See the module's page.
+/// A simulation of control instances, followers and their network; see the module documentation.
 pub struct World {
-    /// What it is like.
+    /// Parameters; [`Fault::Network`] changes the shares of the network.
     pub plan: Plan,
-    /// Now, in true time.
+    /// Current virtual time, in ms.
     pub now: Millis,
-    /// Who knows the truth.
+    /// Records writes and verifies followers.
     pub checker: Checker,
-    /// The truth: what there is for each key.
+    /// The current value of each key, as discovery would return it.
     pub truth: BTreeMap<u64, Vec<u8>>,
-    /// By instance: of the distribution's part, and of the cluster's node.
+    /// For each instance, the meters of its distribution component and of its cluster node.
     pub meters: Vec<[Meter; 2]>,
-    /// Events played.
-    pub played: u64,
-    /// When a follower was full first in this run of it.
-    pub full_at: Vec<Option<Millis>>,
-    /// When each process started last.
+    /// Number of processed events.
+    pub processed_events: u64,
+    /// For each instance, when the follower was first synchronized since its start.
+    pub synchronized_at: Vec<Option<Millis>>,
+    /// For each instance, the time of its last start.
     pub started_at: Vec<Millis>,
-    /// Notices of sources and followers, counted by their kind.
-    pub notices: BTreeMap<String, u64>,
+    /// Number of events reported by sources and followers, by kind.
+    pub event_counts: BTreeMap<String, u64>,
     processes: Vec<Process>,
-    heap: BinaryHeap<Timed>,
-    count: u64,
+    queue: BinaryHeap<Scheduled>,
+    scheduled_events: u64,
     random: ChaCha8Rng,
     cuts: Vec<(Vec<bool>, Vec<bool>)>,
     recorded: Vec<(u16, Vec<u8>)>,
-    number: u64,
+    value_counter: u64,
     clock_cost: i64,
 }
 
@@ -267,8 +268,8 @@
     SocketAddr::new(Ipv4Addr::from(FIRST_ADDRESS + i as u32).into(), port)
 }
 
-/// Where an instance is.
-pub fn place(i: usize) -> Location {
+/// The region and zone of an instance.
+pub fn location(i: usize) -> Location {
     let (region, nth) = match i < CONTROLS {
         true => (i % REGIONS, i / REGIONS),
         false => ((i - CONTROLS) % REGIONS, (i - CONTROLS) / REGIONS),
@@ -280,7 +281,7 @@
     }
 }
 
-/// The one-way delay between two places, without jitter, in ms.
+/// The one-way delay between two locations without jitter, in ms.
 pub fn delay(a: &Location, b: &Location) -> Millis {
     match (a.region.abs_diff(b.region), a.zone == b.zone) {
         (0, true) => 1,
@@ -297,7 +298,7 @@
     }
 }
 
-/// The key of the n-th server.
+/// The key of the `n`-th server.
 pub fn key(n: usize) -> u64 {
     LeaseId::of(&format!("{DUTY}/{n:016x}")).0
 }
@@ -306,93 +307,94 @@
     Keys(vec![Key::new(SECRET)])
 }
 
-/// What this thread has spent on a processor, in nanoseconds.
-pub fn thread_time() -> i64 {
+/// CPU time of this thread, in nanoseconds.
+pub fn thread_cpu_ns() -> i64 {
     let t = rustix::time::clock_gettime(rustix::time::ClockId::ThreadCPUTime);
     t.tv_sec * 1_000_000_000 + t.tv_nsec
 }
 
-/// Bytes that the allocator has given out; 0 where the program does not count them.
+/// Currently allocated bytes; 0 if the program does not use the counting allocator.
 pub fn allocated() -> i64 {
     let stats = stats_alloc::INSTRUMENTED_SYSTEM.stats();
     stats.bytes_allocated as i64 - stats.bytes_deallocated as i64
 }
 
-/// Calls an instance, counting what it spends.
+/// Runs a call into an instance and adds its CPU time and memory to the meter. `cost` is the cost of reading the clock;
+/// `None` disables metering.
 fn metered<T>(meter: &mut Meter, cost: Option<i64>, call: impl FnOnce() -> T) -> T {
     let Some(cost) = cost else {
         return call();
     };
-    let (held, start) = (allocated(), thread_time());
+    let (held, start) = (allocated(), thread_cpu_ns());
     let out = call();
-    meter.cpu += thread_time() - start - cost;
+    meter.cpu_ns += thread_cpu_ns() - start - cost;
     meter.memory += allocated() - held;
     out
 }
 
 impl World {
-    /// A world whose control instances have just started; the followers are not there yet.
+    /// Creates a simulation in which the control instances have just started and no follower runs.
     pub fn new(plan: Plan, seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let all = CONTROLS + plan.followers;
         let processes = (0..all)
             .map(|_| Process {
-                part: Part::Down,
-                boot: 0,
+                role: Role::Down,
+                incarnation: 0,
                 frozen: false,
-                waiting: Vec::new(),
-                datagrams_waiting: 0,
-                // Every machine's monotonic clock has another origin.
-                mono: random.random_range(1_000..10_000_000),
-                wall: random.random_range(-500..=500),
+                queued_events: Vec::new(),
+                queued_datagrams: 0,
+                // Monotonic clocks of different machines have different origins.
+                monotonic_offset: random.random_range(1_000..10_000_000),
+                wall_offset: random.random_range(-500..=500),
                 wake_at: [Millis::MAX; 2],
-                own: BTreeMap::new(),
+                buggy_entries: BTreeMap::new(),
             })
             .collect();
-        // Reading the clock twice costs this, of which the half falls into what is measured.
-        let start = thread_time();
+        // The cost of one clock reading: of the two readings around a call, half of the cost falls into the measured time.
+        let start = thread_cpu_ns();
         (0..1000).for_each(|_| {
-            std::hint::black_box(thread_time());
+            std::hint::black_box(thread_cpu_ns());
         });
-        let clock_cost = (thread_time() - start) / 1000;
+        let clock_cost = (thread_cpu_ns() - start) / 1000;
         let mut world = Self {
             now: 0,
             checker: Checker::new(plan.followers),
             truth: BTreeMap::new(),
             meters: vec![[Meter::default(); 2]; all],
-            played: 0,
-            full_at: vec![None; all],
+            processed_events: 0,
+            synchronized_at: vec![None; all],
             started_at: vec![0; all],
-            notices: BTreeMap::new(),
+            event_counts: BTreeMap::new(),
             processes,
-            heap: BinaryHeap::new(),
-            count: 0,
+            queue: BinaryHeap::new(),
+            scheduled_events: 0,
             random,
             cuts: Vec::new(),
             recorded: Vec::new(),
-            number: 0,
+            value_counter: 0,
             clock_cost,
             plan,
         };
         for n in 0..world.plan.entries {
-            let value = world.value();
+            let value = world.next_value();
             world.truth.insert(key(n), value);
         }
         (0..CONTROLS).for_each(|i| world.start(i));
         world
     }
 
-    /// The random numbers of the world, for drawing a script.
+    /// The random number generator of the simulation, for generating faults.
     pub fn random(&mut self) -> &mut ChaCha8Rng {
         &mut self.random
     }
 
-    /// Does something to the world at a time to come.
+    /// Schedules a fault.
     pub fn at(&mut self, at: Millis, fault: Fault) {
         self.push(at, Event::Fault(fault));
     }
 
-    /// All followers start, spread over a span.
+    /// Schedules the start of all followers at random times within a span.
     pub fn start_followers(&mut self, from: Millis, span: Millis) {
         for i in self.followers() {
             let at = from + self.random.random_range(0..=span);
@@ -400,60 +402,60 @@
         }
     }
 
-    /// The instances that are followers.
+    /// Indices of the followers.
     pub fn followers(&self) -> std::ops::Range<usize> {
         CONTROLS..CONTROLS + self.plan.followers
     }
 
-    /// All instances of a region, and all others.
-    pub fn split(&self, region: u32) -> (Vec<usize>, Vec<usize>) {
-        (0..self.processes.len()).partition(|i| place(*i).region == region)
+    /// The instances of a region, and all others.
+    pub fn split_region(&self, region: u32) -> (Vec<usize>, Vec<usize>) {
+        (0..self.processes.len()).partition(|i| location(*i).region == region)
     }
 
-    /// Whether a process runs.
+    /// Whether a process is running or frozen.
     pub fn is_up(&self, i: usize) -> bool {
-        !matches!(self.processes[i].part, Part::Down)
+        !matches!(self.processes[i].role, Role::Down)
     }
 
-    /// Whether it is frozen.
+    /// Whether a process is frozen.
     pub fn is_frozen(&self, i: usize) -> bool {
         self.processes[i].frozen
     }
 
-    /// A follower that runs.
+    /// The follower of an instance, if it is up.
     pub fn follower(&self, i: usize) -> Option<&Follower> {
-        match &self.processes[i].part {
-            Part::Follower(follower) => Some(follower),
+        match &self.processes[i].role {
+            Role::Follower(follower) => Some(follower),
             _ => None,
         }
     }
 
-    /// The source of a control instance that runs.
+    /// The source of a control instance, if it is up.
     pub fn source(&self, i: usize) -> Option<&Source> {
-        match &self.processes[i].part {
-            Part::Control(control) => Some(&control.source),
+        match &self.processes[i].role {
+            Role::Control(control) => Some(&control.source),
             _ => None,
         }
     }
 
-    /// The monotonic clock of an instance.
-    pub fn mono(&self, i: usize) -> Millis {
-        self.now + self.processes[i].mono
+    /// The monotonic time of an instance, in ms.
+    pub fn monotonic(&self, i: usize) -> Millis {
+        self.now + self.processes[i].monotonic_offset
     }
 
-    /// The control instance that writes now.
+    /// The control instance that is the current writer.
     pub fn writer(&self) -> Option<usize> {
-        (0..CONTROLS).find(|i| self.leads(*i))
+        (0..CONTROLS).find(|i| self.is_writer(*i))
     }
 
-    /// What the sources, or the followers, have counted.
+    /// Counters of the sources and followers in a range of instances, added up.
     pub fn counters(&self, of: std::ops::Range<usize>) -> BTreeMap<String, u64> {
         let mut all = BTreeMap::new();
         for i in of {
-            let counted = match &self.processes[i].part {
-                Part::Down => continue,
-                Part::Control(control) => control.source.counters(),
-                Part::Follower(follower) => follower.counters(),
+            let counted = match &self.processes[i].role {
+                Role::Down => continue,
+                Role::Control(control) => control.source.counters(),
+                Role::Follower(follower) => follower.counters(),
             };
             for (what, n) in counted {
                 *all.entry(what.to_owned()).or_default() += n;
@@ -462,7 +464,7 @@
         all
     }
 
-    /// Starts counting what is sent, received and spent anew; what is kept stays counted.
+    /// Resets all meters except for the allocated memory.
     pub fn reset_meters(&mut self) {
         for meter in self.meters.iter_mut().flatten() {
             *meter = Meter {
@@ -472,327 +474,351 @@
         }
     }
 
-    /// Plays on until then.
+    /// Processes events until the given time.
     pub fn run_until(&mut self, end: Millis) {
-        while self.heap.peek().is_some_and(|next| next.0 <= end) {
-            let Some(Timed(at, _, event)) = self.heap.pop() else {
+        while self.queue.peek().is_some_and(|next| next.0 <= end) {
+            let Some(Scheduled(at, _, event)) = self.queue.pop() else {
                 break;
             };
             self.now = at;
-            self.played += 1;
-            self.happen(event);
+            self.processed_events += 1;
+            self.dispatch(event);
         }
         self.now = end;
     }
 
-    /// All is healed and quiet: looks whether every follower that runs holds what the writer made of the truth.
-    pub fn last_look(&mut self) {
+    /// Checks after recovery that the writer holds the truth, and every running follower what the writer holds.
+    pub fn final_check(&mut self) {
         let now = self.now;
         let Some(writer) = self.writer() else {
             let text = format!("{now} nobody writes");
-            return self.checker.wrong(super::Wrong::Lost, text);
+            return self.checker.report(super::Violation::Lost, text);
         };
-        let Part::Control(control) = &self.processes[writer].part else {
+        let Role::Control(control) = &self.processes[writer].role else {
             return;
         };
-        // The board has no list of its keys: all keys ever written are asked for.
-        let mut right = BTreeMap::new();
+        // The gossip store cannot list its keys, so all keys ever written are looked up.
+        let mut expected = BTreeMap::new();
         for key in self.checker.keys() {
             if let Some(entry) = control.node.gossip_store().get(key) {
-                right.insert(key, entry.clone());
+                expected.insert(key, entry.clone());
             }
         }
         for (key, value) in &self.truth {
-            if right.get(key).is_none_or(|entry| entry.value != *value) {
+            if expected.get(key).is_none_or(|entry| entry.value != *value) {
                 let text = format!("{now} the writer lacks {key:x}");
-                self.checker.wrong(super::Wrong::Lost, text);
+                self.checker.report(super::Violation::Lost, text);
             }
         }
-        for entry in right.values() {
+        for entry in expected.values() {
             if !self.truth.contains_key(&entry.key) && !is_removed(entry) {
                 let text = format!("{now} the writer keeps {:x}", entry.key);
-                self.checker.wrong(super::Wrong::Lost, text);
+                self.checker.report(super::Violation::Lost, text);
             }
         }
         for i in CONTROLS..self.processes.len() {
             let process = &self.processes[i];
-            let Part::Follower(follower) = &process.part else {
+            let Role::Follower(follower) = &process.role else {
                 continue;
             };
-            let who = i - CONTROLS;
-            match self.plan.planted {
-                Planted::None | Planted::Forgets(_) => {
-                    self.checker.scan(now, who, follower.store().iter());
+            let follower_index = i - CONTROLS;
+            match self.plan.injected_bug {
+                InjectedBug::None | InjectedBug::DropsChanges(_) => {
+                    self.checker
+                        .check_all(now, follower_index, follower.store().iter());
                     let held = follower.store().iter();
-                    self.checker.last_look(now, who, held, &right);
+                    self.checker
+                        .final_check(now, follower_index, held, &expected);
                 }
-                Planted::TakesLower | Planted::Invents(_) => {
-                    self.checker.scan(now, who, process.own.values());
+                InjectedBug::AcceptsOlderVersions | InjectedBug::CorruptsEntries(_) => {
                     self.checker
-                        .last_look(now, who, process.own.values(), &right);
+                        .check_all(now, follower_index, process.buggy_entries.values());
+                    self.checker.final_check(
+                        now,
+                        follower_index,
+                        process.buggy_entries.values(),
+                        &expected,
+                    );
                 }
             }
         }
     }
 
-    fn value(&mut self) -> Vec<u8> {
-        self.number += 1;
+    fn next_value(&mut self) -> Vec<u8> {
+        self.value_counter += 1;
         let mut value = vec![1, 0];
-        value.extend(self.number.to_le_bytes());
-        value.resize(VALUE, self.number as u8);
+        value.extend(self.value_counter.to_le_bytes());
+        value.resize(VALUE_BYTES, self.value_counter as u8);
         value
     }
 
     fn clocks(&self, i: usize) -> Clocks {
         let process = &self.processes[i];
         Clocks {
-            monotonic: self.now + process.mono,
-            wall: (START as i64 + self.now as i64 + process.wall) as Millis,
+            monotonic: self.now + process.monotonic_offset,
+            wall: (START_WALL_CLOCK as i64 + self.now as i64 + process.wall_offset) as Millis,
         }
     }
 
-    fn cost(&self) -> Option<i64> {
-        self.plan.meter.then_some(self.clock_cost)
+    fn meter_cost(&self) -> Option<i64> {
+        self.plan.metering.then_some(self.clock_cost)
     }
 
     fn push(&mut self, at: Millis, event: Event) {
-        self.count += 1;
-        self.heap.push(Timed(at.max(self.now), self.count, event));
+        self.scheduled_events += 1;
+        self.queue
+            .push(Scheduled(at.max(self.now), self.scheduled_events, event));
     }
 
-    fn happen(&mut self, event: Event) {
+    fn dispatch(&mut self, event: Event) {
         let process = match &event {
-            Event::Fault(_) | Event::Watched(_) => None,
+            Event::Fault(_) | Event::TruthChanged(_) => None,
             Event::Datagram(i, ..)
             | Event::Wake(i, _)
-            | Event::Act(i, ..)
-            | Event::Head(i, ..)
-            | Event::Again(i, ..) => Some(*i as usize),
+            | Event::Granted(i, ..)
+            | Event::PublishHead(i, ..)
+            | Event::Reapply(i, ..) => Some(*i as usize),
         };
         if let Some(i) = process
             && self.processes[i].frozen
         {
             let process = &mut self.processes[i];
             if matches!(event, Event::Datagram(..)) {
-                process.datagrams_waiting += 1;
-                if process.datagrams_waiting > KERNEL_BUFFER {
+                process.queued_datagrams += 1;
+                if process.queued_datagrams > KERNEL_BUFFER {
                     return;
                 }
             }
-            process.waiting.push(event);
+            process.queued_events.push(event);
             return;
         }
         match event {
             Event::Datagram(i, port, from, bytes) => self.receive(i as usize, port, from, &bytes),
             Event::Wake(i, port) => self.wake(i as usize, port),
-            Event::Act(i, boot, grant) => self.act(i as usize, boot, grant),
-            Event::Head(i, boot, period) => {
+            Event::Granted(i, incarnation, grant) => {
+                self.begin_term(i as usize, incarnation, grant)
+            }
+            Event::PublishHead(i, incarnation, period) => {
                 let i = i as usize;
-                if self.processes[i].boot == boot && self.leads(i) {
-                    let Part::Control(control) = &mut self.processes[i].part else {
+                if self.processes[i].incarnation == incarnation && self.is_writer(i) {
+                    let Role::Control(control) = &mut self.processes[i].role else {
                         return;
                     };
-                    if control.leads.as_ref().is_some_and(|l| l.period == period) {
-                        self.tell(i, true);
-                        self.push(self.now + HEAD_EVERY, Event::Head(i as u32, boot, period));
+                    if control
+                        .writer_term
+                        .as_ref()
+                        .is_some_and(|term| term.period == period)
+                    {
+                        self.publish_changes(i, true);
+                        self.push(
+                            self.now + HEAD_INTERVAL,
+                            Event::PublishHead(i as u32, incarnation, period),
+                        );
                     }
                 }
             }
-            Event::Watched(key) => {
+            Event::TruthChanged(key) => {
                 for i in 0..CONTROLS {
-                    if let Part::Control(control) = &mut self.processes[i].part
+                    if let Role::Control(control) = &mut self.processes[i].role
                         && let Some(dirty) = &mut control.dirty
                     {
                         dirty.insert(key);
                     }
-                    if !self.processes[i].frozen && self.leads(i) {
-                        self.tell(i, false);
+                    if !self.processes[i].frozen && self.is_writer(i) {
+                        self.publish_changes(i, false);
                     }
                 }
             }
-            Event::Again(i, boot, entry) => {
+            Event::Reapply(i, incarnation, entry) => {
                 let process = &mut self.processes[i as usize];
-                if process.boot == boot && !matches!(process.part, Part::Down) {
-                    let who = i as usize - CONTROLS;
-                    self.checker.holds(self.now, who, &entry);
-                    process.own.insert(entry.key, entry);
+                if process.incarnation == incarnation && !matches!(process.role, Role::Down) {
+                    let follower_index = i as usize - CONTROLS;
+                    self.checker.check_entry(self.now, follower_index, &entry);
+                    process.buggy_entries.insert(entry.key, entry);
                 }
             }
-            Event::Fault(fault) => self.fault(fault),
+            Event::Fault(fault) => self.apply_fault(fault),
         }
     }
 
     fn receive(&mut self, i: usize, port: u16, from: SocketAddr, bytes: &[u8]) {
-        let (now, cost) = (self.clocks(i), self.cost());
-        let meter = &mut self.meters[i][usize::from(port == CLUSTER)];
+        let (now, cost) = (self.clocks(i), self.meter_cost());
+        let meter = &mut self.meters[i][usize::from(port == CLUSTER_PORT)];
         meter.received = (meter.received.0 + 1, meter.received.1 + bytes.len() as u64);
-        match &mut self.processes[i].part {
-            Part::Down => return,
-            Part::Control(control) if port == CLUSTER => {
+        match &mut self.processes[i].role {
+            Role::Down => return,
+            Role::Control(control) if port == CLUSTER_PORT => {
                 metered(meter, cost, || control.node.receive(now, from, bytes));
             }
-            Part::Control(control) => {
+            Role::Control(control) => {
                 metered(meter, cost, || {
                     control.source.receive(now.monotonic, from, bytes)
                 });
             }
-            Part::Follower(follower) => {
+            Role::Follower(follower) => {
                 metered(meter, cost, || follower.receive(now.monotonic, from, bytes));
             }
         }
-        self.settle(i, port);
+        self.apply_effects(i, port);
     }
 
     fn wake(&mut self, i: usize, port: u16) {
-        let part = usize::from(port == CLUSTER);
-        let (now, cost) = (self.clocks(i), self.cost());
+        let meter_index = usize::from(port == CLUSTER_PORT);
+        let (now, cost) = (self.clocks(i), self.meter_cost());
         let process = &mut self.processes[i];
-        if process.wake_at[part] != self.now {
+        if process.wake_at[meter_index] != self.now {
             return;
         }
-        process.wake_at[part] = Millis::MAX;
-        let meter = &mut self.meters[i][part];
-        match &mut process.part {
-            Part::Down => return,
-            Part::Control(control) if port == CLUSTER => {
+        process.wake_at[meter_index] = Millis::MAX;
+        let meter = &mut self.meters[i][meter_index];
+        match &mut process.role {
+            Role::Down => return,
+            Role::Control(control) if port == CLUSTER_PORT => {
                 metered(meter, cost, || control.node.wake(now));
             }
-            Part::Control(control) => metered(meter, cost, || control.source.wake(now.monotonic)),
-            Part::Follower(follower) => metered(meter, cost, || follower.wake(now.monotonic)),
+            Role::Control(control) => metered(meter, cost, || control.source.wake(now.monotonic)),
+            Role::Follower(follower) => metered(meter, cost, || follower.wake(now.monotonic)),
         }
-        self.settle(i, port);
+        self.apply_effects(i, port);
     }
 
-    /// Carries out what a part says, and what that brings about.
-    fn settle(&mut self, i: usize, port: u16) {
-        let (mono, cost) = (self.mono(i), self.cost());
-        let part = usize::from(port == CLUSTER);
-        let meter = &mut self.meters[i][part];
-        let (next, news) = match &mut self.processes[i].part {
-            Part::Down => return,
-            Part::Control(control) if port == CLUSTER => {
+    /// Applies the pending effects of one component of an instance and schedules its next wake-up.
+    fn apply_effects(&mut self, i: usize, port: u16) {
+        let (mono, cost) = (self.monotonic(i), self.meter_cost());
+        let meter_index = usize::from(port == CLUSTER_PORT);
+        let meter = &mut self.meters[i][meter_index];
+        let (next, updates) = match &mut self.processes[i].role {
+            Role::Down => return,
+            Role::Control(control) if port == CLUSTER_PORT => {
                 let effects = metered(meter, cost, || control.node.take_effects());
-                meter.memory -= room::<node::Effect>(cost, effects.capacity());
+                meter.memory -= owned_bytes::<node::Effect>(cost, effects.capacity());
                 let next = control.node.next_wake();
-                let mut news = Vec::new();
+                let mut updates = Vec::new();
                 for effect in effects {
                     match effect {
                         node::Effect::Datagram(to, bytes) => {
-                            self.meters[i][part].memory -= room::<u8>(cost, bytes.capacity());
+                            self.meters[i][meter_index].memory -=
+                                owned_bytes::<u8>(cost, bytes.capacity());
                             self.send(i, port, to, bytes);
                         }
                         node::Effect::Granted(grant) => {
                             if grant.is_valid(mono) {
-                                let after = self.random.random_range(0..=ACT);
-                                let boot = self.processes[i].boot;
-                                self.push(self.now + after, Event::Act(i as u32, boot, grant));
+                                let after = self.random.random_range(0..=MAX_GRANT_DELAY);
+                                let incarnation = self.processes[i].incarnation;
+                                self.push(
+                                    self.now + after,
+                                    Event::Granted(i as u32, incarnation, grant),
+                                );
                             }
                         }
                         node::Effect::EntryUpdated(entry) => {
-                            let value = room::<u8>(cost, entry.value.capacity());
-                            self.meters[i][part].memory -= value;
-                            news.push(entry);
+                            let value = owned_bytes::<u8>(cost, entry.value.capacity());
+                            self.meters[i][meter_index].memory -= value;
+                            updates.push(entry);
                         }
                         node::Effect::Notice(_) => {}
                     }
                 }
-                (next, news)
+                (next, updates)
             }
-            Part::Control(control) => {
+            Role::Control(control) => {
                 let effects = metered(meter, cost, || control.source.take_outputs());
-                meter.memory -= room::<dist::Output>(cost, effects.capacity());
+                meter.memory -= owned_bytes::<dist::Output>(cost, effects.capacity());
                 let next = control.source.next_wake();
-                self.carry_out(i, effects);
+                self.apply_outputs(i, effects);
                 (next, Vec::new())
             }
-            Part::Follower(follower) => {
+            Role::Follower(follower) => {
                 let effects = metered(meter, cost, || follower.take_outputs());
-                meter.memory -= room::<dist::Output>(cost, effects.capacity());
+                meter.memory -= owned_bytes::<dist::Output>(cost, effects.capacity());
                 let next = follower.next_wake();
-                if self.full_at[i].is_none() && follower.is_synchronized() {
-                    self.full_at[i] = Some(self.now);
+                if self.synchronized_at[i].is_none() && follower.is_synchronized() {
+                    self.synchronized_at[i] = Some(self.now);
                 }
-                self.carry_out(i, effects);
+                self.apply_outputs(i, effects);
                 (next, Vec::new())
             }
         };
         let at = next
-            .saturating_sub(self.processes[i].mono)
+            .saturating_sub(self.processes[i].monotonic_offset)
             .max(self.now + 1);
-        if at < self.processes[i].wake_at[part] {
-            self.processes[i].wake_at[part] = at;
+        if at < self.processes[i].wake_at[meter_index] {
+            self.processes[i].wake_at[meter_index] = at;
             self.push(at, Event::Wake(i as u32, port));
         }
-        if !news.is_empty() {
-            self.take_news(i, &news);
+        if !updates.is_empty() {
+            self.apply_updates(i, &updates);
         }
     }
 
-    fn carry_out(&mut self, i: usize, effects: Vec<dist::Output>) {
-        let cost = self.cost();
+    fn apply_outputs(&mut self, i: usize, effects: Vec<dist::Output>) {
+        let cost = self.meter_cost();
         let mut changed = Vec::new();
         for effect in effects {
             match effect {
                 dist::Output::Datagram(to, bytes) => {
-                    self.meters[i][0].memory -= room::<u8>(cost, bytes.capacity());
-                    self.send(i, DISTRIBUTION, to, bytes);
+                    self.meters[i][0].memory -= owned_bytes::<u8>(cost, bytes.capacity());
+                    self.send(i, DISTRIBUTION_PORT, to, bytes);
                 }
                 dist::Output::EntryUpdated(entry) => {
-                    self.meters[i][0].memory -= room::<u8>(cost, entry.value.capacity());
+                    self.meters[i][0].memory -= owned_bytes::<u8>(cost, entry.value.capacity());
                     changed.push(entry);
                 }
                 dist::Output::Event(notice) => {
                     let text = format!("{notice:?}");
                     let kind = text.split([' ', '(', '{']).next().unwrap_or_default();
-                    *self.notices.entry(kind.to_owned()).or_default() += 1;
+                    *self.event_counts.entry(kind.to_owned()).or_default() += 1;
                 }
             }
         }
         if !changed.is_empty() {
-            self.look(i, changed);
+            self.check_follower(i, changed);
         }
     }
 
-    /// What a follower holds after a change.
-    fn look(&mut self, i: usize, changed: Vec<GossipEntry>) {
-        let (now, who) = (self.now, i - CONTROLS);
-        let Part::Follower(follower) = &self.processes[i].part else {
+    /// Checks a follower after it has reported changes.
+    fn check_follower(&mut self, i: usize, changed: Vec<GossipEntry>) {
+        let (now, follower_index) = (self.now, i - CONTROLS);
+        let Role::Follower(follower) = &self.processes[i].role else {
             return;
         };
-        match self.plan.planted {
-            Planted::None | Planted::Forgets(_) if self.plan.scan => {
-                self.checker.scan(now, who, follower.store().iter());
+        match self.plan.injected_bug {
+            InjectedBug::None | InjectedBug::DropsChanges(_) if self.plan.check_all_entries => {
+                self.checker
+                    .check_all(now, follower_index, follower.store().iter());
             }
-            Planted::None | Planted::Forgets(_) => {
+            InjectedBug::None | InjectedBug::DropsChanges(_) => {
                 for entry in changed {
                     if let Some(held) = follower.store().get(entry.key) {
-                        self.checker.holds(now, who, held);
+                        self.checker.check_entry(now, follower_index, held);
                     }
                 }
             }
-            Planted::TakesLower => {
-                let boot = self.processes[i].boot;
+            InjectedBug::AcceptsOlderVersions => {
+                let incarnation = self.processes[i].incarnation;
                 for entry in changed {
-                    self.checker.holds(now, who, &entry);
-                    self.processes[i].own.insert(entry.key, entry.clone());
+                    self.checker.check_entry(now, follower_index, &entry);
+                    self.processes[i]
+                        .buggy_entries
+                        .insert(entry.key, entry.clone());
                     let after = self.random.random_range(1000..5000);
-                    self.push(now + after, Event::Again(i as u32, boot, entry));
+                    self.push(now + after, Event::Reapply(i as u32, incarnation, entry));
                 }
             }
-            Planted::Invents(share) => {
+            InjectedBug::CorruptsEntries(share) => {
                 for mut entry in changed {
                     if entry.version.is_multiple_of(share) {
-                        entry.value[VALUE - 1] ^= 1;
+                        entry.value[VALUE_BYTES - 1] ^= 1;
                     }
-                    self.checker.holds(now, who, &entry);
-                    self.processes[i].own.insert(entry.key, entry);
+                    self.checker.check_entry(now, follower_index, &entry);
+                    self.processes[i].buggy_entries.insert(entry.key, entry);
                 }
             }
         }
     }
 
     fn send(&mut self, from: usize, port: u16, to: SocketAddr, bytes: Vec<u8>) {
-        self.meters[from][usize::from(port == CLUSTER)].sends(self.now, bytes.len());
+        self.meters[from][usize::from(port == CLUSTER_PORT)].record_sent(self.now, bytes.len());
         let IpAddr::V4(ip) = to.ip() else {
             return;
         };
@@ -800,53 +826,57 @@
         if target >= self.processes.len() || to.port() != port {
             return;
         }
-        if self.recorded.len() < RECORDED {
+        if self.recorded.len() < MAX_RECORDED {
             self.recorded.push((port, bytes.clone()));
         } else if self.random.random_range(0..64) == 0 {
-            let at = self.random.random_range(0..RECORDED);
+            let at = self.random.random_range(0..MAX_RECORDED);
             self.recorded[at] = (port, bytes.clone());
         }
         let cut = self.cuts.iter().any(|(a, b)| a[from] && b[target]);
         if cut || self.random.random_bool(self.plan.loss) {
             return;
         }
-        let copies = 1 + usize::from(self.random.random_bool(self.plan.twice));
-        let base = delay(&place(from), &place(target));
+        let copies = 1 + usize::from(self.random.random_bool(self.plan.duplicated));
+        let base = delay(&location(from), &location(target));
         for _ in 1..copies {
-            let after = self.travel(base);
+            let after = self.transit_time(base);
             let event = Event::Datagram(target as u32, port, address(from, port), bytes.clone());
             self.push(self.now + after, event);
         }
-        let after = self.travel(base);
+        let after = self.transit_time(base);
         let event = Event::Datagram(target as u32, port, address(from, port), bytes);
         self.push(self.now + after, event);
     }
 
-    fn travel(&mut self, base: Millis) -> Millis {
+    fn transit_time(&mut self, base: Millis) -> Millis {
         let mut after = base + self.random.random_range(0..=(base / 5).max(1));
-        if self.random.random_bool(self.plan.late) {
+        if self.random.random_bool(self.plan.delayed) {
             after += self.random.random_range(500..8000);
         }
         after
     }
 
-    fn leads(&self, i: usize) -> bool {
-        let mono = self.mono(i);
-        match &self.processes[i].part {
-            Part::Control(control) => control.leads.as_ref().is_some_and(|l| mono < l.until),
+    fn is_writer(&self, i: usize) -> bool {
+        let mono = self.monotonic(i);
+        match &self.processes[i].role {
+            Role::Control(control) => control
+                .writer_term
+                .as_ref()
+                .is_some_and(|term| mono < term.until),
             _ => false,
         }
     }
 
-    /// The duty is this instance's for a period.
-    fn act(&mut self, i: usize, boot: u64, grant: LeaseGrant) {
-        let (was, mono, every) = (self.leads(i), self.mono(i), self.plan.every);
-        let retell = self.plan.retell;
+    /// Starts a term as the writer, after a grant for one period of the duty.
+    fn begin_term(&mut self, i: usize, incarnation: u64, grant: LeaseGrant) {
+        let (was, mono, duty_period) =
+            (self.is_writer(i), self.monotonic(i), self.plan.duty_period);
+        let republish_all = self.plan.republish_all;
         let process = &mut self.processes[i];
-        let Part::Control(control) = &mut process.part else {
+        let Role::Control(control) = &mut process.role else {
             return;
         };
-        if process.boot != boot || grant.lease != LeaseId::of(DUTY) {
+        if process.incarnation != incarnation || grant.lease != LeaseId::of(DUTY) {
             return;
         }
         let in_time = grant.is_valid(mono);
@@ -854,39 +884,39 @@
         if !in_time {
             return;
         }
-        control.leads = Some(Lead {
+        control.writer_term = Some(WriterTerm {
             period: grant.fencing_token,
             step: 0,
-            // As the list duty does: until the next grant comes, and until then nobody else can have one either.
-            until: mono + every + every / 8,
+            // Like the list duty, the writer goes on until the next grant is due; nobody else can get a grant before.
+            until: mono + duty_period + duty_period / 8,
         });
         if !was {
             control.dirty = None;
         }
-        if !was && retell {
-            self.retell(i);
+        if !was && republish_all {
+            self.republish_all(i);
         }
-        self.tell(i, true);
+        self.publish_changes(i, true);
         self.push(
-            self.now + HEAD_EVERY,
-            Event::Head(i as u32, boot, grant.fencing_token),
+            self.now + HEAD_INTERVAL,
+            Event::PublishHead(i as u32, incarnation, grant.fencing_token),
         );
     }
 
-    /// Writes all keys anew that the truth has.
-    fn retell(&mut self, i: usize) {
+    /// Publishes all keys of the truth again.
+    fn republish_all(&mut self, i: usize) {
         let rows = self.truth.clone();
         self.write(i, rows.into_iter().collect(), false);
     }
 
-    /// Writes what differs from the truth, and a head.
-    fn tell(&mut self, i: usize, head: bool) {
-        let Part::Control(control) = &mut self.processes[i].part else {
+    /// Publishes what differs from the truth, and a head entry if `head` is set.
+    fn publish_changes(&mut self, i: usize, head: bool) {
+        let Role::Control(control) = &mut self.processes[i].role else {
             return;
         };
         let dirty = control.dirty.replace(BTreeSet::new());
         let keys: Vec<u64> = match dirty {
-            Some(some) => some.into_iter().collect(),
+            Some(keys) => keys.into_iter().collect(),
             None => {
                 let known = self.checker.keys();
                 let all: BTreeSet<u64> = known.chain(self.truth.keys().copied()).collect();
@@ -899,7 +929,7 @@
             match (self.truth.get(&key), on_board) {
                 (Some(value), Some(entry)) if entry.value == *value => {}
                 (Some(value), _) => rows.push((key, value.clone())),
-                // What is not there any more is told as removed, by whoever knows that it was.
+                // A key that is gone from the truth is published as removed by a writer whose store still holds it.
                 (None, Some(entry)) if !is_removed(entry) => {
                     let mut value = entry.value.clone();
                     value[1] = 2;
@@ -912,19 +942,19 @@
     }
 
     fn write(&mut self, i: usize, rows: Vec<(u64, Vec<u8>)>, head: bool) {
-        let (now, cost) = (self.clocks(i), self.cost());
-        let Part::Control(control) = &mut self.processes[i].part else {
+        let (now, cost) = (self.clocks(i), self.meter_cost());
+        let Role::Control(control) = &mut self.processes[i].role else {
             return;
         };
-        let Some(lead) = &mut control.leads else {
+        let Some(term) = &mut control.writer_term else {
             return;
         };
         let mut entries: Vec<GossipEntry> = Vec::new();
         let head_key = LeaseId::of(DUTY).0;
         let head = head.then(|| (head_key, vec![0; 17]));
         for (key, value) in rows.into_iter().chain(head) {
-            lead.step = (lead.step + 1).min((1 << STEPS) - 1);
-            let version = lead.period << STEPS | lead.step;
+            term.step = (term.step + 1).min((1 << STEP_BITS) - 1);
+            let version = term.period << STEP_BITS | term.step;
             entries.push(GossipEntry {
                 key,
                 version,
@@ -937,112 +967,121 @@
             .cloned()
             .collect();
         for entry in &rows {
-            self.checker.wrote(self.now, i, entry);
+            self.checker.record_write(self.now, i, entry);
         }
         let meter = &mut self.meters[i][1];
-        // They are made out here, and kept or dropped in there.
-        meter.memory += room::<GossipEntry>(cost, entries.capacity());
-        let values = entries.iter().map(|e| room::<u8>(cost, e.value.capacity()));
+        // The entries are allocated outside the metered call, and kept or freed inside it.
+        meter.memory += owned_bytes::<GossipEntry>(cost, entries.capacity());
+        let values = entries
+            .iter()
+            .map(|e| owned_bytes::<u8>(cost, e.value.capacity()));
         meter.memory += values.sum::<i64>();
         metered(meter, cost, || control.node.publish(now, entries));
-        self.hand_over(i, &rows, true);
-        self.settle(i, CLUSTER);
+        self.publish_to_source(i, &rows, true);
+        self.apply_effects(i, CLUSTER_PORT);
     }
 
-    /// What the board has goes to the source.
-    fn hand_over(&mut self, i: usize, rows: &[GossipEntry], heard: bool) {
-        let (now, cost) = (self.mono(i), self.cost());
-        let kept: Vec<GossipEntry> = match self.plan.planted {
-            Planted::Forgets(share) => {
+    /// Passes entries of the gossip store to the instance's source.
+    fn publish_to_source(&mut self, i: usize, rows: &[GossipEntry], complete: bool) {
+        let (now, cost) = (self.monotonic(i), self.meter_cost());
+        let kept: Vec<GossipEntry> = match self.plan.injected_bug {
+            InjectedBug::DropsChanges(share) => {
                 let keeps = |e: &&GossipEntry| !e.version.is_multiple_of(share);
                 rows.iter().filter(keeps).cloned().collect()
             }
             _ => rows.to_vec(),
         };
-        let Part::Control(control) = &mut self.processes[i].part else {
+        let Role::Control(control) = &mut self.processes[i].role else {
             return;
         };
         metered(&mut self.meters[i][0], cost, || {
             if !kept.is_empty() {
                 control.source.publish(now, &kept);
             }
-            if heard {
+            if complete {
                 control.source.confirm_complete(now);
             }
         });
-        self.settle(i, DISTRIBUTION);
+        self.apply_effects(i, DISTRIBUTION_PORT);
     }
 
-    fn take_news(&mut self, i: usize, news: &[GossipEntry]) {
+    fn apply_updates(&mut self, i: usize, updates: &[GossipEntry]) {
         let head_key = LeaseId::of(DUTY).0;
-        let rows: Vec<GossipEntry> = news.iter().filter(|e| e.key != head_key).cloned().collect();
-        let heard = rows.len() < news.len();
-        if let Part::Control(control) = &mut self.processes[i].part
+        let rows: Vec<GossipEntry> = updates
+            .iter()
+            .filter(|e| e.key != head_key)
+            .cloned()
+            .collect();
+        let complete = rows.len() < updates.len();
+        if let Role::Control(control) = &mut self.processes[i].role
             && let Some(dirty) = &mut control.dirty
         {
             dirty.extend(rows.iter().map(|e| e.key));
         }
-        self.hand_over(i, &rows, heard);
+        self.publish_to_source(i, &rows, complete);
     }
 
     fn start(&mut self, i: usize) {
         if self.is_up(i) {
             return;
         }
-        let (now, cost) = (self.clocks(i), self.cost());
-        let boot = now.wall.max(self.processes[i].boot + 1);
+        let (now, cost) = (self.clocks(i), self.meter_cost());
+        let incarnation = now.wall.max(self.processes[i].incarnation + 1);
         let identity = |port: u16| Identity {
             name: name(i),
             address: address(i, port),
-            incarnation: boot,
+            incarnation,
             refutations: 0,
         };
         let seed = self.random.next_u64();
         self.meters[i] = [Meter::default(); 2];
         let meters = &mut self.meters[i];
-        let part = if i < CONTROLS {
+        let role = if i < CONTROLS {
             let node = metered(&mut meters[1], cost, || {
                 let mut node = Node::new(
                     now,
                     node::NodeConfig {
-                        identity: identity(CLUSTER),
+                        identity: identity(CLUSTER_PORT),
                         keys: keys(),
-                        seeds: (0..3).map(|i| address(i, CLUSTER)).collect(),
+                        seeds: (0..3).map(|i| address(i, CLUSTER_PORT)).collect(),
                         voters: (0..CONTROLS).map(name).collect(),
                         max_clock_skew: 1000,
-                        probe_timing: PACE,
+                        probe_timing: PROBE_TIMING,
                         ranking: ranking(),
                         random_seed: seed,
                     },
                 );
-                node.configure(now, &BTreeMap::from([(DUTY.to_owned(), self.plan.every)]));
+                node.configure(
+                    now,
+                    &BTreeMap::from([(DUTY.to_owned(), self.plan.duty_period)]),
+                );
                 node
             });
             let source = metered(&mut meters[0], cost, || {
                 let setup = SourceConfig {
-                    identity: identity(DISTRIBUTION),
+                    identity: identity(DISTRIBUTION_PORT),
                     keys: keys(),
                     limits: Limits::default(),
                     seed,
                 };
                 Source::new(now.monotonic, setup)
             });
-            Part::Control(Box::new(Control {
+            Role::Control(Box::new(ControlInstance {
                 node,
                 source,
-                leads: None,
+                writer_term: None,
                 dirty: None,
             }))
         } else {
             let follower = metered(&mut meters[0], cost, || {
                 let sources = (0..CONTROLS).map(|c| SourceEndpoint {
                     name: name(c),
-                    address: address(c, DISTRIBUTION),
-                    location: place(c),
+                    address: address(c, DISTRIBUTION_PORT),
+                    location: location(c),
                 });
                 let setup = FollowerConfig {
-                    identity: identity(DISTRIBUTION),
-                    location: place(i),
+                    identity: identity(DISTRIBUTION_PORT),
+                    location: location(i),
                     sources: sources.collect(),
                     keys: keys(),
                     score: ranking().0,
@@ -1051,44 +1090,44 @@
                 };
                 Follower::new(now.monotonic, setup)
             });
-            self.checker.restarted(i - CONTROLS);
-            Part::Follower(Box::new(follower))
+            self.checker.reset_follower(i - CONTROLS);
+            Role::Follower(Box::new(follower))
         };
-        self.full_at[i] = None;
+        self.synchronized_at[i] = None;
         self.started_at[i] = self.now;
         let process = &mut self.processes[i];
-        process.part = part;
-        (process.boot, process.frozen) = (boot, false);
+        process.role = role;
+        (process.incarnation, process.frozen) = (incarnation, false);
         process.wake_at = [Millis::MAX; 2];
-        process.own.clear();
-        self.settle(i, DISTRIBUTION);
+        process.buggy_entries.clear();
+        self.apply_effects(i, DISTRIBUTION_PORT);
         if i < CONTROLS {
-            self.settle(i, CLUSTER);
+            self.apply_effects(i, CLUSTER_PORT);
         }
     }
 
-    fn fault(&mut self, fault: Fault) {
+    fn apply_fault(&mut self, fault: Fault) {
         match fault {
             Fault::Kill(i) => {
                 let process = &mut self.processes[i];
-                process.part = Part::Down;
-                process.waiting.clear();
-                (process.datagrams_waiting, process.frozen) = (0, false);
+                process.role = Role::Down;
+                process.queued_events.clear();
+                (process.queued_datagrams, process.frozen) = (0, false);
             }
             Fault::Start(i) => self.start(i),
             Fault::Freeze(i) => self.processes[i].frozen = self.is_up(i),
             Fault::Thaw(i) => {
                 let process = &mut self.processes[i];
-                (process.datagrams_waiting, process.frozen) = (0, false);
+                (process.queued_datagrams, process.frozen) = (0, false);
                 process.wake_at = [self.now; 2];
-                for event in std::mem::take(&mut process.waiting) {
+                for event in std::mem::take(&mut process.queued_events) {
                     if !matches!(event, Event::Wake(..)) {
                         self.push(self.now, event);
                     }
                 }
-                self.push(self.now, Event::Wake(i as u32, DISTRIBUTION));
+                self.push(self.now, Event::Wake(i as u32, DISTRIBUTION_PORT));
                 if i < CONTROLS {
-                    self.push(self.now, Event::Wake(i as u32, CLUSTER));
+                    self.push(self.now, Event::Wake(i as u32, CLUSTER_PORT));
                 }
             }
             Fault::Cut(from, to) => {
@@ -1101,20 +1140,21 @@
                 self.cuts.push(cut);
             }
             Fault::Heal => self.cuts.clear(),
-            Fault::Network(loss, twice, late) => {
-                (self.plan.loss, self.plan.twice, self.plan.late) = (loss, twice, late);
+            Fault::Network(loss, duplicated, delayed) => {
+                (self.plan.loss, self.plan.duplicated, self.plan.delayed) =
+                    (loss, duplicated, delayed);
             }
             Fault::Forge(i) => self.forge(i),
             Fault::Set(key) => {
-                let value = self.value();
+                let value = self.next_value();
                 self.truth.insert(key, value);
-                self.checker.changed(self.now, key);
-                self.push(self.now + WATCH, Event::Watched(key));
+                self.checker.record_change(self.now, key);
+                self.push(self.now + WATCH_DELAY, Event::TruthChanged(key));
             }
             Fault::Remove(key) => {
                 if self.truth.remove(&key).is_some() {
-                    self.checker.changed(self.now, key);
-                    self.push(self.now + WATCH, Event::Watched(key));
+                    self.checker.record_change(self.now, key);
+                    self.push(self.now + WATCH_DELAY, Event::TruthChanged(key));
                 }
             }
         }
@@ -1125,21 +1165,21 @@
             0 => {
                 let length = self.random.random_range(0..1500);
                 let bytes = (0..length).map(|_| self.random.random()).collect();
-                (DISTRIBUTION, bytes)
+                (DISTRIBUTION_PORT, bytes)
             }
             1 => {
-                // Another cluster's key, and the name of one of ours.
-                let who = self.random.random_range(0..CONTROLS);
-                let id = InstanceId::of(&name(who)).0;
+                // The name of one of our control instances, but the key of another cluster.
+                let control = self.random.random_range(0..CONTROLS);
+                let id = InstanceId::of(&name(control)).0;
                 let key = Keys(vec![Key::new(b"the secret of another")]);
-                let sessions = Sessions::new(id, START * 2, key);
-                let run = self.processes[to].boot;
+                let sessions = Sessions::new(id, START_WALL_CLOCK * 2, key);
+                let run = self.processes[to].incarnation;
                 let greets = self.random.random_bool(0.5);
                 let sealed = match greets {
                     true => sessions.seal_greeting(&[7; 40]),
                     false => sessions.seal_answer(run, &[7; 40]),
                 };
-                (DISTRIBUTION, sealed.unwrap_or_default())
+                (DISTRIBUTION_PORT, sealed.unwrap_or_default())
             }
             _ if self.recorded.is_empty() => return,
             _ => {
@@ -1149,15 +1189,15 @@
         };
         corrupt(&mut self.random, &mut bytes);
         if to >= CONTROLS {
-            port = DISTRIBUTION;
+            port = DISTRIBUTION_PORT;
         }
         let from = address(self.random.random_range(0..self.processes.len()), port);
         self.push(self.now, Event::Datagram(to as u32, port, from, bytes));
     }
 }
 
-/// Bytes that an effect takes with it out of the instance, where they are counted.
-fn room<T>(cost: Option<i64>, capacity: usize) -> i64 {
+/// Bytes owned by an effect that leaves the instance; 0 if memory is not counted.
+fn owned_bytes<T>(cost: Option<i64>, capacity: usize) -> i64 {
     match cost.is_some() && allocated() != 0 {
         true => (capacity * size_of::<T>()) as i64,
         false => 0,
