--- a/crates/fleet-rig/src/capacity/control.rs
+++ b/crates/fleet-rig/src/capacity/control.rs
@@ -11,7 +11,7 @@
 
 /// Mean bytes of a random 64-bit id as a varint: ten for ids in the upper half, nine for nearly all others.
 const ID_BYTES: f64 = 9.5;
-/// `seal::MAX_SENDERS` as it was when the flat cluster was measured, before distribution raised the limit.
+/// `MAX_SENDERS` as it was when the flat cluster was measured, before distribution raised the limit.
 const SENDERS_BEFORE: f64 = 1024.0;
 
 const GOSSIP_FILE: &str = "crates/leases/src/gossip_store.rs";
--- a/crates/fleet-rig/src/capacity/inputs.rs
+++ b/crates/fleet-rig/src/capacity/inputs.rs
@@ -151,8 +151,8 @@
         figure
     }
 
-    /// Like [`Self::value_at`], for an event that does not occur at every size. The result is infinite from the smallest
-    /// size on at which the runs have a value in `all_runs` but the event no longer occurred.
+    /// Like [`Self::value_at`], for an event that may not occur in large runs. `all_runs` is a series with a value for each
+    /// run. From its first size beyond the last one at which the event occurred, the result is infinite.
     pub fn value_at_if_reached(
         &self,
         name: &str,
--- a/crates/fleet-rig/src/capacity/mod.rs
+++ b/crates/fleet-rig/src/capacity/mod.rs
@@ -102,24 +102,24 @@
             .as_deref()
             .is_some_and(|question| headings.contains(&question))
     };
-    let unasked = parameters
+    let without_question = parameters
         .assumptions
         .iter()
         .filter(|(_, parameter)| !has_question(parameter));
-    unasked
+    without_question
         .map(|(name, _)| format!("{QUESTIONS} has no question for the assumption '{name}'"))
         .collect()
 }
 
-/// Regenerates the page under a workspace root. With `check`, fails if the page is out of date and writes nothing.
+/// Regenerates the page under a workspace root. With `check` it writes nothing and fails if the page is out of date.
 pub fn run(root: &Path, check: bool) -> Result<(), String> {
     let read =
         |file: &str| std::fs::read_to_string(root.join(file)).map_err(|e| format!("{file}: {e}"));
     let inputs = Inputs::read(root)?;
     let tables = tables(&inputs).map_err(|errors| errors.join("\n"))?;
-    let unasked = assumptions_without_question(&inputs.parameters, &read(QUESTIONS)?);
-    if !unasked.is_empty() {
-        return Err(unasked.join("\n"));
+    let without_question = assumptions_without_question(&inputs.parameters, &read(QUESTIONS)?);
+    if !without_question.is_empty() {
+        return Err(without_question.join("\n"));
     }
     let page = read(PAGE)?;
     let filled = fill_page(&page, &tables)?;
--- a/crates/fleet-rig/src/distribution/checker.rs
+++ b/crates/fleet-rig/src/distribution/checker.rs
@@ -31,7 +31,7 @@
     /// Time of the change, in ms.
     pub at: Millis,
     /// For each follower, when it first held the change or a later change of the key.
-    pub in_force: Vec<(u32, Millis)>,
+    pub effective_at: Vec<(u32, Millis)>,
 }
 
 /// Checks what followers hold against what was written.
@@ -85,7 +85,7 @@
         self.changes.push(Change {
             key,
             at: now,
-            in_force: Vec::new(),
+            effective_at: Vec::new(),
         });
     }
 
@@ -145,7 +145,7 @@
         let seen = before.map_or(0, |before| before.2);
         if let Some(of) = self.by_key.get(&entry.key) {
             for n in of.iter().filter(|n| (seen..change).contains(*n)) {
-                self.changes[*n].in_force.push((follower as u32, now));
+                self.changes[*n].effective_at.push((follower as u32, now));
             }
         }
         let now_held = (entry.version, removed, change.max(seen));
--- a/crates/fleet-rig/src/distribution/measure.rs
+++ b/crates/fleet-rig/src/distribution/measure.rs
@@ -351,10 +351,10 @@
     world.run_until(from + span + 60_000 + 30_000);
     let (mut each, mut everywhere, mut missing) = (Vec::new(), Vec::new(), 0);
     for change in &world.checker.changes {
-        let durations = change.in_force.iter().map(|(_, at)| at - change.at);
+        let durations = change.effective_at.iter().map(|(_, at)| at - change.at);
         everywhere.push(durations.clone().max().unwrap_or(0));
         each.extend(durations);
-        missing += followers - change.in_force.len();
+        missing += followers - change.effective_at.len();
     }
     Delay {
         what: what.to_owned(),
@@ -535,15 +535,17 @@
     };
     let (mut each, mut missing) = (Vec::new(), 0);
     for change in &world.checker.changes {
-        let there = change
-            .in_force
+        let inside_changes = change
+            .effective_at
             .iter()
             .filter(|(f, _)| is_inside[*f as usize]);
-        let durations: Vec<u64> = there.map(|(_, at)| at.saturating_sub(heal)).collect();
+        let durations: Vec<u64> = inside_changes
+            .map(|(_, at)| at.saturating_sub(heal))
+            .collect();
         missing += inside_followers.len() - durations.len();
         each.extend(durations);
     }
-    let many = inside_followers.len() as f64;
+    let follower_count = inside_followers.len() as f64;
     Cut {
         what: what.to_owned(),
         followers: inside_followers.len(),
@@ -553,8 +555,8 @@
         each: summarize(each),
         missing,
         bytes,
-        all: (entries * ENTRY_BYTES) as f64 * many,
-        changed: (changes.min(entries) * ENTRY_BYTES) as f64 * many,
+        all: (entries * ENTRY_BYTES) as f64 * follower_count,
+        changed: (changes.min(entries) * ENTRY_BYTES) as f64 * follower_count,
         control,
         age,
         wall: start.elapsed().as_secs_f64(),
--- a/crates/fleet-rig/src/distribution/sockets.rs
+++ b/crates/fleet-rig/src/distribution/sockets.rs
@@ -247,7 +247,7 @@
     for n in 0..config.followers {
         let i = CONTROLS + n;
         let host = Ipv4Addr::new(127, 67, (n / 250) as u8, 1 + (n % 250) as u8);
-        let at = sources
+        let endpoints = sources
             .iter()
             .enumerate()
             .map(|(c, address)| SourceEndpoint {
@@ -258,7 +258,7 @@
         let setup = FollowerConfig {
             identity: identity(i, SocketAddr::new(IpAddr::V4(host), 0)),
             location: location(i),
-            sources: at.collect(),
+            sources: endpoints.collect(),
             keys: keys(),
             score: ranking().0,
             schedule: PollSchedule::default(),
@@ -332,7 +332,7 @@
             ranking: ranking(),
             random_seed: i as u64,
         };
-        let (node, mut fresh) = Cluster::start(setup)
+        let (node, mut updates) = Cluster::start(setup)
             .await
             .map_err(|e| format!("{at}: {e}"))?;
         let source = SourceDriver::start(SourceConfig {
@@ -344,7 +344,7 @@
         let source = source.await.map_err(|e| format!("{source_address}: {e}"))?;
         let to = source.clone();
         spawn_local(async move {
-            while let Some(entry) = fresh.recv().await {
+            while let Some(entry) = updates.recv().await {
                 match entry.key == confirmation_key() {
                     true => to.confirm_complete(),
                     false => to.publish(&[entry]),
--- a/crates/fleet-rig/src/distribution/world.rs
+++ b/crates/fleet-rig/src/distribution/world.rs
@@ -183,6 +183,7 @@
     pub memory: i64,
     /// The most bytes, and the most datagrams, sent in any whole second.
     pub peak_second: (u64, u64),
+    /// The current second, and the bytes and datagrams sent in it.
     current_second: (u64, u64, u64),
 }
 
--- a/crates/fleet-rig/tests/distribution.rs
+++ b/crates/fleet-rig/tests/distribution.rs
@@ -205,8 +205,8 @@
         world.checker.violations, world.checker.descriptions
     );
     assert!(world.checker.sound());
-    let in_force = world.checker.changes.iter().map(|c| c.in_force.len());
-    assert_eq!(in_force.sum::<usize>(), 20 * FOLLOWERS);
+    let changed_followers = world.checker.changes.iter().map(|c| c.effective_at.len());
+    assert_eq!(changed_followers.sum::<usize>(), 20 * FOLLOWERS);
 }
 
 #[test]
