--- a/crates/distribution/src/source/followers.rs
+++ b/crates/distribution/src/source/followers.rs
@@ -86,6 +86,7 @@
             .filter(move |follower| follower.is_reachable(now))
     }
 
+    /// The changes that all reachable followers whose primary source this is have confirmed.
     pub(super) fn confirmed_by_all(&self, now: Millis) -> ConfirmedByAll {
         let none = ConfirmedByAll {
             sequence: u64::MAX,
--- a/crates/distribution/src/source/mod.rs
+++ b/crates/distribution/src/source/mod.rs
@@ -11,16 +11,16 @@
 //! | `config` | the source's configuration and limits |
 //! | `followers` | the record of each follower |
 //! | `requests` | handling of requests |
-//! | `catch_up` | packing of changes, hashes and entries into datagrams |
-//! | `budget` | the limits on requests and responses, reservations |
+//! | `packing` | packing of changes, hashes and entries into datagrams |
+//! | `rate_limits` | the limits on requests and responses, reservations |
 //! | `propagation` | tracking of changes until they have reached all followers |
 //! | `status` | the status for operators |
 
-mod budget;
-mod catch_up;
 mod config;
 mod followers;
+mod packing;
 mod propagation;
+mod rate_limits;
 mod requests;
 mod status;
 
@@ -33,9 +33,9 @@
 use crate::rate_limiter::RateLimiter;
 use crate::store::{ChangeLog, EntryStore};
 use crate::{Entry, Millis, Output};
-use budget::RequestLimit;
 use followers::Followers;
 use propagation::ChangeTracker;
+use rate_limits::RequestLimit;
 use spanspur_membership::Keys;
 use spanspur_membership::authentication::{DatagramError, DatagramKind, OpenedDatagram};
 use std::collections::BTreeMap;
@@ -50,7 +50,7 @@
     rate_limiter: RateLimiter,
     request_limit: RequestLimit,
     started_at: Millis,
-    /// When the data was last confirmed to be complete.
+    /// When a writer was last heard from.
     confirmed_at: Option<Millis>,
     tracker: ChangeTracker,
     next_tracking: Millis,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Records that a writer was heard from: this source holds all data as of `now`.
+    /// Records that a writer was heard from, whose heartbeat confirmed that this source holds all entries as of `now`.
     pub fn confirm_complete(&mut self, now: Millis) {
         self.confirmed_at = Some(now);
     }
--- a/crates/distribution/src/source/catch_up.rs
+++ b/crates/distribution/src/source/packing.rs
@@ -10,7 +10,8 @@
 /// The maximum size of the rows in a datagram, in bytes.
 const MAX_ROWS_SIZE: usize = MAX_MESSAGE - MAX_HEADER;
 
-/// A datagram of a response: its body and its rows.
+/// A datagram of a response: its body and its rows. `last` in the body is set when the datagram is sent, since the
+/// rate limit may allow only the first datagrams.
 pub(super) struct Chunk {
     pub(super) body: ResponseBody,
     pub(super) rows: Vec<u8>,
@@ -18,8 +19,9 @@
 
 /// The entries in one datagram.
 struct PackedEntries {
+    /// The start of the range, as a sort key (see [`pack_entries`]).
     from: u64,
-    /// The start of the next datagram; `None` if there are no further entries.
+    /// The start of the next datagram's range; `None` if there are no further entries.
     next: Option<u64>,
     rows: Vec<u8>,
 }
--- a/crates/distribution/src/source/propagation.rs
+++ b/crates/distribution/src/source/propagation.rs
@@ -6,12 +6,12 @@
 
 /// The interval at which the propagation of changes is evaluated.
 pub const TRACKING_INTERVAL: Millis = 250;
-/// A reachable follower lags if it has not confirmed a change for this long.
+/// A reachable follower lags if it has not confirmed a change this long after the change's arrival at the source.
 pub const LAG_THRESHOLD: Millis = 3000;
 /// The number of most recent changes that are tracked.
 pub const MAX_TRACKED_CHANGES: usize = 256;
-/// How long after its start a source is settled: all followers that considered it disconnected have had the time to
-/// retry it. This is the longest interval between two retries of a follower, plus one second.
+/// A source is settled once it has run this long: all followers that considered it disconnected have had the time to
+/// retry it. This is the longest interval between two retries of a follower (7,500 ms by default), plus one second.
 pub const SETTLE_TIME: Millis = 8500;
 
 /// The propagation of a change to all reachable followers.
@@ -53,8 +53,8 @@
         });
     }
 
-    /// Updates which changes are propagated. Until the source is settled, a follower that reconnects without a change
-    /// makes that change count as not propagated.
+    /// Updates which changes are propagated. Until the source is settled, a propagated change becomes unpropagated
+    /// again if a follower reconnects that has not confirmed it.
     pub(super) fn update(&mut self, now: Millis, confirmed: ConfirmedByAll, is_settled: bool) {
         for change in &mut self.changes {
             let is_confirmed = change.sequence <= confirmed.sequence;
@@ -74,7 +74,8 @@
         self.changes.iter().rev()
     }
 
-    /// How long a follower lags that has confirmed the changes up to a sequence number; `None` if it does not lag.
+    /// The lag of a follower that has confirmed the changes up to `confirmed`: the time since the first change after it
+    /// arrived. `None` if that is less than [`LAG_THRESHOLD`].
     pub(super) fn lag(&self, now: Millis, confirmed: u64) -> Option<Millis> {
         let mut changes = self.changes.iter();
         let missing = changes.find(|change| change.sequence > confirmed)?;
--- a/crates/distribution/src/source/budget.rs
+++ b/crates/distribution/src/source/rate_limits.rs
@@ -1,8 +1,8 @@
 //! The limits on requests and responses.
 
 use super::Source;
-use super::catch_up::Chunk;
 use super::followers::Reservation;
+use super::packing::Chunk;
 use super::requests::Requester;
 use crate::Millis;
 use crate::messages::{self, PollResponse, ResponseBody};
@@ -62,8 +62,9 @@
         }
     }
 
-    /// Uses the follower's reservation if there is one, else acquires datagrams from the rate limiter, else reserves a
-    /// slot.
+    /// If the follower has a reservation that is not due yet, returns the time left until then. Otherwise uses the
+    /// reservation or, if there is none or it was missed, acquires datagrams from the rate limiter. If none are
+    /// available, reserves a slot.
     fn acquire(&mut self, now: Millis, follower: u64, datagrams: u32) -> Grant {
         let reservation = self.reservation(follower);
         if let Some(reservation) = reservation
--- a/crates/distribution/src/source/requests.rs
+++ b/crates/distribution/src/source/requests.rs
@@ -1,7 +1,7 @@
 //! Handling of requests.
 
 use super::Source;
-use super::catch_up::{Chunk, branch_hashes, changes, entries_from, leaf_hashes, newer_entries};
+use super::packing::{Chunk, branch_hashes, changes, entries_from, leaf_hashes, newer_entries};
 use crate::Millis;
 use crate::messages::{self, LeafVersions, MAX_WINDOW, PollRequest, Query, ResponseBody};
 use spanspur_membership::authentication::OpenedDatagram;
@@ -12,7 +12,7 @@
 pub(super) struct Requester {
     pub(super) id: u64,
     pub(super) address: SocketAddr,
-    /// The number of the request to repeat in the response.
+    /// The nonce of the request, which the response repeats.
     pub(super) nonce: u32,
 }
 
@@ -77,8 +77,8 @@
         request.incarnation == self.channel.incarnation()
     }
 
-    /// Records the changes that a poll confirms: those up to its cursor, or all changes if both sides hold the same
-    /// content.
+    /// Records the changes that a poll confirms: all changes if the root hashes are equal, else those up to its cursor,
+    /// or none if the cursor is for another incarnation.
     fn record_confirmation(&mut self, follower: u64, request: &PollRequest, same_content: bool) {
         let confirmed = match (same_content, self.is_current_incarnation(request)) {
             (true, _) => self.log.head(),
--- a/crates/distribution/src/source/status.rs
+++ b/crates/distribution/src/source/status.rs
@@ -6,7 +6,7 @@
 use crate::Millis;
 use serde::{Deserialize, Serialize};
 
-/// The maximum number of followers in a list of a status.
+/// The maximum number of followers in each list of [`SourceStatus`].
 pub const MAX_LISTED_FOLLOWERS: usize = 64;
 
 /// A change in [`SourceStatus`].
@@ -20,10 +20,10 @@
     #[serde(rename = "ago")]
     pub age: Millis,
     /// How long after the change's arrival every reachable follower whose primary source this is had confirmed it, in
-    /// milliseconds.
+    /// milliseconds; `None` as long as one has not.
     #[serde(rename = "after")]
     pub propagated_after: Option<Millis>,
-    /// The number of followers that have to confirm the change.
+    /// The number of followers that have to confirm the change or, once it is propagated, that had to.
     #[serde(rename = "of")]
     pub followers: usize,
 }
@@ -31,7 +31,7 @@
 /// A follower that lags or is disconnected, in [`SourceStatus`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FollowerDelay {
-    /// The follower's name; empty until it is known.
+    /// The follower's name; empty until a handshake has provided it.
     pub name: String,
     /// The time since the arrival of the oldest change that the follower has not confirmed, or since the follower was
     /// last heard from, in milliseconds.
@@ -59,7 +59,7 @@
     /// The hash over all keys and versions.
     #[serde(rename = "root")]
     pub root_hash: u64,
-    /// The age of the source's own data, in milliseconds.
+    /// How long ago the source last heard from a writer, in milliseconds; `None` if it never did.
     #[serde(rename = "age")]
     pub data_age: Option<Millis>,
     /// The number of followers.
@@ -72,18 +72,19 @@
     pub settled: bool,
     /// The last changes, newest first.
     pub changes: Vec<ChangeStatus>,
-    /// The number of reachable primary followers that lag.
+    /// The number of reachable followers that lag and whose primary source this is.
     pub lagging: usize,
     /// The followers that lag most, up to [`MAX_LISTED_FOLLOWERS`].
     #[serde(rename = "laggards")]
     pub lagging_followers: Vec<FollowerDelay>,
-    /// The number of primary followers that are not reachable. They may have changed to another source.
+    /// The number of followers that are not reachable and whose last poll named this source as primary. They may have
+    /// changed to another source.
     #[serde(rename = "dark")]
     pub disconnected: usize,
     /// The followers disconnected longest, up to [`MAX_LISTED_FOLLOWERS`].
     #[serde(rename = "darkened")]
     pub disconnected_followers: Vec<FollowerDelay>,
-    /// How far ahead the source's rate limit is allocated, in milliseconds.
+    /// How far ahead the source's rate limit is allocated to reservations, in milliseconds.
     #[serde(rename = "ahead")]
     pub backlog: Millis,
 }
