--- a/crates/distribution/src/follower/assignment.rs
+++ b/crates/distribution/src/follower/assignment.rs
@@ -1,4 +1,4 @@
-//! Assignment of the sources to poll: the two most preferred ones that are not disconnected.
+//! Assignment of the two sources to poll, among those that are not disconnected.
 
 use super::Follower;
 use crate::messages::Query;
@@ -81,7 +81,7 @@
         self.assign_sources(now);
     }
 
-    /// The next regular time to poll the source with a role.
+    /// The next regular time at which the source with this role is polled.
     pub(super) fn regular_poll_time(&self, now: Millis, role: Role) -> Millis {
         let interval = self.schedule.poll_interval.max(1);
         let offset = match role {
--- a/crates/distribution/src/follower/config.rs
+++ b/crates/distribution/src/follower/config.rs
@@ -9,17 +9,18 @@
 /// The schedule by which a follower polls, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PollSchedule {
-    /// The interval at which each source is polled.
+    /// The interval at which each of the two assigned sources is polled.
     pub poll_interval: Millis,
-    /// A request is repeated after this time without a response.
+    /// A request is repeated after this time without a response. Late responses raise the time to up to
+    /// [`MAX_TIMEOUT_FACTOR`](super::MAX_TIMEOUT_FACTOR) times this.
     pub response_timeout: Millis,
     /// A disconnected source is retried after this time, plus a random delay of up to half of it.
     pub retry_interval: Millis,
 }
 
 impl Default for PollSchedule {
-    /// With two polls every 1,000 ms, a change arrives within half a second of its arrival at both sources. 500 ms
-    /// exceed the round trip between any two regions. With 5,000 ms, a source is reconnected within 7,500 ms.
+    /// With two polls every 1,000 ms, a change arrives about half a second after both sources have it, at the latest.
+    /// 500 ms exceed the round trip between any two regions. With 5,000 ms, a source is reconnected within 7,500 ms.
     fn default() -> Self {
         Self {
             poll_interval: 1000,
--- a/crates/distribution/src/follower/mod.rs
+++ b/crates/distribution/src/follower/mod.rs
@@ -13,8 +13,8 @@
 //! | `polling` | sending of requests, timeouts and retries |
 //! | `responses` | handling of responses |
 //! | `resync` | anti-entropy, as a state machine without I/O |
-//! | `versions_held` | the versions listed in its requests |
-//! | `resync_driver` | its start, requests and responses |
+//! | `versions_held` | the versions listed in a resynchronization's requests |
+//! | `resync_driver` | start of a resynchronization, its requests and responses |
 //! | `status` | the status for operators |
 
 mod assignment;
@@ -144,7 +144,7 @@
             self.channel
                 .answer_handshake(now, address, opened.incarnation);
         }
-        // This is the source's first incarnation or a new one. Whatever was pending is requested again at once.
+        // No datagram of this incarnation was received before. What was pending is requested again at once.
         if opened.is_new_incarnation {
             self.states[source].pending_request = None;
             self.mark_responsive(now, source);
@@ -198,7 +198,7 @@
         Some(elapsed_since(newest, now))
     }
 
-    /// Whether the follower has held, at least once, everything of a source that had heard from a writer.
+    /// Whether the follower has held, at least once, all entries of a source that had heard from a writer.
     pub fn is_synchronized(&self) -> bool {
         self.synchronized
     }
--- a/crates/distribution/src/follower/polling.rs
+++ b/crates/distribution/src/follower/polling.rs
@@ -7,12 +7,12 @@
 use crate::source_selection::{Role, SourceIndex};
 use rand::RngExt;
 
-/// The number of consecutive requests without a response after which a source is disconnected.
+/// The number of consecutive requests without a response after which a source counts as disconnected.
 pub const MAX_MISSED_RESPONSES: u32 = 3;
 /// The longest Retry-After delay that is accepted from a source, in milliseconds.
 pub const MAX_RETRY_AFTER: Millis = 60_000;
 /// The highest factor on the response timeout. Late responses double the factor.
-pub const MAX_TIMEOUT_FACTOR: Millis = 8;
+pub const MAX_TIMEOUT_FACTOR: u64 = 8;
 
 impl Follower {
     /// When the next action for a source is due: a timeout, a retry or a poll.
@@ -93,7 +93,7 @@
         self.schedule.response_timeout.max(1) * self.states[source].timeout_factor
     }
 
-    /// Sends a request, and returns its number.
+    /// Sends a request, and returns its nonce.
     pub(super) fn send_request(
         &mut self,
         now: Millis,
@@ -122,7 +122,7 @@
         self.last_nonce
     }
 
-    /// Ends a request whose response is complete. The next poll has its regular time.
+    /// Ends the pending request. The next poll is due at its regular time.
     pub(super) fn finish_request(&mut self, now: Millis, source: SourceIndex) {
         let role = self.assignment.role_of(source);
         let next_poll = self.regular_poll_time(now, role.unwrap_or(Role::Primary));
@@ -139,7 +139,7 @@
         self.advance_polling(now, source);
     }
 
-    /// Repeats the poll at the slot that the source has reserved, as its rate limit is reached.
+    /// Schedules the next poll at the slot that the source has reserved because its rate limit is reached.
     pub(super) fn retry_after(&mut self, now: Millis, source: SourceIndex, wait: Millis) {
         self.channel.count("later");
         let state = &mut self.states[source];
--- a/crates/distribution/src/follower/responses.rs
+++ b/crates/distribution/src/follower/responses.rs
@@ -17,7 +17,8 @@
     request: PendingRequest,
     /// The source's incarnation and the sequence number of its last change.
     head: Cursor,
-    /// The time on this follower's clock as of which the response is complete.
+    /// Once the response is complete, the follower holds everything written before this time on its clock. `None` if
+    /// the source has not heard from a writer.
     as_of: Option<i64>,
 }
 
@@ -156,8 +157,8 @@
         }
     }
 
-    /// Checks the cursor: resynchronizes with a source that has had no changes to send but different content for too
-    /// long.
+    /// Resynchronizes with a source whose content has differed for [`RESYNC_IF_DIVERGED_FOR`] although the cursor was
+    /// at its head.
     fn check_divergence(&mut self, now: Millis, context: ResponseContext, same_content: bool) {
         let state = &mut self.states[context.source];
         if same_content {
@@ -172,8 +173,9 @@
     }
 }
 
-/// The time on this follower's clock as of which a complete response has everything. The source's data can't be newer
-/// than when the request was sent.
+/// The time on this follower's clock before which everything written is held once the response is complete. Counting
+/// the data age from when the request was sent, not from when the response was, never makes the data appear newer than
+/// it is.
 fn synced_as_of(request: PendingRequest, data_age: Option<u64>) -> Option<i64> {
     let data_age = i64::try_from(data_age?).ok()?;
     Some((request.sent_at as i64).saturating_sub(data_age))
--- a/crates/distribution/src/follower/resync.rs
+++ b/crates/distribution/src/follower/resync.rs
@@ -11,8 +11,8 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// The number of consecutive complete responses without progress after which a resynchronization is abandoned until
-/// the next poll.
+/// The number of consecutive complete responses without progress that are tolerated. After one more, the
+/// resynchronization is abandoned until the next poll.
 const MAX_STALLED_RESPONSES: u32 = 4;
 
 /// A resynchronization with a source.
@@ -39,18 +39,22 @@
         differing_leaves: Vec<u16>,
     },
     /// Transfers all entries.
-    AllEntries { position: u64 },
+    AllEntries {
+        /// The first position whose entries have not been received yet.
+        position: u64,
+    },
     /// Transfers the newer entries of leaves that differ.
     DifferingLeaves {
         /// Leaves that are not complete yet, in ascending order.
         leaves: Vec<u16>,
         /// The last leaf in the current request.
         last_requested_leaf: u16,
+        /// The first position whose entries have not been received yet.
         position: u64,
     },
 }
 
-/// The positions from `from` up to but excluding `next`; `None`: up to the end of what was requested.
+/// The positions from `from` up to but excluding `next`, or up to the end of what was requested if `next` is `None`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct PositionRange {
     from: u64,
@@ -92,7 +96,7 @@
         }
     }
 
-    /// The next request. Its response repeats what arrived out of order.
+    /// The next request. Ranges that arrived out of order are dropped, because its response repeats them.
     pub(super) fn next_query(&mut self, store: &EntryStore) -> (Query, Vec<LeafVersions>) {
         self.out_of_order.clear();
         let query = match &mut self.phase {
@@ -144,8 +148,9 @@
         }
     }
 
-    /// Counts complete responses without progress, and returns whether there were too many in a row.
-    pub(super) fn is_stalled(&mut self, progress: Progress) -> bool {
+    /// Counts complete responses without progress in a row. Returns whether they are more than
+    /// [`MAX_STALLED_RESPONSES`].
+    pub(super) fn update_stalled(&mut self, progress: Progress) -> bool {
         if progress.is_response_complete {
             self.stalled_responses = match progress.has_advanced {
                 true => 0,
--- a/crates/distribution/src/follower/resync_driver.rs
+++ b/crates/distribution/src/follower/resync_driver.rs
@@ -46,7 +46,7 @@
         let Some(mut resync) = current else {
             return self.channel.count("stale-answer");
         };
-        // The source has restarted: its hashes and positions do not belong to this resynchronization.
+        // The source has restarted: the cursor that this resynchronization would set at its end is no longer valid.
         if resync.start.incarnation != incarnation {
             self.channel.count("stale-answer");
             return self.poll_immediately(now, source);
@@ -62,14 +62,15 @@
             self.states[source].set_cursor(resync.start);
             return self.poll_immediately(now, source);
         }
-        if resync.is_stalled(progress) {
+        if resync.update_stalled(progress) {
             self.channel.count("given-up");
             return self.finish_request(now, source);
         }
         self.resync = Some(resync);
         match progress.is_response_complete {
             true => self.poll_immediately(now, source),
-            // Any sequence number serves here: a resynchronization advances by positions instead.
+            // The 0 only records that the last datagram has arrived: a resynchronization advances by positions, not by
+            // sequence numbers.
             false => self.extend_deadline(now, source, seen_last.then_some(0)),
         }
     }
--- a/crates/distribution/src/follower/source_state.rs
+++ b/crates/distribution/src/follower/source_state.rs
@@ -24,12 +24,12 @@
 /// A request whose response is not complete yet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingRequest {
-    /// The request's number, 0 for a handshake.
+    /// The request's nonce, 0 for a handshake.
     pub(super) nonce: u32,
     pub(super) sent_at: Millis,
     pub(super) deadline: Millis,
     /// The sequence number of the response's last change, known once its last datagram has arrived. The response is
-    /// complete when the cursor has reached this number.
+    /// complete when the cursor has reached this number. In a resynchronization, only whether it is known is used.
     pub(super) last_sequence: Option<u64>,
 }
 
@@ -39,10 +39,10 @@
     pub(super) cursor: Cursor,
     pub(super) next_poll: Millis,
     pub(super) pending_request: Option<PendingRequest>,
-    /// The last request whose response arrived after its deadline.
+    /// The nonce of the last request whose response arrived after its deadline.
     pub(super) last_late_nonce: u32,
     /// The factor on the response timeout, doubled by late responses.
-    pub(super) timeout_factor: Millis,
+    pub(super) timeout_factor: u64,
     pub(super) missed_responses: u32,
     /// When to retry the source; set only while the source is disconnected.
     pub(super) retry_at: Option<Millis>,
@@ -75,7 +75,7 @@
         self.retry_at.is_some()
     }
 
-    /// The pending request, if it has this number.
+    /// The pending request, if it has this nonce.
     pub(super) fn pending_with_nonce(&self, nonce: u32) -> Option<PendingRequest> {
         self.pending_request
             .filter(|request| request.nonce == nonce)
--- a/crates/distribution/src/follower/status.rs
+++ b/crates/distribution/src/follower/status.rs
@@ -15,7 +15,8 @@
     /// Whether the source is disconnected.
     #[serde(rename = "silent")]
     pub disconnected: bool,
-    /// The age of the data received from the source, in milliseconds.
+    /// The age of the data received from the source, in milliseconds; `None` until the follower has held all entries of
+    /// the source after it had heard from a writer.
     #[serde(rename = "age")]
     pub data_age: Option<Millis>,
 }
@@ -33,10 +34,10 @@
     /// The hash over all keys and versions.
     #[serde(rename = "root")]
     pub root_hash: u64,
-    /// The age of the data, in milliseconds.
+    /// The age of the data, in milliseconds, see [`Follower::data_age`].
     #[serde(rename = "age")]
     pub data_age: Option<Millis>,
-    /// Whether the follower has held, at least once, everything of a source that had heard from a writer.
+    /// Whether the follower has held, at least once, all entries of a source that had heard from a writer.
     #[serde(rename = "full")]
     pub synchronized: bool,
     /// Whether all sources are disconnected.
