--- a/crates/distribution/src/channel.rs
+++ b/crates/distribution/src/channel.rs
@@ -17,7 +17,7 @@
 }
 
 impl Channel {
-    /// A channel without sessions that answers at most `handshakes_per_second`.
+    /// A channel without sessions. It answers at most `handshakes_per_second` handshakes per second.
     pub(crate) fn new(identity: Identity, keys: Keys, handshakes_per_second: u32) -> Self {
         let id = handshake::id_of(&identity.name);
         Self {
@@ -64,7 +64,7 @@
         opened
     }
 
-    /// The identity in a handshake. An invalid one is counted by its reason.
+    /// Verifies and returns the identity in a greeting or an answer. An invalid one is counted by its reason.
     pub(crate) fn peer_identity(&mut self, opened: &OpenedDatagram<'_>) -> Option<Identity> {
         match handshake::verify_identity(opened, &self.identity.name) {
             Ok(identity) if identity.name.len() <= MAX_NAME => Some(identity),
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Starts a handshake with an address, unless one was started recently.
+    /// Starts a handshake by sending a greeting to an address, unless one was sent recently.
     pub(crate) fn start_handshake(&mut self, now: Millis, to: SocketAddr) {
         let greeting = self
             .handshakes
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Answers a handshake from a peer's incarnation, within the rate limit.
+    /// Sends a handshake answer that is bound to a peer's incarnation, within the rate limit.
     pub(crate) fn answer_handshake(&mut self, now: Millis, to: SocketAddr, incarnation: u64) {
         let answer = self
             .handshakes
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Authenticates and sends a message. Returns `false` if there is no session with the peer.
+    /// Seals and sends a message. Returns `false` if there is no session with the peer, or if the message is too large.
     pub(crate) fn send(&mut self, peer: u64, to: SocketAddr, body: &[u8]) -> bool {
         let Some(bytes) = self.sessions.seal(peer, DatagramKind::Data, body) else {
             return false;
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -2,12 +2,16 @@
 //! The crate does no I/O: callers pass in datagrams, the time and a seed, and carry out the returned [`Output`]s.
 //! Tests can thus run thousands of followers in virtual time. [`Follower`] is the place to start reading.
 //!
+//! Writers put entries into the gossip store of the control instances, from which each source publishes them. A source
+//! has heard from a writer when the writer's heartbeat has confirmed that the source's entries are complete. The time
+//! since then is the age of the source's data. From it, followers derive the age of their own data.
+//!
 //! A follower polls each of its two sources once a second for the changes since its cursor at that source. A cursor is
-//! valid only for one incarnation of one source. Sources therefore share no numbering, and a response contains all
-//! changes since the cursor by construction. If a cursor is invalid, the follower resynchronizes by anti-entropy: hash
-//! trees are compared, and only entries that differ are transferred. An entry replaces only a lower version of the
-//! same key, whichever source sends the entry. A source therefore need not be up to date; it only has to be a member
-//! of the cluster.
+//! valid only for one incarnation of one source, so each source numbers its changes on its own. Responses continue at
+//! the cursor without gaps; changes that do not fit into one response are requested by another poll. If a cursor is
+//! invalid, the follower resynchronizes by anti-entropy: hash trees are compared, and only entries that differ are
+//! transferred. An entry replaces only a lower version of the same key, whichever source sends the entry. A source
+//! therefore need not be up to date; it only has to be configured at the follower and hold a key of the cluster.
 //!
 //! | module | contents |
 //! | --- | --- |
@@ -37,7 +41,7 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A time in milliseconds on this process's monotonic clock, which also advances while the process is suspended; or a
+/// A time in milliseconds on this process's monotonic clock, which also advances while the process is stopped; or a
 /// duration in milliseconds.
 pub type Millis = u64;
 
@@ -82,8 +86,8 @@
     SourceDisconnected(String),
     /// The named source responds again.
     SourceReconnected(String),
-    /// `true`: no source responds any more; `false`: at least one responds again.
+    /// Whether all sources are disconnected: `true` if no source responds any more, `false` if one responds again.
     Disconnected(bool),
-    /// For the first time, the follower holds everything of a source that has heard from a writer.
+    /// The follower holds all entries of a source that has heard from a writer. Emitted once, the first time.
     Synchronized,
 }
--- a/crates/distribution/src/messages/decode.rs
+++ b/crates/distribution/src/messages/decode.rs
@@ -12,7 +12,7 @@
 /// Why an authenticated message is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// The message is too short, has trailing bytes, or is not a valid encoding.
+    /// The message is too short, has trailing bytes, is not a valid encoding, or has an earlier format version.
     #[error("malformed message")]
     Malformed,
     /// The message does not belong to this protocol, or is a response where a request is expected, or the reverse.
@@ -27,7 +27,7 @@
     /// A leaf or branch does not exist, or the leaves are not in ascending order.
     #[error("invalid leaf or branch")]
     InvalidLeaf,
-    /// A range ends before it begins, or after the source's head.
+    /// A range of changes ends before it begins or after the source's head, or a range of positions is empty.
     #[error("invalid cursor or range")]
     InvalidCursor,
     /// An entry is invalid.
@@ -100,7 +100,7 @@
     let mut leaves: Vec<LeafVersions> = Vec::new();
     while !rest.is_empty() {
         let (leaf, count): (u16, u16) = take(rest)?;
-        // Ascending and without duplicates, so that the size of the store bounds the response.
+        // Leaves must be ascending and without duplicates, so that a response is never larger than the store.
         if leaf as usize >= LEAVES || leaves.last().is_some_and(|last| last.leaf >= leaf) {
             return Err(DecodeError::InvalidLeaf);
         }
--- a/crates/distribution/src/messages/encode.rs
+++ b/crates/distribution/src/messages/encode.rs
@@ -9,15 +9,17 @@
 
 /// The maximum size of an entry's row, in bytes.
 pub fn entry_row_size(entry: &Entry) -> usize {
+    // The key, then the version and the value's length as varints: 62 bits take 9 bytes, and 10 bits take 2.
     8 + 9 + 2 + entry.value.len()
 }
 
 /// The maximum size of a leaf with this number of versions in a request, in bytes.
 pub fn leaf_versions_size(versions: usize) -> usize {
+    // The leaf and the number of versions are varints of at most 3 bytes each.
     6 + versions * ENTRY_VERSION_SIZE
 }
 
-/// Encodes a request and its rows. The result is ready to be sealed.
+/// Encodes a request and its rows, as the body of a sealed datagram.
 pub fn encode_request(request: &PollRequest, leaves: &[LeafVersions]) -> Vec<u8> {
     let mut bytes = encode_header(REQUEST, request);
     for leaf in leaves {
@@ -29,7 +31,7 @@
     bytes
 }
 
-/// Encodes a response without rows. Rows may be appended before the result is sealed.
+/// Encodes a response without rows. The caller appends the rows that the kind of response requires.
 pub fn encode_response(response: &PollResponse) -> Vec<u8> {
     encode_header(RESPONSE, response)
 }
--- a/crates/distribution/src/messages/mod.rs
+++ b/crates/distribution/src/messages/mod.rs
@@ -1,4 +1,5 @@
-//! The messages between sources and followers, sent in sealed datagrams.
+//! The messages between sources and followers. They are sent in sealed datagrams, which the membership crate
+//! authenticates with the cluster's keys but does not encrypt.
 //!
 //! | bytes | contents |
 //! | --- | --- |
@@ -39,7 +40,7 @@
 /// The size of a row with the leaf hashes of a branch, in bytes.
 pub const LEAF_HASHES_ROW_SIZE: usize = 1 + LEAVES_PER_BRANCH * 4;
 /// The maximum size of the key and version of an entry in a request, in bytes.
-pub const ENTRY_VERSION_SIZE: usize = 8 + 10;
+pub const ENTRY_VERSION_SIZE: usize = 8 + 10; // A varint of 64 bits takes up to 10 bytes.
 
 const REQUEST: u8 = 0;
 const RESPONSE: u8 = 1;
@@ -47,7 +48,7 @@
 /// A follower's request to a source.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PollRequest {
-    /// The number that the follower gives the request, repeated in its responses.
+    /// A number that identifies the request. The source repeats it in each datagram of the response.
     pub nonce: u32,
     /// Whether the source is the follower's primary source.
     pub is_primary: bool,
@@ -72,22 +73,23 @@
     BranchHashes,
     /// The hashes of the leaves of some branches.
     LeafHashes {
-        /// The branches, one bit for each.
+        /// The branches, one bit for each; the lowest bit is branch 0.
         branches: u64,
-        /// The salt with which the hashes are shortened.
+        /// The salt of the hashes, see [`EntryStore::leaf_hashes`](crate::store::EntryStore::leaf_hashes).
         salt: u32,
     },
     /// All entries from a position on.
     Entries {
-        /// The first position.
+        /// The first position, see [`position`](crate::store::position).
         from: u64,
     },
-    /// The entries newer than those listed in the rows ([`LeafVersions`]), of the leaves listed there.
+    /// The entries of the leaves listed in the rows ([`LeafVersions`]) that the follower lacks or holds in a lower
+    /// version.
     NewerEntries {
         /// The first position.
         from: u64,
     },
-    /// No data: the follower polls another source from now on.
+    /// No data. The follower no longer polls this source; there is no response.
     Unsubscribe,
 }
 
@@ -103,7 +105,7 @@
 /// The versions that a follower holds in a leaf.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeafVersions {
-    /// The leaf.
+    /// The number of the leaf.
     pub leaf: u16,
     /// The versions of the entries in the leaf.
     pub versions: Vec<EntryVersion>,
@@ -112,9 +114,9 @@
 /// A source's response. The source's incarnation is the one in the sealed datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PollResponse {
-    /// The number of the request.
+    /// The nonce of the request.
     pub nonce: u32,
-    /// The age of the source's own data, in milliseconds; `None` until it has heard from a writer.
+    /// How long ago the source last heard from a writer, in milliseconds; `None` if it never did.
     pub data_age: Option<u64>,
     /// The sequence number of the source's last change.
     pub head: u64,
@@ -127,14 +129,15 @@
 pub enum ResponseBody {
     /// No changes since the cursor.
     UpToDate {
-        /// Whether both sides hold the same content.
+        /// Whether the root hashes of both sides are equal.
         same_content: bool,
     },
-    /// The cursor is invalid, but both sides hold the same content: the follower adopts the head as its new cursor.
+    /// The cursor is invalid or below the head, but the root hashes of both sides are equal: the follower adopts the
+    /// head as its new cursor.
     AdoptHead,
     /// The cursor is invalid, and the contents differ.
     ContentDiffers,
-    /// The rate limit is reached. A slot is reserved for a repetition of the request.
+    /// The rate limit is reached. The follower repeats the request at the slot that the source has reserved for it.
     RetryAfter {
         /// When to repeat the request, in milliseconds after it was sent.
         wait: u32,
@@ -148,7 +151,7 @@
     },
     /// All changes of a range of sequence numbers, in rows of entries.
     Changes {
-        /// The sequence number before the range.
+        /// The range starts after this sequence number.
         after: u64,
         /// The last sequence number of the range.
         up_to: u64,
@@ -159,7 +162,7 @@
     Entries {
         /// The first position.
         from: u64,
-        /// The position after the range; `None`: there are no further entries.
+        /// The first position after the range; `None` if no further entries were requested or exist.
         next: Option<u64>,
         /// Whether this is the last datagram of the response.
         last: bool,
@@ -169,7 +172,7 @@
 /// The shortened hashes of a branch's leaves.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeafHashes {
-    /// The branch.
+    /// The number of the branch.
     pub branch: u8,
     /// The hashes of its leaves, in order.
     pub hashes: Vec<u32>,
@@ -184,7 +187,7 @@
     BranchHashes(Vec<u64>),
     /// The hashes of the leaves of some branches.
     LeafHashes(Vec<LeafHashes>),
-    /// Entries.
+    /// The entries of a range of sequence numbers or positions.
     Entries(Vec<Entry>),
 }
 
--- a/crates/distribution/src/rate_limiter.rs
+++ b/crates/distribution/src/rate_limiter.rs
@@ -1,8 +1,8 @@
 //! A rate limiter with reservations: the generic cell rate algorithm (ITU-T I.371).
 //!
-//! A single timestamp, the theoretical arrival time, records until when the rate is allocated. A request that can't be
-//! granted now reserves the next slot in this schedule. A reservation is only a time, and each follower has at most
-//! one, so requests are served in order of arrival without a queue.
+//! The limiter's schedule is a single timestamp, the theoretical arrival time: the rate is allocated up to this time. A
+//! request that can't be granted now reserves the next slot after it. The caller stores the slot, at most one for each
+//! follower, so requests are served in order of arrival without a queue.
 
 use crate::Millis;
 
@@ -22,13 +22,14 @@
     interval: u64,
     /// The unused allowance that may accumulate, in nanoseconds.
     burst: u64,
-    /// The theoretical arrival time: until when the rate is allocated, in nanoseconds counted from one `burst` before
-    /// time 0.
+    /// The theoretical arrival time, up to which the rate is allocated, in nanoseconds. It is counted from one `burst`
+    /// before time 0, so that it can't be negative.
     allocated_until: u64,
 }
 
 impl RateLimiter {
-    /// A limiter of `per_second` datagrams, which admits `burst` of them at once after a pause.
+    /// A limiter of `per_second` datagrams per second, which admits `burst` of them at once at the start and after a
+    /// pause. For both, 0 counts as 1.
     pub fn new(now: Millis, per_second: u32, burst: u32) -> Self {
         let interval = NANOS_PER_SECOND / u64::from(per_second.max(1));
         let burst = interval * u64::from(burst.max(1));
@@ -49,7 +50,7 @@
         granted as u32
     }
 
-    /// Reserves the next slot for `count` datagrams, and returns its time.
+    /// Reserves the next slot for `count` datagrams, and returns the time at which they may be sent.
     pub fn reserve(&mut self, now: Millis, count: u32) -> Millis {
         self.allocated_until = self.allocated_until.max(self.clock(now));
         let at = (self.allocated_until - self.burst).div_ceil(NANOS_PER_MILLI);
--- a/crates/distribution/src/source_selection.rs
+++ b/crates/distribution/src/source_selection.rs
@@ -1,6 +1,6 @@
 //! Selection of the sources that a follower polls. Sources in the follower's zone rank first, then those in its
 //! region, then all others. Within each group they rank by rendezvous score, which spreads followers evenly and moves
-//! few of them when the list of sources changes.
+//! few followers when the list of sources changes.
 
 use crate::{Location, SourceEndpoint};
 use std::cmp::Ordering;
@@ -18,7 +18,7 @@
 /// The role of a source for a follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Role {
-    /// The source that tracks this follower in its status.
+    /// The source that tracks which changes this follower has confirmed, and reports it if it lags or is disconnected.
     Primary,
     /// The second source that is polled.
     Secondary,
@@ -94,8 +94,8 @@
     }
 }
 
-/// Assigns the first two available sources in order of preference. The secondary is in another zone than the primary
-/// if such a source is available.
+/// Assigns the roles to available sources. The primary is the first one in order of preference. The secondary is the
+/// next one in another zone or, if there is none, the next one.
 pub(crate) fn assign_roles(
     order: &[SourceIndex],
     sources: &[KnownSource],
--- a/crates/distribution/src/store/change_log.rs
+++ b/crates/distribution/src/store/change_log.rs
@@ -39,7 +39,8 @@
         self.head
     }
 
-    /// The highest sequence number that was dropped for lack of capacity. A cursor below this number is too old.
+    /// The highest sequence number that was dropped for lack of capacity, 0 if none was. A cursor below this number is
+    /// too old.
     pub fn floor(&self) -> u64 {
         self.floor
     }
--- a/crates/distribution/src/store/hash_tree.rs
+++ b/crates/distribution/src/store/hash_tree.rs
@@ -20,12 +20,12 @@
     z ^ (z >> 31)
 }
 
-/// The leaf of a position.
+/// The number of the leaf that contains a position.
 pub fn leaf_of(position: u64) -> usize {
     (position >> LEAF_SHIFT) as usize
 }
 
-/// The positions of a leaf.
+/// The positions that belong to a leaf.
 pub fn leaf_range(leaf: usize) -> std::ops::RangeInclusive<u64> {
     let start = (leaf as u64) << LEAF_SHIFT;
     start..=start | ((1 << LEAF_SHIFT) - 1)
--- a/crates/distribution/src/store/mod.rs
+++ b/crates/distribution/src/store/mod.rs
@@ -32,7 +32,7 @@
     /// The value is longer than the gossip store's `MAX_VALUE_BYTES`.
     #[error("value is longer than {MAX_VALUE_BYTES} bytes")]
     ValueTooLarge,
-    /// The store holds [`MAX_ENTRIES`] or [`MAX_BYTES`].
+    /// With this entry, the store would exceed [`MAX_ENTRIES`] or [`MAX_BYTES`].
     #[error("store is full: {MAX_ENTRIES} entries or {MAX_BYTES} bytes of values")]
     StoreFull,
 }
@@ -99,7 +99,7 @@
         self.entries.is_empty()
     }
 
-    /// All entries, in the order of their positions.
+    /// All entries, in the order of their positions (see [`position`]).
     pub fn iter(&self) -> impl Iterator<Item = &Entry> {
         self.entries.values()
     }
@@ -161,8 +161,11 @@
         self.hash_tree.branches()
     }
 
-    /// The hashes of a branch's leaves, shortened to 32 bits with a salt. Two different leaves collide with a
-    /// probability of 2^-32, and a collision does not repeat with the next salt.
+    /// The hashes of a branch's leaves, hashed with a salt to 32 bits. Two different leaves collide with a
+    /// probability of 2^-32. With another salt, a collision is as unlikely to repeat.
+    ///
+    /// # Panics
+    /// If `branch` is not below [`BRANCHES`].
     pub fn leaf_hashes(&self, branch: usize, salt: u32) -> Vec<u32> {
         self.hash_tree.leaves(branch, salt)
     }
