--- a/crates/distribution/tests/disconnected.rs
+++ b/crates/distribution/tests/disconnected.rs
@@ -122,8 +122,8 @@
     );
 }
 
-/// A source that has not heard from a writer sends its entries, but the follower takes them neither as complete nor as
-/// of any age.
+/// A source that has not heard from a writer sends its entries, but the follower reports neither that it is
+/// synchronized nor an age of its data.
 #[test]
 fn a_source_that_heard_no_writer_synchronizes_no_follower() {
     let mut sim = Simulation::new(44, &[LOCAL_ZONE]);
--- a/crates/distribution/tests/lease_versions.rs
+++ b/crates/distribution/tests/lease_versions.rs
@@ -35,7 +35,7 @@
 
 #[test]
 fn versions_of_lease_terms_are_accepted_and_higher_ones_rejected() {
-    // In 2026 and at the end of 2099.
+    // In November 2025 and at the end of 2099.
     for wall in [1_764_000_000_000, 4_102_444_799_000] {
         let version = first_term(wall) << 20 | ((1 << 20) - 1);
         let entry = Entry {
--- a/crates/distribution/tests/rate_limits.rs
+++ b/crates/distribution/tests/rate_limits.rs
@@ -72,7 +72,7 @@
     assert_eq!(sim.version_regressions(), 0);
 }
 
-/// A change waits no longer than for its slot among the other followers' requests.
+/// A synchronized follower polls a change while 40 others synchronize. It waits for at most one slot behind theirs.
 #[test]
 fn a_change_reaches_a_follower_while_many_others_resynchronize() {
     let mut sim = Simulation::new(32, &[LOCAL_ZONE]);
@@ -116,8 +116,8 @@
     assert_eq!(limiter.acquire(1_000_000, 50), 10);
 }
 
-/// A client that polls under many names and never uses the responses costs one window of datagrams per name, then one
-/// small datagram per request.
+/// A peer polls under many names and never uses the responses. The limits bound what it is sent: datagrams with rows at
+/// their rate, otherwise one small Retry-After response per request.
 #[test]
 fn a_follower_that_never_reads_costs_a_bounded_amount() {
     let mut sim = Simulation::new(33, &[LOCAL_ZONE]);
--- a/crates/distribution/tests/resync.rs
+++ b/crates/distribution/tests/resync.rs
@@ -26,7 +26,7 @@
     let after = sim.followers[follower].counters();
     assert_eq!(after.get("comparisons"), before.get("comparisons"));
     assert_eq!(after.get("walks"), before.get("walks"));
-    // The new incarnation costs a handshake or two. Nothing else is larger than a regular poll.
+    // The new incarnation causes one or two handshakes. All other datagrams are as small as those of a regular poll.
     let spent = bytes_sent(&sim) - start;
     println!("{spent} bytes in 3 s with a restart of a source with equal content");
     assert!(spent < 2500, "{spent}");
@@ -82,7 +82,8 @@
     assert!(spent * 5 < initial);
 }
 
-/// As above, but the change logs still cover the cursors: hardly more than the changed rows is transferred.
+/// A follower is isolated while 60 entries change, and the change logs still cover its cursors: hardly more than the
+/// changed rows are transferred.
 #[test]
 fn with_a_valid_cursor_only_changes_are_transferred() {
     let mut sim = Simulation::new(23, &[LOCAL_ZONE, OTHER_ZONE]);
@@ -132,7 +133,8 @@
     assert!(spent < 10 * 500, "{spent}");
 }
 
-/// A difference of the contents that remains although the cursor is at the head is found by comparing the root hashes.
+/// The cursor is at the source's head, but the contents still differ. The follower detects this by the root hashes, and
+/// resynchronizes after ten minutes.
 #[test]
 fn a_lasting_divergence_at_the_head_is_resynchronized() {
     let mut sim = Simulation::new(25, &[LOCAL_ZONE]);
--- a/crates/distribution/tests/versions.rs
+++ b/crates/distribution/tests/versions.rs
@@ -183,7 +183,7 @@
     }
 }
 
-/// The test above depends on this check: an update with a lower version is counted.
+/// The other tests of this file depend on this counter of updates with a lower version.
 #[test]
 fn an_update_to_a_lower_version_is_counted_as_a_regression() {
     let mut observations = Observations::default();
--- a/crates/distribution/tests/wire_fixtures.rs
+++ b/crates/distribution/tests/wire_fixtures.rs
@@ -1,6 +1,6 @@
 //! Compares requests and responses, the hashes of a store, and seeded runs of sources and followers with fixture
-//! files. The files were written by the tree at 71566bd. Rewriting them (`WRITE_FIXTURES=1`) hides a change of the
-//! bytes between versions.
+//! files. The files were written at commit 71566bd. Rewriting them (`WRITE_FIXTURES=1`) hides a change of the bytes
+//! between versions.
 
 mod common;
 #[path = "../../../tests/common/wire_fixtures.rs"]
@@ -23,8 +23,9 @@
 use wire_fixtures::Record;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The bytes that sealing puts before and after a message.
+/// The number of bytes that sealing puts before a message.
 const SEAL_HEADER: usize = 34;
+/// The number of bytes that sealing puts after a message.
 const SEAL_TAG: usize = 16;
 /// The offset of the kind in a sealed datagram.
 const SEAL_KIND_OFFSET: usize = 1;
@@ -378,8 +379,8 @@
     assert_eq!(postcard::from_bytes(&golden[2].bytes), Ok(source));
 }
 
-/// Adds the kind of a datagram to those that a run has sent. A run that sends fewer kinds than before thereby fails
-/// its test.
+/// Adds the kind of a datagram to those that a run has sent. The tests check these kinds, because a run that no longer
+/// sends a kind doesn't cover its bytes.
 fn add_kinds(kinds: &mut BTreeSet<&'static str>, datagram: &[u8]) {
     if datagram[SEAL_KIND_OFFSET] == DatagramKind::Greeting as u8 {
         kinds.insert("handshake-greeting");
@@ -451,7 +452,7 @@
     outputs
 }
 
-/// Much less than there is to send, so that followers have to wait for their slots.
+/// Rates far below what there is to send, so that followers have to wait for their slots.
 const LIMITS: Limits = Limits {
     datagrams_per_second: 20,
     burst: 10,
