--- a/src/config/process.rs
+++ b/src/config/process.rs
@@ -119,7 +119,7 @@
     ///
     /// # Errors
     /// If a class was removed or reordered: open connections refer to their class by its index.
-    pub fn replace(mut self, running: &Self) -> Result<Self, ConfigError> {
+    pub fn into_replacement_of(mut self, running: &Self) -> Result<Self, ConfigError> {
         if !self.class_names.starts_with(&running.class_names) {
             return Err(ConfigError::ClassesChanged);
         }
--- a/src/lifecycle/reload.rs
+++ b/src/lifecycle/reload.rs
@@ -38,7 +38,7 @@
 
     fn read(&self) -> Result<(ProcessConfig, OperatorConfig), ReloadError> {
         let config = ProcessConfig::from_env(LoadReason::Reload)
-            .and_then(|config| config.replace(&self.runtime.process_config()))?;
+            .and_then(|config| config.into_replacement_of(&self.runtime.process_config()))?;
         let operator = operator_file::read(&self.options)?;
         self.operator
             .check_reload(&operator)
--- a/tests/config_errors.rs
+++ b/tests/config_errors.rs
@@ -228,11 +228,15 @@
         json!({"name": "more", "onTime": 0.5}),
     );
     let running = reload(json!([live, more]));
-    assert!(reload(json!([live, more, live])).replace(&running).is_ok());
+    assert!(
+        reload(json!([live, more, live]))
+            .into_replacement_of(&running)
+            .is_ok()
+    );
     for classes in [json!([live]), json!([more, live])] {
         assert_eq!(
             reload(classes)
-                .replace(&running)
+                .into_replacement_of(&running)
                 .err()
                 .map(|error| error.to_string())
                 .as_deref(),
