--- a/src/protocol/client/backend_line.rs
+++ b/src/protocol/client/backend_line.rs
@@ -20,7 +20,9 @@
 /// A line that a stream server sends on an established connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BackendLine {
-    /// `LOAD`: the connection's new load, finite and not negative.
+    /// `LOAD`: a number that the server reports on the connection, finite and not negative. It is either the
+    /// connection's load, in microseconds of work per second, or the latency of a message at the server, in
+    /// milliseconds; the line does not tell which.
     Load(f64),
     /// `BYE`: the connection has ended successfully.
     Bye,
--- a/src/protocol/client/line_reader.rs
+++ b/src/protocol/client/line_reader.rs
@@ -4,13 +4,13 @@
 use thiserror::Error;
 use tokio::net::TcpStream;
 
-/// The maximum length of a line in bytes, including its line ending.
+/// The maximum length of a line, including its line ending, and the capacity of the buffer, in bytes.
 pub const MAX_LINE: usize = 4096;
 
 /// A line that cannot be read.
 #[derive(Debug, Error)]
 pub enum LineError {
-    /// [`MAX_LINE`] bytes are buffered, so no more are read.
+    /// The buffer is full: it has [`MAX_LINE`] bytes that were not returned as lines yet.
     #[error("the line is too long")]
     TooLong,
     /// The line is not UTF-8, has control characters, or ends in LF alone.
@@ -29,7 +29,7 @@
 }
 
 impl From<Vec<u8>> for LineReader {
-    /// A reader whose buffer begins with bytes that were read from the stream before.
+    /// A reader whose buffer begins with bytes that were already read from the stream.
     fn from(buffer: Vec<u8>) -> Self {
         Self { buffer }
     }
@@ -42,7 +42,8 @@
     /// If the buffer is full or the stream failed.
     pub async fn read_more(&mut self, stream: &TcpStream) -> Result<bool, LineError> {
         loop {
-            // Bounds the memory per connection: a peer that sends more before its turn is disconnected.
+            // Bounds the memory per connection: callers disconnect a peer that sends more without waiting for a
+            // response.
             if self.buffer.len() >= MAX_LINE {
                 return Err(LineError::TooLong);
             }
@@ -60,7 +61,7 @@
         }
     }
 
-    /// The next line without its line ending; `None` at the end of the stream.
+    /// The next line without its line ending; `None` at the end of the stream, even if it ends within a line.
     ///
     /// # Errors
     /// If the line is too long or not plain text, or the stream failed.
--- a/src/protocol/client/open_request.rs
+++ b/src/protocol/client/open_request.rs
@@ -1,12 +1,23 @@
-//! The first line of a client: `OPEN ID KEY FIELDS`, the fields separated by commas.
+//! The first line of a client: `OPEN ID KEY FIELDS`. The fields have the form `NAME=VALUE` and are separated by commas:
+//!
+//! | name | value |
+//! | --- | --- |
+//! | `c` | the name of the request's class; required |
+//! | `d` | how long the client waits for a response, in milliseconds; required |
+//! | `g` | the client's group |
+//! | `at` | the server to which the connection is already established |
+//! | `again` | `1` if the client reconnects |
+//! | `h` | the expected load of the connection, in microseconds of work per second |
+//!
+//! Other fields are not interpreted here. The stream server receives all fields.
 
 use crate::api::{Key, Request, RequestId, ServerId, Time};
 use crate::protocol::request_id::parse_request_id;
 use std::ops::Range;
 use thiserror::Error;
 
-/// The maximum wait of a client, in milliseconds; a longer one is capped. The cap also bounds what client input can do
-/// to calculations with times.
+/// The maximum wait of a client, in milliseconds; a longer one is reduced to this. The limit also keeps the deadlines
+/// that are calculated from client input within a sensible range.
 const MAX_WAIT_MS: u64 = 600_000;
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
 
@@ -24,11 +35,11 @@
     FieldWithoutValue,
     /// A field has no value after its `=`.
     EmptyField,
-    /// A field that may occur once occurs twice.
+    /// `c`, `d`, `at` or, if connections belong to groups, `g` occurs more than once.
     DuplicateField,
     /// The class is not configured.
     UnknownClass,
-    /// The wait is not a whole number of milliseconds.
+    /// The wait is not a whole number of milliseconds, or does not fit into 64 bits.
     InvalidWait,
     /// The class is absent.
     MissingClass,
@@ -59,13 +70,13 @@
 pub struct OpenRequest {
     /// The request; the caller, which has the clock, sets its `deadline`.
     pub request: Request,
-    /// How long the client waits for a response, in seconds.
+    /// How long the client waits for a response, in seconds; at most 600.
     pub wait: Time,
     /// The server to which the connection is already established.
     pub established_server: Option<ServerId>,
-    /// The line before the digits of the wait.
+    /// The part of the line before the digits of the wait.
     before_wait: String,
-    /// The line after the digits of the wait.
+    /// The part of the line after the digits of the wait.
     after_wait: String,
 }
 
@@ -113,7 +124,7 @@
     }
 }
 
-/// The wait of a client, and the byte range of its digits in the line.
+/// The wait of a client, at most [`MAX_WAIT_MS`], and the byte range of its digits in the line.
 struct WaitField {
     milliseconds: u64,
     digits: Range<usize>,
@@ -141,7 +152,8 @@
         }
     }
 
-    /// Parses the field that begins at byte `offset` of the line. Unknown fields are for the stream server.
+    /// Parses the field that begins at byte `offset` of the line. Unknown fields are ignored: they are meant for the
+    /// stream server.
     fn parse_field(&mut self, field: &str, offset: usize) -> Result<(), OpenRequestError> {
         let (name, value) = field
             .split_once('=')
--- a/src/protocol/simulator/adapter.rs
+++ b/src/protocol/simulator/adapter.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// The largest number of an endpoint list; the smallest is 0.
+/// The largest `slot`: the number of an endpoint list, from 0.
 const MAX_SLOT: u64 = 15;
 
 /// A simulated instance: its balancer, and the class names from its settings.
@@ -31,7 +31,9 @@
 pub struct SimulatorAdapter {
     instances: BTreeMap<u64, Instance>,
     endpoints: Endpoints,
+    /// The steps in reply to the current batch.
     steps: Vec<Step>,
+    /// The balancer's actions for the current event. Kept between events to reuse its memory.
     actions: Vec<Action>,
 }
 
@@ -39,7 +41,8 @@
     /// Handles one line and returns the reply, including its line ending.
     ///
     /// # Errors
-    /// If the line is not a batch, or for the first event that cannot be handled.
+    /// If the line is not a batch, or for the first event that cannot be handled. The adapter must not be used after an
+    /// error: the instance of the invalid event may be lost.
     pub fn handle_batch(&mut self, line: &str) -> Result<Vec<u8>, BatchError> {
         let batch: Batch = serde_json::from_str(line).map_err(BatchError::Malformed)?;
         let now = non_negative(batch.wall, "wall")?;
@@ -125,7 +128,7 @@
         Ok(())
     }
 
-    /// The id of the server with this name. Remembers the name, which the steps use.
+    /// The id of the server with this name. Records the name, by which the steps refer to the server.
     ///
     /// # Errors
     /// If another name has the same hash: the two servers could not be distinguished.
--- a/src/protocol/simulator/error.rs
+++ b/src/protocol/simulator/error.rs
@@ -91,10 +91,10 @@
         /// The name of the class.
         class: String,
     },
-    /// The state of an endpoint is unknown.
+    /// The `readiness` of an endpoint is none of the defined values.
     #[error("host '{host}': readiness {readiness} is unknown")]
     UnknownReadiness {
-        /// The name of the endpoint.
+        /// The name of the server.
         host: String,
         /// The value of `readiness`.
         readiness: u64,
@@ -113,13 +113,13 @@
         /// The number of the list.
         slot: u64,
     },
-    /// The kind of an endpoint update is unknown.
+    /// The `mode` of an endpoint update is none of the defined values.
     #[error("field 'mode' is {mode}, which is no kind of list")]
     UnknownUpdateKind {
         /// The value of `mode`.
         mode: u64,
     },
-    /// The kind of a report is unknown.
+    /// The `topic` of a report is none of the defined values.
     #[error("field 'topic' is {topic}, which is no news")]
     UnknownTopic {
         /// The value of `topic`.
@@ -134,7 +134,7 @@
     /// The payload of a peer message is not base64.
     #[error("field 'payload': {0}")]
     InvalidPayload(#[source] base64::DecodeError),
-    /// The names of two endpoints have the same hash, so their ids are equal.
+    /// The names of two servers have the same hash, so their ids are equal.
     #[error("hosts '{known}' and '{name}' have the same hash")]
     HashCollision {
         /// The name that occurred first.
--- a/src/protocol/simulator/event.rs
+++ b/src/protocol/simulator/event.rs
@@ -14,15 +14,15 @@
 use base64::engine::general_purpose::STANDARD as BASE64;
 use std::borrow::Cow;
 
-/// The largest token of a timer.
+/// The largest `tag`: the token of a timer.
 const MAX_TAG: u64 = 1 << 63;
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
 
 /// Bits of `opts` in a request.
 mod option_bits {
-    /// `cost` holds a load hint.
+    /// `cost` is a load hint, in microseconds of work per second; without this bit it is ignored.
     pub const LOAD_HINT: u64 = 1;
-    /// The request is in the middle of a flow.
+    /// The request belongs to a connection that was established elsewhere (`Request::mid_flow`).
     pub const MID_FLOW: u64 = 8;
     /// The client reconnects.
     pub const RECONNECT: u64 = 16;
@@ -30,9 +30,9 @@
 
 /// Values of `topic` in a signal.
 mod topics {
-    /// The load of a connection.
+    /// The load of a connection, in microseconds of work per second.
     pub const LOAD: u64 = 1;
-    /// The latency at a server, in milliseconds.
+    /// The message latency of a server, in milliseconds.
     pub const LATENCY: u64 = 2;
 }
 
--- a/src/protocol/simulator/mod.rs
+++ b/src/protocol/simulator/mod.rs
@@ -1,7 +1,7 @@
 //! The simulator's protocol: each input line is a JSON batch of events, each output line the steps in reply.
 //!
-//! `raw` has the types of the wire, `event` and `step` translate them to and from those of [`crate::api`], and
-//! [`SimulatorAdapter`] holds the balancers. An invalid message ends the run with a [`SimulatorError`].
+//! `raw` has the types for the JSON on the wire, `event` and `step` translate them to and from those of [`crate::api`],
+//! and [`SimulatorAdapter`] holds the balancers. An invalid message ends the run with a [`SimulatorError`].
 
 mod adapter;
 mod error;
@@ -14,7 +14,7 @@
 
 use std::io::{BufRead, Write};
 
-/// Serves batches until the end of the input.
+/// Serves batches until the end of the input: writes and flushes one reply for each line that it reads.
 ///
 /// # Errors
 /// For the first message that cannot be read, handled or answered.
--- a/src/protocol/simulator/step.rs
+++ b/src/protocol/simulator/step.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// The step with which instance `who` carries out the action.
+/// The step that tells the simulator to carry out an action of instance `who`; `names` has the servers' names.
 pub(super) fn step_for_action(
     who: u64,
     action: Action,
