--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -23,15 +23,15 @@
     /// A required key or environment variable is missing.
     #[error("key '{key}' is missing")]
     MissingKey {
-        /// The key.
+        /// The name of the key or of the variable.
         key: &'static str,
     },
     /// The value of a key is not a socket address.
     #[error("key '{key}' is '{value}', not an address with a port")]
     InvalidAddress {
-        /// The key.
+        /// The name of the key.
         key: &'static str,
-        /// Its value.
+        /// The value of the key, or of the environment variable that overrides it.
         value: String,
         /// Why it is not an address.
         source: AddrParseError,
@@ -45,7 +45,7 @@
     /// The seed is not a 64-bit hexadecimal number.
     #[error("key 'seed' is '{value}', not a hexadecimal number")]
     InvalidSeed {
-        /// Its value.
+        /// The value of the key.
         value: String,
         /// Why it is not a number.
         source: ParseIntError,
@@ -111,7 +111,7 @@
     OutOfRange {
         /// The name of the field.
         field: &'static str,
-        /// Its value.
+        /// The value of the field.
         value: f64,
     },
 }
--- a/src/config/process.rs
+++ b/src/config/process.rs
@@ -22,7 +22,8 @@
 pub enum LoadReason {
     /// The process starts: the environment overrides the file.
     Start,
-    /// SIGHUP: the environment is still that of the start, so the file's `discovery` overrides `BALANCER_DISCOVERY`.
+    /// The process received SIGHUP. Its environment cannot have changed since the start, so the file's `discovery`
+    /// overrides `BALANCER_DISCOVERY`; the other variables override the file as at the start.
     Reload,
 }
 
@@ -32,7 +33,7 @@
     pub name: String,
     /// The address on which clients connect.
     pub listen: SocketAddr,
-    /// The address of discovery.
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
     /// The address of the admin server; `None` if there is no admin server.
     pub admin_address: Option<SocketAddr>,
@@ -48,7 +49,8 @@
     pub config: BalancerConfig,
     /// The names of the request classes, by index.
     pub class_names: Vec<String>,
-    /// The longest time that a client waits for a response, in seconds.
+    /// The longest time that a client of any class waits for a response, in seconds. A longer wait that a client
+    /// asks for is reduced to it, except for a connection that is reopened.
     pub max_client_wait: Time,
     /// Whether connections belong to groups. Those of a group are placed together.
     pub groups_enabled: bool,
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -8,20 +8,22 @@
 };
 use crate::discovery::zone::zone_id;
 
-/// The default for the longest wait of a client, in seconds.
+/// The default of a class's `hardLimit`: the longest time that a client waits for a response, in seconds.
 const DEFAULT_MAX_CLIENT_WAIT: Time = 2.0;
-/// The default timeout for connecting to an endpoint, in seconds.
+/// The default timeout for connecting to a server, in seconds.
 const DEFAULT_CONNECT_TIMEOUT: Time = 0.25;
-/// The default for the longest time between polls of discovery while nothing is pushed, in seconds.
+/// The default of `askWithin`: the longest time between polls that discovery allows, in seconds. The backoff after a
+/// failed poll is a fraction of it.
 const DEFAULT_DISCOVERY_BACKOFF_BASE: Time = 10.0;
-/// The default share of its capacity that a cold endpoint has at least.
+/// The default of `coldFrom`: the capacity of a server that has just started, as a share of its full capacity.
 const DEFAULT_COLD_CAPACITY_SHARE: f64 = 1.0;
-/// The default multiple of its present capacity above which a cold endpoint is overloaded.
+/// The default of `fallMultiple`: the multiple of its current capacity above which a server that is warming up is
+/// overloaded.
 const DEFAULT_OVERLOAD_MULTIPLE: f64 = 1.0;
-/// The default time for which a cold endpoint withstands such an overload, in seconds.
+/// The default of `fall`: how long a server that is warming up withstands an overload, in seconds.
 const DEFAULT_OVERLOAD_WINDOW: Time = 1.0;
 
-/// Validated settings of the balancer.
+/// The validated settings of the balancer.
 pub(crate) struct BalancerSettings {
     /// The configuration of the balancer, which refers to a class by its index.
     pub balancer: BalancerConfig,
@@ -82,7 +84,8 @@
     }
 }
 
-/// The longest time that a client of any class waits for a response, in seconds.
+/// The longest time that a client of any class waits for a response, in seconds: the maximum `hardLimit` of the
+/// classes.
 pub(super) fn max_client_wait(settings: &Settings) -> Result<Time, FieldError> {
     let mut longest = 0.0;
     for class in settings.classes.iter().flatten() {
