--- a/src/discovery/endpoint_list.rs
+++ b/src/discovery/endpoint_list.rs
@@ -21,7 +21,7 @@
     pub complete: bool,
     /// The endpoints of the list or the delta.
     pub endpoints: Vec<ListedEndpoint>,
-    /// The last entry that was skipped because its address is invalid; for the log.
+    /// The address and the id of the last entry that was skipped because its address is invalid, as text for the log.
     pub unusable: Option<String>,
 }
 
@@ -53,19 +53,24 @@
     members: Vec<RawMember>,
 }
 
+/// An endpoint as discovery writes it.
 #[derive(Deserialize)]
 struct RawMember {
     id: String,
     host_port: String,
+    /// The endpoint's zone.
     locality: Option<String>,
     cell: Option<u32>,
+    /// `SERVING`, `DELETED`, or another phase in which the endpoint drains.
     phase: String,
+    /// The endpoint's weight.
     size: Option<f64>,
+    /// When the endpoint started, in milliseconds since the Unix epoch.
     up_since_ms: Option<f64>,
 }
 
 impl EndpointList {
-    /// How the balancer applies the list.
+    /// Whether the balancer applies the list as a full list or as a delta.
     pub fn update_kind(&self) -> UpdateKind {
         match self.complete {
             true => UpdateKind::Full,
--- a/src/discovery/http.rs
+++ b/src/discovery/http.rs
@@ -6,7 +6,7 @@
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
-/// The maximum length of a status line, of the headers, and of a line in a chunked body, in bytes.
+/// The maximum length of a status line, of all headers together, and of a line in a chunked body, in bytes.
 const MAX_HEAD: u64 = 16 * 1024;
 /// The maximum length of a response body, in bytes.
 const MAX_BODY: u64 = 4 * 1024 * 1024;
@@ -23,13 +23,13 @@
     /// A header is not a name and a value.
     #[error("header without a colon")]
     InvalidHeader,
-    /// `Content-Length` is not a number or is over the limit.
+    /// `Content-Length` is not a number or is over the maximum length of a body.
     #[error("invalid or too large Content-Length")]
     InvalidLength,
     /// A line is not UTF-8.
     #[error("line is not UTF-8")]
     LineNotText,
-    /// A line does not end within the limit or before the connection is closed.
+    /// A line, or the headers together, exceed their maximum length, or the connection was closed within a line.
     #[error("line is truncated or too long")]
     LineTooLong,
     /// A chunk does not begin with its size.
@@ -38,7 +38,7 @@
     /// A chunk does not end after its size.
     #[error("chunk is longer than its size")]
     ChunkTooLong,
-    /// The chunks add up to more than the limit.
+    /// The chunks add up to more than the maximum length of a body.
     #[error("chunked body is too large")]
     BodyTooLarge,
 }
@@ -47,20 +47,22 @@
 pub struct Connection {
     stream: BufReader<TcpStream>,
     host: SocketAddr,
+    /// Whether the last response allows another request; false while a request is in progress.
     reusable: bool,
 }
 
-/// A response.
+/// A response, without its headers.
 pub struct Response {
     /// The status code.
     pub status: u16,
-    /// The body.
+    /// The decoded body.
     pub body: Vec<u8>,
 }
 
 /// The status line of a response.
 struct StatusLine {
     status: u16,
+    /// Whether this version of HTTP keeps connections alive by default.
     keeps_alive: bool,
 }
 
@@ -68,11 +70,12 @@
 struct Headers {
     content_length: Option<u64>,
     chunked: bool,
+    /// Whether the connection stays open after the response.
     keeps_alive: bool,
 }
 
 impl Connection {
-    /// Opens a connection.
+    /// Connects to `host`. Like the other methods, it has no timeout of its own.
     ///
     /// # Errors
     /// If the host cannot be reached.
@@ -157,6 +160,7 @@
         }
     }
 
+    /// Reads a line of at most `limit` bytes, and returns it without its line ending: CRLF or LF alone.
     async fn read_line(&mut self, limit: u64) -> Result<String, HttpError> {
         let mut line = Vec::new();
         let mut limited = (&mut self.stream).take(limit);
@@ -182,6 +186,7 @@
         }
     }
 
+    /// Reads until the connection is closed, at most [`MAX_BODY`] bytes.
     async fn read_to_end(&mut self) -> io::Result<Vec<u8>> {
         let mut body = Vec::new();
         let mut limited = (&mut self.stream).take(MAX_BODY);
@@ -238,6 +243,7 @@
     u64::from_str_radix(digits, 16).map_err(|_| HttpError::InvalidChunkSize)
 }
 
+/// The error for a connection that was closed within a response.
 fn unexpected_end() -> HttpError {
     io::Error::from(io::ErrorKind::UnexpectedEof).into()
 }
--- a/src/discovery/watcher.rs
+++ b/src/discovery/watcher.rs
@@ -1,4 +1,5 @@
-//! Watches the endpoint list at discovery: long polls, one after another on a kept-alive connection.
+//! Watches the endpoint list at discovery. A watch is a sequence of long polls on a kept-alive connection; it ends when
+//! a poll fails.
 
 use crate::api::Event;
 use crate::cluster::SharedEndpointList;
@@ -15,25 +16,25 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// How long discovery may hold a poll until the list changes. If discovery stops responding, this is noticed only after
-/// this time, and until then servers drain unnoticed. A watch that continues costs discovery nothing, however often it
-/// polls.
+/// How long discovery may hold a poll until the list changes. If discovery stops responding, this process notices only
+/// after this time plus [`RESPONSE_TIMEOUT`], and until then does not learn that a server drains. Frequent polls do no
+/// harm: a watch that continues costs discovery nothing, however often it polls.
 const LONG_POLL_WAIT: Duration = Duration::from_secs(2);
-/// A poll without a response this long after its wait has failed: a partition from discovery gives no other signal. An
-/// update has to be noticed within 6 s. If all watches fail at once, discovery may reject the next poll or two, so wait
-/// and timeout together take half of that time and leave the rest for further polls.
+/// How long after its wait a poll times out. Without the timeout, a partition from discovery would go unnoticed. An
+/// update has to be noticed within 6 s. If all watches fail at once, discovery may reject the next poll or two, so the
+/// wait and this timeout together take half of that time and leave the rest for further polls.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Timeout of a poll for the full list. Discovery queues these polls and serves one at a time, and after a reload all
-/// balancers send one: an abandoned poll loses its place in the queue and makes the queue longer. Half of the 6 s
-/// within which an update has to be noticed.
+/// Timeout of a poll for the full list: half of the 6 s within which an update has to be noticed. It is longer than
+/// [`RESPONSE_TIMEOUT`] because discovery queues these polls and serves one at a time, and after a reload all balancers
+/// send one. A poll that is abandoned loses its place in the queue and makes the queue longer.
 const FULL_LIST_TIMEOUT: Duration = Duration::from_secs(3);
 /// Timeout for connecting to discovery.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause between polls, so that a discovery that always responds at once does not keep this process busy. The pause is
-/// far below the 200 ms after which discovery ends a watch.
+/// Pause between polls, so that a discovery service that always responds at once does not keep this process busy. Far
+/// below the 200 ms without a poll after which discovery ends a watch.
 const POLL_PAUSE: Duration = Duration::from_millis(10);
-/// Pause before an agent that pushes lists is polled again after a failure: its lists count as known whether or not
-/// they are watched.
+/// Pause before an agent that pushes lists is polled again after a failure. Short, because the agent's current list
+/// counts as known to this process even while no watch runs.
 const AGENT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 /// Why a watch ended.
@@ -54,12 +55,12 @@
     /// The body is not an endpoint list.
     #[error(transparent)]
     InvalidList(#[from] EndpointListError),
-    /// The list must not be applied.
+    /// The list is probably a fault of discovery and is not applied.
     #[error(transparent)]
     Implausible(#[from] ImplausibleList),
 }
 
-/// Why a list is treated as a fault of discovery.
+/// Why a list is not applied: it is treated as a fault of discovery.
 #[derive(Debug, Error)]
 enum ImplausibleList {
     /// A delta in response to a poll for the full list.
@@ -79,12 +80,12 @@
     timeout: Duration,
 }
 
-/// Watches whenever the balancer requests a poll, until a poll fails; the balancer decides when to watch again. With
-/// pushed discovery the balancer requests no polls: the agent pushes lists to its watchers, so it is watched all the
-/// time.
+/// Runs the watches, and never returns. Whenever the balancer requests a poll, a watch starts and lasts until a poll
+/// fails; the balancer decides when to watch again. With pushed discovery the balancer requests no polls: an agent
+/// pushes lists to its watchers, so it is watched all the time.
 ///
-/// `revision` is the revision to continue from, `None` to begin with the full list. `shared_list` is the list that
-/// other instances share with this one.
+/// `discovery` has the address of the discovery service or the agent. `revision` is the revision to continue from,
+/// `None` to begin with the full list. `shared_list` is the list that other instances share with this one.
 pub async fn run(
     runtime: Rc<Runtime>,
     mut discovery: watch::Receiver<SocketAddr>,
@@ -108,16 +109,17 @@
 
 struct Watcher {
     runtime: Rc<Runtime>,
-    /// The address of discovery, or of the agent that pushes lists.
+    /// The address of the discovery service, or of the agent that pushes lists.
     address: SocketAddr,
     /// The revision of the last list; `None` to poll for the full list.
     revision: Option<u64>,
+    /// The list that other instances share with this one, if there is such a list.
     shared_list: Option<Rc<SharedEndpointList>>,
 }
 
 impl Watcher {
-    /// Watches until discovery fails. Continues when the address changes, and after it has followed another instance's
-    /// list.
+    /// Watches until a poll of discovery fails, and reports the failure to the balancer. A failed poll of an agent is
+    /// repeated instead. Starts a new watch when the address changes, and after another instance's list was followed.
     async fn watch_until_failure(&mut self, discovery: &mut watch::Receiver<SocketAddr>) {
         let shared_list = self.shared_list.clone();
         loop {
@@ -142,7 +144,8 @@
         }
     }
 
-    /// Revisions of different discovery services are not comparable, so a new one is polled for the full list first.
+    /// Sets the address to poll. If it changes, the next poll is for the full list, as revisions of different discovery
+    /// services are not comparable.
     fn set_address(&mut self, address: SocketAddr) {
         if std::mem::replace(&mut self.address, address) == address {
             return;
@@ -153,7 +156,7 @@
         }
     }
 
-    /// Waits until the list of another instance is stale, to continue from its revision.
+    /// Waits until the list of another instance is stale. The next poll then continues from its revision.
     async fn follow_shared_list(&mut self) {
         tracing::info!("discovery polling suspended: list confirmed by another instance");
         let revision = match &self.shared_list {
@@ -164,6 +167,7 @@
         self.revision = revision.or(self.revision);
     }
 
+    /// Reports to the balancer that discovery failed, so that it schedules the next poll.
     fn report_failure(&self, error: &WatchError) {
         tracing::info!(%error, discovery = %self.address, "discovery poll failed");
         if let Some(shared_list) = &self.shared_list {
@@ -187,6 +191,7 @@
         }
     }
 
+    /// Polls once. Without a `connection`, opens one, and keeps it there for the next poll if it can be reused.
     async fn poll(
         &mut self,
         connection: &mut Option<Connection>,
@@ -233,8 +238,8 @@
         }
     }
 
-    /// An older or empty list may be a fault of discovery: the last good one is kept, and the full list is polled for.
-    /// The full list is then accepted as it is.
+    /// Checks whether a list may be applied. An older or empty list may be a fault of discovery: the last good list is
+    /// kept, and the next poll is for the full list, which is accepted even if it is older or empty.
     fn validate(&self, list: &EndpointList) -> Result<(), ImplausibleList> {
         let empty = list.complete && list.endpoints.is_empty();
         match self.revision {
