--- a/src/bin/spanspur-simulator-adapter.rs
+++ b/src/bin/spanspur-simulator-adapter.rs
@@ -9,6 +9,7 @@
     match simulator::serve(io::stdin().lock(), output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
+            // The prefix is part of the interface and stays, although it is not the name of the program.
             eprintln!("spanspur-benchlink: {error}");
             ExitCode::FAILURE
         }
--- a/src/cli/changes.rs
+++ b/src/cli/changes.rs
@@ -14,8 +14,8 @@
 /// Prints the status of the source or follower as tables, or the unchanged answer as JSON.
 pub(super) fn run(query: &Query) -> Result<(), CommandError> {
     let text = query.send("changes")?;
-    // A process that takes no part in the distribution answers with an error object, which must not be printed as the
-    // status, not even with `--json`.
+    // Parsed even with `--json`: a process that takes no part in the distribution answers with an error object, which
+    // must not be printed as a status.
     let answer: ChangesAnswer =
         serde_json::from_str(&text).map_err(|source| CommandError::NoDistribution {
             answer: text.trim_end().to_owned(),
@@ -36,7 +36,7 @@
     Ok(())
 }
 
-fn print_source(status: &SourceStatus, rate: u32) {
+fn print_source(status: &SourceStatus, datagrams_per_second: u32) {
     let properties = [
         ("name", status.name.clone()),
         ("entries", status.entries.to_string()),
@@ -46,7 +46,7 @@
         ("follow it first", status.primary_followers.to_string()),
         ("lag", status.lagging.to_string()),
         ("in the dark", status.disconnected.to_string()),
-        ("budget", format!("{rate} pieces a second")),
+        ("budget", format!("{datagrams_per_second} pieces a second")),
         ("spoken for", format!("{} ms ahead", status.backlog)),
     ];
     println!("{}", property_table("source", properties));
@@ -77,12 +77,18 @@
     table
 }
 
-/// Prints the followers in a state; `listed` has those of all `total` that are most delayed.
-fn print_delayed_followers(state: &str, measure: &str, total: usize, listed: &[FollowerDelay]) {
+/// Prints a table of delayed followers with these headers. `listed` has the most delayed ones, up to a limit; `total`
+/// counts all. Prints nothing if there are none.
+fn print_delayed_followers(
+    name_header: &str,
+    delay_header: &str,
+    total: usize,
+    listed: &[FollowerDelay],
+) {
     if total == 0 {
         return;
     }
-    let mut table = table([state, measure]);
+    let mut table = table([name_header, delay_header]);
     for follower in listed {
         let name = match follower.name.is_empty() {
             true => "?",
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -16,8 +16,8 @@
 }
 
 impl Check {
-    /// Prints that the file has no fault, or fails: with all faults of an operator's file, or with the first error of a
-    /// balancer's configuration.
+    /// Checks the file, and prints that it has no fault. Otherwise fails with all faults of an operator's file, or with
+    /// the first error of a balancer's configuration.
     pub fn run(&self) -> Result<(), CommandError> {
         let path = || self.file.clone();
         let text =
--- a/src/cli/duties.rs
+++ b/src/cli/duties.rs
@@ -1,4 +1,4 @@
-//! `duties`: the leases as seen by one instance.
+//! `duties`: the leases as seen by one instance. The user interface calls a lease a duty and its term a period.
 
 use super::CommandError;
 use super::query::Query;
@@ -6,7 +6,7 @@
 use comfy_table::Table;
 use spanspur_cluster::control::{LeaseRow, LeasesAnswer};
 
-/// Prints the duties as a table, or the unchanged answer as JSON.
+/// Prints the leases as a table, or the unchanged answer as JSON.
 pub(super) fn run(query: &Query) -> Result<(), CommandError> {
     let text = query.send("duties")?;
     if query.json {
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -33,7 +33,7 @@
         /// All its faults.
         faults: Faults,
     },
-    /// The operator's file that should name the control socket is invalid.
+    /// The operator's file from which the control socket is read is invalid.
     #[error(transparent)]
     UnusableOperatorFile(Faults),
     /// The operator's file names no control socket.
@@ -42,7 +42,7 @@
     /// The command line has neither a control socket nor an operator's file.
     #[error("neither --socket nor --operator is given")]
     NoSocketOption,
-    /// The running process does not answer.
+    /// The running process cannot be reached over its control socket, or does not answer.
     #[error("{socket}: {source}: is the process running, with this socket?", socket = socket.display())]
     NoAnswer {
         /// The control socket of the process.
@@ -51,8 +51,8 @@
         source: io::Error,
     },
     /// The answer of the running process cannot be parsed.
-    #[error(transparent)]
-    MalformedAnswer(serde_json::Error),
+    #[error("cannot parse the answer of the running process: {0}")]
+    MalformedAnswer(#[source] serde_json::Error),
     /// The running process takes no part in the distribution of the endpoint list.
     #[error(
         "it neither distributes nor follows: its operator's file has no section 'distribute' or 'follow' ({answer})"
@@ -64,8 +64,8 @@
         source: serde_json::Error,
     },
     /// The schema of the operator's file cannot be serialized as JSON.
-    #[error(transparent)]
-    UnprintableSchema(serde_json::Error),
+    #[error("cannot serialize the schema: {0}")]
+    UnprintableSchema(#[source] serde_json::Error),
 }
 
 fn fault_lines(path: &Path, faults: &Faults) -> String {
--- a/src/cli/members.rs
+++ b/src/cli/members.rs
@@ -25,6 +25,7 @@
     let mut table = table(["instance", "address", "state", "votes"]);
     for row in members {
         let state = match (row.is_self, row.alive) {
+            // The instance that answers the query.
             (true, _) => "asked",
             (_, true) => "there",
             (_, false) => "gone",
--- a/src/cli/query.rs
+++ b/src/cli/query.rs
@@ -20,7 +20,7 @@
 }
 
 impl Query {
-    /// Sends the query and returns the answer: a line of JSON, its end included.
+    /// Sends the query and returns the answer: a line of JSON, including its line ending.
     pub fn send(&self, query: &str) -> Result<String, CommandError> {
         let socket = self.control_socket()?;
         control::query(&socket, query).map_err(|source| CommandError::NoAnswer { socket, source })
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The balancer program: reads the command line and the configuration, and serves until SIGTERM.
+//! The balancer program: runs a sub-command, or balances connections until SIGTERM.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
