--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -7,6 +7,7 @@
 /// A balancer without I/O: each test passes the time and the events, and checks the actions.
 pub struct TestBalancer {
     pub inner: Balancer,
+    /// Buffer for the actions of the current event; empty between events.
     pub actions: Vec<Action>,
     last_id: u64,
 }
@@ -25,7 +26,7 @@
     }
 }
 
-/// Settings with one class and a slow start.
+/// A configuration with one class, four attempts and a slow start.
 pub fn config() -> BalancerConfig {
     BalancerConfig {
         classes: vec![RequestClass::default()],
@@ -51,7 +52,7 @@
 }
 
 impl TestBalancer {
-    /// A balancer with a fixed seed.
+    /// A balancer with a fixed seed, the same in all tests.
     pub fn new(config: BalancerConfig) -> Self {
         Self::with_seed(config, 7)
     }
@@ -97,7 +98,8 @@
         attempted_server(&self.handle(now, Event::Request(request)))
     }
 
-    /// The server of the attempt for a request with this key. The client then disconnects.
+    /// Starts a request with this key, and returns the server of its attempt, if one started. The client then
+    /// disconnects.
     pub fn place(&mut self, now: Time, key: Key) -> Option<ServerId> {
         let id = self.next_id();
         let server = self.request(
--- a/tests/common/wire_fixtures.rs
+++ b/tests/common/wire_fixtures.rs
@@ -12,7 +12,7 @@
 /// The text for a record without bytes.
 const NO_BYTES: &str = "-";
 
-/// Encoded bytes and their name in the file.
+/// Encoded bytes and their name in the file. The name has no spaces.
 pub struct Record {
     pub name: String,
     pub bytes: Vec<u8>,
--- a/tests/config_errors.rs
+++ b/tests/config_errors.rs
@@ -130,7 +130,7 @@
     invalid
 }
 
-/// Invalid settings in which more than one key matters.
+/// Further invalid settings: combinations of keys, and settings with more than one error.
 fn invalid_settings() -> Vec<Value> {
     let class = |fields: Value| {
         let mut class = json!({"name": "c", "onTime": 0.5});
--- a/tests/endpoint_list.rs
+++ b/tests/endpoint_list.rs
@@ -56,8 +56,8 @@
     );
 }
 
-/// postcard identifies fields by position, and the successor may be an earlier or later version of the program: their
-/// order must not change.
+/// The order of the fields must not change: postcard identifies them by position, and the successor may be an earlier
+/// or later version of the program.
 #[test]
 fn the_encoding_for_the_successor_has_the_fields_in_a_fixed_order() {
     let list = parse(LIST).unwrap_or_else(|e| panic!("{e}"));
--- a/tests/hostile.rs
+++ b/tests/hostile.rs
@@ -17,7 +17,7 @@
 struct ObservedRequest {
     request: Request,
     attempts: u32,
-    /// The server of the attempt in flight, and the start of the attempt.
+    /// The server of the attempt in flight or of the established connection, and the start of its attempt.
     in_flight: Option<(ServerId, Time)>,
     is_established: bool,
     /// The start and the server of the first attempt that may have executed the request.
@@ -31,8 +31,11 @@
     now: Time,
     requests: BTreeMap<RequestId, ObservedRequest>,
     endpoints: BTreeMap<ServerId, Endpoint>,
+    /// When each timer is due, and its token.
     timers: Vec<(Time, u64)>,
+    /// The attempts at each server while it warms up, since its last start.
     cold_attempts: BTreeMap<ServerId, Vec<Time>>,
+    /// When each request arrived.
     arrivals: Vec<Time>,
     last_id: u64,
     attempt_count: usize,
@@ -63,7 +66,7 @@
 impl Simulation {
     fn new(seed: u64) -> Self {
         let mut simulation = Simulation {
-            balancer: TestBalancer::with_seed(settings(), seed),
+            balancer: TestBalancer::with_seed(balancer_config(), seed),
             random: Random(seed),
             now: 100.0,
             requests: BTreeMap::new(),
@@ -133,6 +136,7 @@
         }
     }
 
+    /// Checks an action and applies it to the record.
     fn apply_action(&mut self, action: Action) {
         let now = self.now;
         match action {
@@ -217,6 +221,8 @@
         }
     }
 
+    /// Records an attempt at a server that warms up, and checks the number of recent ones.
+    ///
     /// A single balancer has the whole slow-start budget. It assumes at least the capacity that its own connections and
     /// arrivals need. Here the bound is the larger of two rates per endpoint: the established connections spread over
     /// the slow-start window, and the arrivals of 30 s counted as if they came in 10 s.
@@ -272,7 +278,8 @@
         self.handle(Event::Request(request));
     }
 
-    /// Ends or establishes an attempt in flight, at random.
+    /// Picks an attempt in flight or an established connection at random. An attempt is established or fails; a
+    /// connection ends.
     fn progress_attempt(&mut self) {
         let in_flight: Vec<RequestId> = self
             .requests
@@ -419,7 +426,7 @@
                 };
                 self.endpoints = endpoints;
                 let entries: Vec<Endpoint> = self.endpoints.values().copied().collect();
-                self.balancer = TestBalancer::with_seed(settings(), last_id);
+                self.balancer = TestBalancer::with_seed(balancer_config(), last_id);
                 self.handle(Event::EndpointsUpdated {
                     kind: UpdateKind::Cached,
                     endpoints: entries.into(),
@@ -435,7 +442,7 @@
     }
 }
 
-fn settings() -> BalancerConfig {
+fn balancer_config() -> BalancerConfig {
     BalancerConfig {
         classes: request_classes(),
         max_attempts: MAX_ATTEMPTS,
--- a/tests/simulator_protocol.rs
+++ b/tests/simulator_protocol.rs
@@ -1,4 +1,7 @@
 //! The simulator's protocol, over the standard input and output of the adapter process.
+//!
+//! The messages have some fields that the protocol does not define (`stream`, `unheard`, `type`, `new`, `extra`): they
+//! must be ignored.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -29,7 +32,7 @@
     )
 }
 
-/// The run must fail with one line that names message `number` and contains `expected`.
+/// Asserts that the adapter fails and prints one line, which names message `number` and contains `expected`.
 fn assert_rejected(lines: &[String], number: usize, expected: &str) {
     let output = run_adapter(lines);
     let error = String::from_utf8_lossy(&output.stderr);
--- a/tests/simulator_stream.rs
+++ b/tests/simulator_stream.rs
@@ -5,8 +5,7 @@
 //! each kind of step and of event, and the hash of the whole output. It was written at commit 71566bd; rewriting it
 //! (`WRITE_FIXTURES=1`) hides a change of the wire.
 //!
-//! There are no `writePeer` and `sayLog` steps: at that commit the balancer returns neither `Action::Tell` nor
-//! `Action::Log`.
+//! The steps `writePeer` and `sayLog` of the protocol do not occur: the balancer has no actions for them.
 
 mod common;
 #[path = "common/fixture.rs"]
@@ -26,9 +25,9 @@
 const SERVERS: u64 = 14;
 /// The wall time before the first batch, in milliseconds.
 const START_MS: u64 = 100_000;
-/// How long an outage lasts. A fifth of the fleet fails in each, but every fourth affects the whole fleet.
+/// How long an outage lasts; one follows another. Each affects a fifth of the servers, but every fourth affects all.
 const OUTAGE_MS: u64 = 9_000;
-/// An instance with this many live requests gets no more.
+/// An instance with this many live requests gets no more from new clients.
 const MAX_LIVE_REQUESTS: usize = 60;
 /// The client of a request that is unanswered this long after its deadline disconnects.
 const CLIENT_DROP_MS: u64 = 500;
@@ -83,7 +82,7 @@
 
 #[derive(Clone, PartialEq)]
 enum Phase {
-    /// No attempt is in flight.
+    /// Waits for an attempt: the first, or the next one after a failure.
     Queued,
     InFlight {
         host: String,
@@ -99,6 +98,7 @@
 struct SimulatedRequest {
     who: u64,
     due_ms: u64,
+    /// When the last attempt started; before the first, when the request arrived.
     attempted_ms: u64,
     attempts: u32,
     phase: Phase,
@@ -108,15 +108,18 @@
     random: Random,
     now_ms: u64,
     requests: BTreeMap<String, SimulatedRequest>,
+    /// When each timer is due, in seconds, its instance and its token.
     timers: Vec<(f64, u64, u64)>,
     /// Instances that have requested a list.
     polling: Vec<u64>,
     /// The instance of each client that reconnects after a migration.
     reconnecting: Vec<u64>,
+    /// When each server last started, by its number.
     started_ms: BTreeMap<u64, u64>,
     events: Vec<Value>,
     last_id: u64,
     last_version: u64,
+    /// How often each kind of step and event occurred.
     counts: BTreeMap<String, u64>,
 }
 
@@ -151,7 +154,7 @@
         self.events.push(event);
     }
 
-    /// Whether the server has an outage, in which it fails most attempts.
+    /// Whether the current outage affects the server. It then establishes no connection, and fails most attempts.
     fn is_failing(&self, host: &str) -> bool {
         let outage = self.now_ms / OUTAGE_MS;
         let number = host
@@ -200,6 +203,8 @@
         self.push_event(json!({"kind": "defineList", "slot": slot, "membersList": entries}));
     }
 
+    /// Updates the endpoint list of an instance. Mode 0 is a delta, 1 a full list, 2 a cached list, 3 a failure of
+    /// discovery.
     fn update_list(&mut self, who: u64, mode: u64) {
         self.last_version += 1;
         let slot = self.random.below(4);
@@ -219,9 +224,11 @@
         let class = CLASSES[self.random.below(CLASSES.len() as u64) as usize];
         let mut opts = self.random.below(2);
         if self.random.below(12) == 0 {
+            // In the middle of a flow.
             opts |= 8;
         }
         if is_reconnect {
+            // The client reconnects.
             opts |= 16;
         }
         let client = self.random.below(400);
@@ -258,6 +265,7 @@
         self.push_event(event);
     }
 
+    /// Adds a connection that was established before the instance started.
     fn hand_over(&mut self, who: u64) {
         let (id, mut event) = self.new_request("takenOver", who, false);
         let host = host(self.random.below(SERVERS));
@@ -351,6 +359,7 @@
         }
     }
 
+    /// Reports a load (topic 1, microseconds of work per second) or a message latency (topic 2, milliseconds).
     fn report(&mut self, id: &str, request: &SimulatedRequest, host: &str, topic: u64, level: u64) {
         self.count(format!("event signal topic {topic}"));
         self.push_event(
@@ -376,7 +385,8 @@
         }
     }
 
-    /// Adds events that no step causes: lists, events without effect, and restarts of instances.
+    /// Adds events that no step causes: lists, connections established before the start, events without effect, and
+    /// restarts of instances.
     fn add_external_events(&mut self) {
         let instances = configs().len() as u64;
         let who = self.random.below(instances);
--- a/tests/wire_errors.rs
+++ b/tests/wire_errors.rs
@@ -41,7 +41,7 @@
     ]
 }
 
-/// Invalid values of the fields of the valid events, by field.
+/// Fields with an invalid value each. A value is tried in each valid event that has the field.
 fn invalid_values() -> Vec<(&'static str, Value)> {
     vec![
         ("who", json!(4)),
