--- a/crates/hot-restart/src/frame.rs
+++ b/crates/hot-restart/src/frame.rs
@@ -29,14 +29,14 @@
     State {
         /// The predecessor's [`VERSION`].
         version: u32,
-        /// Snapshot of the predecessor's state; empty if the versions differ.
+        /// Snapshot of the predecessor's state, in an encoding defined by the balancer; empty if the versions differ.
         snapshot: Vec<u8>,
     },
     /// The successor accepts clients from now on.
     Ready,
     /// Number of descriptors held by the sender's clients.
     HeldDescriptors(u32),
-    /// An update of the endpoint list.
+    /// An update of the endpoint list, in an encoding defined by the balancer.
     EndpointList(Vec<u8>),
     /// The servers under maintenance, in the format of the maintenance file.
     Maintenance(String),
@@ -46,7 +46,7 @@
     Connection {
         /// Number that the sender assigned to the connection.
         number: u64,
-        /// State of the connection.
+        /// State of the connection, in an encoding defined by the balancer.
         payload: Vec<u8>,
     },
     /// The response to [`Frame::Connection`].
@@ -86,6 +86,9 @@
 }
 
 /// Encodes a frame that is sent together with this number of descriptors.
+///
+/// # Errors
+/// If the body or the number of descriptors exceeds its limit.
 pub fn encode(frame: &Frame, descriptors: usize) -> Result<Vec<u8>, FrameError> {
     let body = postcard::to_stdvec(frame)?;
     check_limits(body.len(), descriptors)?;
@@ -94,6 +97,9 @@
 }
 
 /// Decodes the first frame of a buffer. Returns `Ok(None)` while the frame is incomplete.
+///
+/// # Errors
+/// If the header exceeds the limits or the body is not a valid frame.
 pub fn decode(bytes: &[u8]) -> Result<Option<DecodedFrame>, FrameError> {
     let Some((header, rest)) = bytes.split_first_chunk::<HEADER>() else {
         return Ok(None);
--- a/crates/hot-restart/src/link.rs
+++ b/crates/hot-restart/src/link.rs
@@ -32,9 +32,9 @@
     /// The kernel dropped descriptors that were sent with the frame.
     #[error("descriptors of a frame are missing: the descriptor limit of this process is reached")]
     DescriptorsMissing,
-    /// More bytes were received than a frame may have.
+    /// The buffer has more bytes than the longest frame, but no complete frame.
     #[error("received data exceeds the length of a frame")]
-    Unterminated,
+    TooMuchData,
 }
 
 /// A frame with the descriptors that were sent with it.
@@ -61,7 +61,7 @@
     (sender, receiver)
 }
 
-/// Sends frames one after the other.
+/// Sends frames. Concurrent calls of [`Self::send`] are executed one after the other.
 pub struct Sender {
     stream: Rc<UnixStream>,
     /// Held while a frame is written.
@@ -71,6 +71,9 @@
 impl Sender {
     /// Sends a complete frame together with descriptors, which stay open in this process. Not cancel safe: the link is
     /// unusable if the future is dropped before it completes.
+    ///
+    /// # Errors
+    /// If the frame exceeds its limits or the socket fails.
     pub async fn send(
         &self,
         frame: &Frame,
@@ -113,14 +116,18 @@
 }
 
 impl Receiver {
-    /// Receives the next frame. Returns `None` at the end of the link. Cancel safe.
+    /// Receives the next frame. Returns `None` once the other process has closed the link; an incomplete frame is
+    /// not reported. Cancel safe.
+    ///
+    /// # Errors
+    /// If the received data is not a valid frame, descriptors are missing, or the socket fails.
     pub async fn next(&mut self) -> Result<Option<ReceivedFrame>, LinkError> {
         loop {
             if let Some(received) = self.take_buffered()? {
                 return Ok(Some(received));
             }
             if self.buffer.len() > HEADER + MAX_FRAME {
-                return Err(LinkError::Unterminated);
+                return Err(LinkError::TooMuchData);
             }
             self.stream.readable().await?;
             let mut chunk = [0; READ_CHUNK];
--- a/crates/hot-restart/src/predecessor.rs
+++ b/crates/hot-restart/src/predecessor.rs
@@ -16,7 +16,7 @@
     Shutdown,
 }
 
-/// A command to the older process.
+/// What the older process has to do after an input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Stop accepting clients.
@@ -35,7 +35,8 @@
 }
 
 impl PredecessorState {
-    /// Handles an input. If several successors are ready, the first one is used until it disconnects.
+    /// Handles an input and returns the command to execute, if any. If several successors are ready, the first one is
+    /// used until it disconnects, and the others are ignored.
     pub fn handle(&mut self, input: Input) -> Option<Command> {
         match input {
             Input::SuccessorReady(id) => self.successor_ready(id),
--- a/crates/socket-activation/src/lib.rs
+++ b/crates/socket-activation/src/lib.rs
@@ -37,7 +37,11 @@
 }
 
 /// Takes ownership of the inherited listening socket with this descriptor number. Must be called at most once per
-/// number, and before the process opens a descriptor itself: if the number is closed, the kernel would reuse it.
+/// number, and before the process opens a descriptor itself: if the number is not open, the kernel could assign it to a
+/// file of the process.
+///
+/// # Errors
+/// If the descriptor is not open, not a socket, or not a listening stream socket. In the last case it is closed.
 pub fn take_listening_socket(fd: RawFd) -> Result<Socket, InheritedSocketError> {
     let target = std::fs::read_link(format!("/proc/self/fd/{fd}"))
         .map_err(|source| InheritedSocketError::NotOpen { fd, source })?;
