--- a/crates/admin/src/drain_schedule.rs
+++ b/crates/admin/src/drain_schedule.rs
@@ -6,7 +6,7 @@
 /// The period over which connections are migrated.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DrainSchedule {
-    /// Start of the first migration.
+    /// Time of the first migration.
     pub start: Time,
     /// Time by which all connections established until then have been told to migrate. Later ones are told at the next
     /// tick.
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -12,5 +12,5 @@
 pub mod request;
 pub mod response;
 
-/// Seconds on the caller's clock. Times stored in a file are Unix time.
+/// Time in seconds, on the clock of the program that uses this crate. Times stored in a file are Unix time.
 pub type Time = f64;
--- a/crates/admin/src/maintenance.rs
+++ b/crates/admin/src/maintenance.rs
@@ -55,7 +55,8 @@
     entry: MaintenanceEntry,
 }
 
-/// The servers under maintenance. An `id` is the hash that identifies a server in the balancer.
+/// The last change to each server that is or was under maintenance, and the ids of the servers that endpoint lists have
+/// contained. An `id` is the hash that identifies a server in the balancer.
 #[derive(Clone, Debug, Default)]
 pub struct MaintenanceSet {
     by_name: BTreeMap<String, MaintainedServer>,
@@ -64,14 +65,18 @@
 }
 
 impl MaintenanceSet {
-    /// Records that an endpoint list contains this server.
+    /// Records that an endpoint list contains this server; ignored once the limit on recorded ids is reached.
     pub fn record_listed(&mut self, id: u64) {
         if self.listed.len() < MAX_LISTED {
             self.listed.insert(id);
         }
     }
 
-    /// Takes a server out for maintenance. Returns `Ok(false)` if it is already under maintenance.
+    /// Takes a server out for maintenance. Returns `Ok(false)` if it is already under maintenance. If there is no space
+    /// for another server, the one that was put back longest ago is removed.
+    ///
+    /// # Errors
+    /// If no endpoint list has contained the server, or too many servers are under maintenance.
     pub fn detach(&mut self, name: &str, id: u64, now: Time) -> Result<bool, MaintenanceError> {
         self.check_known(id)?;
         if self.is_under_maintenance(id) {
@@ -90,6 +95,9 @@
     }
 
     /// Puts a server back into service. Returns `Ok(false)` if it is not under maintenance.
+    ///
+    /// # Errors
+    /// If no endpoint list has contained the server.
     pub fn attach(&mut self, name: &str, id: u64, now: Time) -> Result<bool, MaintenanceError> {
         self.check_known(id)?;
         let Some(entry) = self.entry(id).filter(|entry| entry.under_maintenance) else {
@@ -105,8 +113,9 @@
     }
 
     /// Returns the override of a listed endpoint that started at `started`. A server that was put back is assumed to
-    /// have restarted during maintenance, but the list may still contain the old start. Until the list contains the new
-    /// start, or until the slow start window after the return has passed, the server counts as started at its return.
+    /// have restarted during maintenance, but the list may still contain the old start time. Until the list contains
+    /// the new one, or until the slow start window after the return has passed, the server counts as started at its
+    /// return.
     pub fn override_for(
         &self,
         id: u64,
@@ -141,8 +150,8 @@
         under_maintenance.map(|(name, _)| name.as_str())
     }
 
-    /// Merges the state of another process or of a file: the last change to each server wins. Returns whether anything
-    /// changed.
+    /// Merges the state of another process or of a file: the last change to each server wins. Further servers are
+    /// ignored once [`MAX_ENTRIES`] are kept. Returns whether a change was added or replaced.
     pub fn merge(&mut self, other: &Self) -> bool {
         let mut changed = false;
         for (name, MaintainedServer { id, entry }) in &other.by_name {
--- a/crates/admin/src/maintenance_file.rs
+++ b/crates/admin/src/maintenance_file.rs
@@ -63,7 +63,11 @@
         format!("{MAGIC} {VERSION} {checksum}\n{body}")
     }
 
-    /// Parses the text of a file.
+    /// Parses the text of a file. Entries whose times are not finite are ignored, as are those after the first
+    /// [`MAX_ENTRIES`].
+    ///
+    /// # Errors
+    /// If the text is not a complete maintenance file of this version.
     pub fn parse(text: &[u8]) -> Result<Self, MaintenanceFileError> {
         let text = str::from_utf8(text).map_err(MaintenanceFileError::NotText)?;
         let (header, body) = text
--- a/crates/admin/src/request.rs
+++ b/crates/admin/src/request.rs
@@ -9,7 +9,7 @@
 pub const MAX_HEAD: usize = 4096;
 /// Limit on the number of headers.
 const MAX_HEADERS: usize = 32;
-/// Limit on the body, in bytes. Several times the length of an id.
+/// Limit on the body, in bytes. Several times the length of a server's id.
 pub const MAX_BODY: usize = 512;
 
 /// An admin request.
@@ -40,7 +40,7 @@
     /// The path is unknown.
     #[error("no such call")]
     UnknownPath,
-    /// The method is not the one of the path.
+    /// The path requires another method.
     #[error("{path} is called with {expected}")]
     WrongMethod {
         /// The path of the request.
@@ -153,6 +153,9 @@
 }
 
 /// Parses the bytes received so far. Returns `Ok(None)` while the request is incomplete.
+///
+/// # Errors
+/// If the bytes cannot become a valid request.
 pub fn parse_request(received: &[u8]) -> Result<Option<AdminRequest>, RequestError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
--- a/crates/admin/src/response.rs
+++ b/crates/admin/src/response.rs
@@ -5,7 +5,7 @@
 /// A response: a status and a line of text for the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
-    /// HTTP status: 2xx if the request was executed, 4xx or 5xx otherwise.
+    /// HTTP status: 200 if the request was executed or the process is ready, 4xx or 5xx otherwise.
     pub status: u16,
     /// Result or reason of the failure, as text.
     pub text: String,
@@ -18,7 +18,7 @@
         Self { status, text }
     }
 
-    /// Encodes the response as HTTP/1.1 with `Connection: close`.
+    /// Encodes the response as HTTP/1.1 with `Connection: close`. A line end is added to the text.
     pub fn encode(&self) -> Vec<u8> {
         let (status, reason) = (self.status, self.reason());
         let length = self.text.len() + 1;
--- a/crates/admin/tests/maintenance.rs
+++ b/crates/admin/tests/maintenance.rs
@@ -11,7 +11,8 @@
 }
 
 #[test]
-fn a_server_drains_until_attached_and_then_warms_up_until_the_list_names_a_newer_start() {
+fn a_server_drains_until_attached_and_then_counts_as_just_started_until_the_list_has_its_new_start()
+{
     let mut set = set_with_listed(&[1]);
     assert_eq!(set.detach("b", 2, 5.0), Err(MaintenanceError::NeverListed));
     assert_eq!(set.attach("b", 2, 5.0), Err(MaintenanceError::NeverListed));
