--- a/crates/operator-config/src/fault.rs
+++ b/crates/operator-config/src/fault.rs
@@ -2,7 +2,7 @@
 
 use crate::validation::{
     MAX_NAME_BYTES, MAX_PROBE_LINE_BYTES, MAX_RATE, MAX_SOURCES, MAX_VOTERS, MIN_FOLLOWED_AGE_MS,
-    MIN_KEY_CHARACTERS, MIN_LIST_AGE_MS, MIN_SOURCES, MIN_VOTERS, TAKEOVER_MARGIN_MS,
+    MIN_KEY_BYTES, MIN_LIST_AGE_MS, MIN_SOURCES, MIN_VOTERS, TAKEOVER_MARGIN_MS,
 };
 use std::fmt;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 pub struct Faults(Vec<Fault>);
 
 impl Faults {
-    /// Returns `Ok` if there are none.
+    /// Returns `Ok(())` if `faults` is empty, and the faults as an error otherwise.
     pub(crate) fn into_result(faults: Vec<Fault>) -> Result<(), Self> {
         match faults.is_empty() {
             true => Ok(()),
@@ -21,7 +21,7 @@
         }
     }
 
-    /// A fault of the file as a whole, which prevents finding others.
+    /// Returns a single fault without a location, which prevents further checks of the file.
     pub(crate) fn whole_file(problem: Problem) -> Self {
         Self(vec![Fault {
             location: String::new(),
@@ -49,7 +49,7 @@
 
 impl std::error::Error for Faults {}
 
-/// A fault of the file.
+/// A problem and its location in the file.
 #[derive(Debug)]
 pub struct Fault {
     /// Location in the file, such as `cluster.keys[1]`; empty for the whole file.
@@ -91,7 +91,7 @@
     /// There are both a `follow` and a `cluster` section.
     #[error("excludes the section 'cluster': an instance of the cluster has its news already")]
     ExcludesCluster,
-    /// A section requires a cluster.
+    /// A section other than `duties` requires a cluster.
     #[error("needs the section 'cluster'")]
     NeedsCluster,
     /// Duties are configured without a cluster.
@@ -134,7 +134,7 @@
         count: usize,
     },
     /// A key is too short to be a secret.
-    #[error("shorter than {MIN_KEY_CHARACTERS} characters")]
+    #[error("shorter than {MIN_KEY_BYTES} characters")]
     ShortKey,
     /// There are too few sources to follow, or too many.
     #[error("{count} sources: {MIN_SOURCES} to {MAX_SOURCES} are needed")]
@@ -198,7 +198,7 @@
     /// The rate is 0 or too high.
     #[error("{rate} pieces a second: 1 to {MAX_RATE}")]
     RateOutOfRange {
-        /// The rate, in pieces per second.
+        /// The rate, in datagrams per second.
         rate: u32,
     },
     /// A reload cannot apply the change.
--- a/crates/operator-config/src/parse.rs
+++ b/crates/operator-config/src/parse.rs
@@ -17,7 +17,8 @@
 /// Parses and validates the text of a file.
 ///
 /// # Errors
-/// All violations of the schema, or if there are none, all violations of the other rules.
+/// A single fault if the text is not JSON or a value cannot be converted to its type. Otherwise all violations of the
+/// schema, or if there are none, all violations of the other rules.
 pub fn parse(text: &str) -> Result<OperatorConfig, Faults> {
     let value =
         serde_json::from_str(text).map_err(|error| Faults::whole_file(Problem::NotJson(error)))?;
--- a/crates/operator-config/src/section/cluster.rs
+++ b/crates/operator-config/src/section/cluster.rs
@@ -32,8 +32,8 @@
     /// accepted with either key. To replace a key, add the new key as the second one on all instances, then move it to
     /// the first position on all instances, then remove the old key.
     pub keys: Vec<String>,
-    /// Limit on the difference between the wall clocks of two instances, in milliseconds. A restarted instance votes
-    /// again after this time plus one period. Changes require a restart.
+    /// Limit on the difference between the wall clocks of two instances, in milliseconds. A restarted instance votes on
+    /// a duty again after this time plus 1.25 periods of the duty. Changes require a restart.
     #[serde(default = "default_clock_skew_ms")]
     pub clock_skew_ms: u64,
     /// Timing of failure detection. Changes require a restart.
--- a/crates/operator-config/src/section/distribute.rs
+++ b/crates/operator-config/src/section/distribute.rs
@@ -6,7 +6,8 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Distribution of the list of servers by a control instance.
+/// Distribution of the list of servers to balancers outside the cluster. An instance with this section is a control
+/// instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Distribute {
@@ -21,7 +22,7 @@
     /// to them.
     #[serde(default)]
     pub keys: Vec<String>,
-    /// Limit on the pieces sent to followers per second. A piece has at most one datagram. Changes require a restart.
+    /// Limit on the datagrams with parts of the list that are sent to followers per second. Changes require a restart.
     #[serde(default = "default_rate")]
     pub rate: u32,
 }
--- a/crates/operator-config/src/section/duties.rs
+++ b/crates/operator-config/src/section/duties.rs
@@ -22,7 +22,7 @@
 pub struct Probe {
     /// Period in milliseconds. Each stream server is checked once per period.
     pub every_ms: u64,
-    /// Timeout for connecting, in milliseconds. The server counts as silent after it.
+    /// Timeout for connecting, in milliseconds. The health check fails after it.
     #[serde(default = "default_connect_ms")]
     pub connect_ms: u64,
     /// Line to send, without line end. `{period}` is replaced by the number of the period, which only increases for a
@@ -32,7 +32,7 @@
     /// Required prefix of the answer to the line. Any answer line is accepted if missing.
     #[serde(default)]
     pub expect: Option<String>,
-    /// Timeout for the answer, in milliseconds. The server counts as silent after it.
+    /// Timeout for the answer, in milliseconds. The health check fails after it.
     #[serde(default = "default_answer_ms")]
     pub answer_ms: u64,
     /// Response time in milliseconds from which a valid answer counts as slow and is used as a message time in
@@ -53,7 +53,7 @@
     100
 }
 
-/// Watch of discovery for all instances.
+/// Watch of discovery by one instance, which shares the list with all others.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ListDuty {
--- a/crates/operator-config/src/validation.rs
+++ b/crates/operator-config/src/validation.rs
@@ -10,7 +10,7 @@
 /// Limit on voters. Their number is odd, so the effective maximum is one less.
 pub(crate) const MAX_VOTERS: usize = 64;
 /// Minimum length of a secret, in bytes.
-pub(crate) const MIN_KEY_CHARACTERS: usize = 16;
+pub(crate) const MIN_KEY_BYTES: usize = 16;
 /// Limit on keys: the one in use and its replacement.
 pub(crate) const MAX_KEYS: usize = 2;
 /// Limit on the name of an instance, zone or region, in bytes.
@@ -19,13 +19,13 @@
 pub(crate) const MIN_SOURCES: usize = 2;
 /// Limit on the sources of a follower.
 pub(crate) const MAX_SOURCES: usize = 64;
-/// Limit on the rate of a control instance, in pieces per second.
+/// Limit on the rate of a control instance, in datagrams per second.
 pub(crate) const MAX_RATE: u32 = 100_000;
 /// Minimum for the age limit of the endpoint list, which is confirmed every few hundred milliseconds.
 pub(crate) const MIN_LIST_AGE_MS: u64 = 1000;
 /// Minimum for the age limit of a followed endpoint list, which is polled once a second.
 pub(crate) const MIN_FOLLOWED_AGE_MS: u64 = 2500;
-/// Time that a takeover takes after a failure is detected: to propose a lease and to have it granted.
+/// Time that a takeover takes after a failure is detected, in milliseconds: to propose a lease and to have it granted.
 pub(crate) const TAKEOVER_MARGIN_MS: u64 = 500;
 /// Limit on the line that a health check sends and on the expected prefix of the answer, in bytes.
 pub(crate) const MAX_PROBE_LINE_BYTES: usize = 1024;
@@ -65,14 +65,14 @@
         );
         for (index, key) in keys.iter().enumerate() {
             self.require(
-                key.len() >= MIN_KEY_CHARACTERS,
+                key.len() >= MIN_KEY_BYTES,
                 format!("{location}[{index}]"),
                 Problem::ShortKey,
             );
         }
     }
 
-    /// Requires a specified IP address, because others are told to send to it.
+    /// Requires that the IP address is not the unspecified one, because others are told to send to it.
     pub fn require_reachable(&mut self, location: &str, address: SocketAddr) {
         self.require(
             !address.ip().is_unspecified(),
