--- a/src/admin/maintenance_store.rs
+++ b/src/admin/maintenance_store.rs
@@ -7,14 +7,14 @@
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// Characters of the balancer's name that are used in the file name.
+/// Limit on the characters of the balancer's name that are used in the file name.
 const MAX_NAME: usize = 64;
-/// File extension.
+/// Extension of the maintenance file.
 const EXTENSION: &str = "outs";
 /// Extension to which an invalid file is renamed.
 const INVALID_EXTENSION: &str = "outs.bad";
 
-/// The path of the maintenance file. Without `$TMPDIR`, which is private to this balancer, nothing is stored.
+/// Reads and writes the maintenance file. Without `$TMPDIR`, which is private to this balancer, nothing is stored.
 #[derive(Clone)]
 pub struct MaintenanceStore {
     path: Option<PathBuf>,
@@ -30,13 +30,14 @@
         }
     }
 
-    /// Returns the path of the maintenance file with another extension.
+    /// Returns the path of the maintenance file with another extension, or `None` without `$TMPDIR`.
     pub fn sibling_path(&self, extension: &str) -> Option<PathBuf> {
         let path = self.path.as_ref()?;
         Some(path.with_extension(extension))
     }
 
-    /// Reads the file. An invalid file is renamed and ignored: it must not prevent the process from starting.
+    /// Reads the file, if there is one. An unreadable file is ignored, and an invalid one is also renamed: neither may
+    /// prevent the process from starting.
     pub fn read(&self) -> Option<MaintenanceSet> {
         let path = self.path.as_ref()?;
         let text = match read_limited(path) {
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Replaces the file atomically. Blocking: must not run on the event loop's thread.
+    /// Replaces the file atomically; does nothing without `$TMPDIR`. Blocking: must not run on the event loop's thread.
     ///
     /// # Errors
     /// If the file cannot be written or renamed.
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -1,4 +1,5 @@
-//! HTTP server on the admin address, with one request per connection.
+//! HTTP server on the admin address, with one request per connection. Its clients are named callers, to tell them from
+//! the balancer's clients.
 
 use super::maintenance_store::MaintenanceStore;
 use crate::api::ServerId;
@@ -113,6 +114,8 @@
         if !lifecycle.is_accepting() {
             return Response::new(503, "another process takes the clients");
         }
+        // A process that took over draining from its predecessor reports ready: otherwise the platform would not
+        // replace the predecessor.
         if lifecycle.is_draining() && lifecycle.is_draining_requested_here() {
             return Response::new(503, "is emptied");
         }
@@ -155,8 +158,8 @@
         }
     }
 
-    /// Writes the servers under maintenance, then applies them. Returns a response with this text, or 503 if the file
-    /// cannot be written.
+    /// Writes the servers under maintenance to the file, then applies them and sends them to the other processes.
+    /// Returns a response with `text`, or 503 if the file cannot be written.
     async fn store_and_apply(&self, maintenance: &MaintenanceSet, text: &str) -> Response {
         let (store, written) = (MaintenanceStore::clone(&self.store), maintenance.clone());
         let written = spawn_blocking(move || store.write(&written)).await;
--- a/src/lifecycle/accept.rs
+++ b/src/lifecycle/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts client connections while this process is in the accepting state.
+//! Accepts client connections, except while another process of the balancer accepts them.
 
 use crate::invariants;
 use crate::proxy::client_reader::ClientReader;
@@ -10,10 +10,10 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::sleep;
 
-/// Pause after a failed accept. Exhausted descriptors become free when connections end.
+/// Pause after a failed accept. If no descriptor was free, one becomes free when a connection ends.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Accepts clients until the process exits.
+/// Accepts clients whenever the lifecycle state allows it, until the process exits.
 pub async fn run(runtime: Rc<Runtime>, listener: TcpListener) {
     let mut accepting = runtime.lifecycle.subscribe_accepting();
     loop {
--- a/src/lifecycle/draining.rs
+++ b/src/lifecycle/draining.rs
@@ -9,8 +9,8 @@
 /// Seconds for which clients may still arrive. The front proxy polls readiness ten times a second and stops sending
 /// clients 0.2 s after a negative response. A client migrated earlier than this could be sent back here.
 const ARRIVAL_TIME: f64 = 0.4;
-/// Seconds until all connections have been told to migrate. All connections must be closed after 4 s, which leaves half
-/// a second for clients that arrive late.
+/// Seconds until all connections have been told to migrate. All connections must be closed after 4 s. The remaining
+/// half second is for clients that arrive late.
 const DRAIN_TIME: f64 = 3.5;
 
 /// Drains the balancer each time draining is requested, until the request is withdrawn.
--- a/src/lifecycle/error.rs
+++ b/src/lifecycle/error.rs
@@ -62,7 +62,7 @@
     /// The signal handlers cannot be registered.
     #[error("cannot register signal handlers: {0}")]
     Signals(#[source] io::Error),
-    /// The cluster or the distribution of lists cannot be started.
+    /// The cluster or the distribution of the endpoint list cannot be started.
     #[error(transparent)]
     Cluster(#[from] ClusterError),
 }
--- a/src/lifecycle/graceful_shutdown.rs
+++ b/src/lifecycle/graceful_shutdown.rs
@@ -12,11 +12,12 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// New connections may arrive for up to 0.4 s after SIGTERM. A client migrated earlier could be sent back here.
+/// Time for which new clients are awaited and none is migrated. Clients may arrive for up to 0.4 s after SIGTERM, and
+/// one that is migrated earlier could be sent back here.
 const ARRIVAL_TIME: Duration = Duration::from_millis(450);
 /// Migrations are spread over this time, so that the clients do not reconnect to the other balancers all at once.
 const MIGRATION_TIME: Duration = Duration::from_millis(1000);
-/// SIGKILL follows SIGTERM no earlier than the longest client wait, capped at this, plus [`KILL_GRACE`].
+/// Cap on the longest client wait. SIGKILL follows SIGTERM no earlier than the capped wait plus [`KILL_GRACE`].
 const MAX_CLIENT_WAIT: Duration = Duration::from_secs(3);
 /// Grace period before SIGKILL, added to the longest client wait.
 const KILL_GRACE: Duration = Duration::from_millis(700);
@@ -24,10 +25,11 @@
 const FINAL_RESPONSES_BEFORE_KILL: Duration = Duration::from_millis(450);
 /// Time before SIGKILL at which the process stops waiting for requests.
 const EXIT_BEFORE_KILL: Duration = Duration::from_millis(250);
-/// Time for clients that have their response to close their side. Exiting with unread bytes would reset the connection.
+/// Time for clients that have received their final response to close their side. Exiting with unread bytes would reset
+/// the connection.
 const CLOSE_TIME: Duration = Duration::from_millis(200);
-/// Consecutive ticks without a client until the process counts as idle. At the first one, a client may still be waiting
-/// to be accepted.
+/// Consecutive ticks without a client after which none is expected any more. At the first such tick, a client may still
+/// be waiting in the accept queue.
 const IDLE_TICKS: u32 = 2;
 
 /// Shuts down gracefully; returns when the process may exit.
@@ -127,7 +129,8 @@
             && self.runtime.lifecycle.clients_without_request.count() == 0
     }
 
-    /// Ends all pending requests. The balancer rejects or fails each, depending on whether it may have been executed.
+    /// Ends all pending requests. The balancer rejects a request that was certainly not executed, and fails one that
+    /// may have been.
     fn send_final_responses(&self) {
         for id in self.runtime.pending_requests() {
             self.runtime.handle_event(Event::ShutdownDeadline(id));
--- a/src/lifecycle/hot_restart/mod.rs
+++ b/src/lifecycle/hot_restart/mod.rs
@@ -38,21 +38,21 @@
         })
     }
 
-    /// Connects to the running process and restores its state. Returns `None` if there is no process to continue from:
-    /// this process then starts on its own.
+    /// Connects to the running process and restores its state. Returns `None` if no process is running or its state
+    /// cannot be restored: this process then starts without it.
     pub async fn connect_to_predecessor(&self) -> Option<PredecessorLink> {
         successor::connect(&self.runtime, &self.socket_path).await
     }
 
-    /// Listens for the next successor, and notifies the predecessor that this process accepts clients.
-    pub async fn start_accepting(self: &Rc<Self>, predecessor: Option<PredecessorLink>) {
+    /// Listens for the next successor, and notifies the predecessor that this process is ready to accept clients.
+    pub async fn announce_ready(self: &Rc<Self>, predecessor: Option<PredecessorLink>) {
         self.listen_for_successors();
         if let Some(predecessor) = predecessor {
             predecessor.notify_ready(self.runtime.clone()).await;
         }
     }
 
-    /// Starts the shutdown: transfers the connections to the successor that is ready, if any.
+    /// Starts the shutdown: established connections are transferred to the successor that is ready, if any.
     pub fn begin_shutdown(&self) {
         self.handle(Input::Shutdown);
     }
--- a/src/lifecycle/hot_restart/peer.rs
+++ b/src/lifecycle/hot_restart/peer.rs
@@ -14,14 +14,15 @@
 
 /// Timeout for the first frame of the other process.
 pub const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
-/// Capacity of the queue of updates to the other process.
+/// Capacity of the queue of updates to the other process, in frames.
 pub const MAX_QUEUED_UPDATES: usize = 256;
 /// Interval at which the number of descriptors held by clients is reported, if it has changed.
 const REPORT_INTERVAL: Duration = Duration::from_millis(50);
 /// Descriptors that a process holds apart from its clients': standard streams, event loop, listeners, discovery, admin.
 const OWN_DESCRIPTORS: usize = 20;
 
-/// Sends updates and the number of descriptors that clients hold in this process, until the link fails.
+/// Sends updates and the number of descriptors that clients hold in this process, until the link fails or the sender of
+/// `updates` is dropped.
 pub async fn send_updates(
     sender: &Sender,
     mut updates: mpsc::Receiver<Frame>,
--- a/src/lifecycle/hot_restart/predecessor.rs
+++ b/src/lifecycle/hot_restart/predecessor.rs
@@ -96,8 +96,8 @@
         self.remove_successor(id, &transfers);
     }
 
-    /// Returns the encoded snapshot for a successor of this version. It is empty if the versions differ: every version
-    /// understands from this that it cannot continue from this process.
+    /// Returns the encoded snapshot for a successor of this version. It is empty if the versions differ, which a
+    /// successor of any version must take as a refusal.
     fn snapshot_for(&self, version: u32) -> Vec<u8> {
         match version {
             VERSION => postcard::to_stdvec(&self.runtime.snapshot()).unwrap_or_default(),
--- a/src/lifecycle/hot_restart/successor.rs
+++ b/src/lifecycle/hot_restart/successor.rs
@@ -53,7 +53,8 @@
     sender: Sender,
     receiver: Receiver,
     updates: mpsc::Receiver<Frame>,
-    /// Revision of the restored endpoint list; `None` if it came from another discovery address.
+    /// Revision from which to watch discovery: that of the restored endpoint list, or `None` if the predecessor used
+    /// another discovery address.
     pub revision: Option<u64>,
 }
 
@@ -126,7 +127,7 @@
 }
 
 impl PredecessorLink {
-    /// Notifies the predecessor that this process accepts clients, and starts taking over its connections.
+    /// Notifies the predecessor that this process is ready to accept clients, and starts taking over its connections.
     pub async fn notify_ready(self, runtime: Rc<Runtime>) {
         if self.sender.send(&Frame::Ready, &[]).await.is_err() {
             tracing::warn!("link to predecessor closed before this process was ready");
--- a/src/lifecycle/logging.rs
+++ b/src/lifecycle/logging.rs
@@ -7,7 +7,10 @@
 /// Filter used if `RUST_LOG` is unset or empty.
 const DEFAULT_FILTER: &str = "info";
 
-/// Initializes logging. `RUST_LOG` selects the targets and levels.
+/// Initializes logging. `RUST_LOG` selects the targets and levels; invalid directives in it are ignored.
+///
+/// # Panics
+/// If logging is already initialized.
 pub fn start(format: LogFormat) {
     let rust_log = std::env::var("RUST_LOG").ok();
     let rust_log = rust_log.filter(|filter| !filter.is_empty());
--- a/src/lifecycle/reload.rs
+++ b/src/lifecycle/reload.rs
@@ -13,9 +13,9 @@
 
 /// The state that a reload replaces, and the components that it updates.
 pub struct Reload {
-    /// Applies the configuration.
+    /// The runtime that the new configuration is applied to.
     pub runtime: Rc<Runtime>,
-    /// Sends the discovery address to the watcher.
+    /// Sends a changed discovery address to the watcher.
     pub discovery: watch::Sender<SocketAddr>,
     /// The command-line options.
     pub options: Serve,
@@ -23,12 +23,13 @@
     pub operator: OperatorConfig,
     /// The cluster member of this process, if any.
     pub cluster_member: Option<Rc<ClusterMember>>,
-    /// The follower of the control instances, if any.
+    /// The follower of other instances' endpoint list, if any.
     pub list_follower: Option<Rc<ListFollower>>,
 }
 
 impl Reload {
-    /// Reloads both files, or neither: if one of them is unreadable or invalid, no change of the other one is applied.
+    /// Reloads the configuration and the operator's file. If one of them is unreadable or invalid, or changes a setting
+    /// that requires a restart, nothing is applied and the error is logged.
     pub fn run(&mut self) {
         match self.read() {
             Ok((config, operator)) => self.apply(config, operator),
--- a/src/lifecycle/startup.rs
+++ b/src/lifecycle/startup.rs
@@ -50,7 +50,8 @@
 
 fn serve(options: Serve, operator: OperatorConfig) -> Result<(), StartupError> {
     let config = ProcessConfig::from_env(LoadReason::Start)?;
-    // Must come before this process opens a descriptor: if the configured number is closed, the kernel would reuse it.
+    // Must come before this process opens a descriptor: if the configured number is not open, the kernel could
+    // assign it to a file of this process.
     let inherited = config.accept_fd.map(take_listening_socket).transpose()?;
     let event_loop = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -89,7 +90,7 @@
     spawn_local(watch);
     spawn_local(accept::run(runtime.clone(), sockets.clients));
     if let Some(hot_restart) = &hot_restart {
-        hot_restart.start_accepting(predecessor).await;
+        hot_restart.announce_ready(predecessor).await;
     }
     runtime.lifecycle.set_accepting(true);
 
@@ -109,7 +110,7 @@
     Ok(())
 }
 
-/// Restores the maintenance file and the state of a running predecessor, then starts the admin server.
+/// Applies the maintenance file and the state of a running predecessor, then starts the admin server.
 async fn start_admin_and_hot_restart(
     runtime: &Rc<Runtime>,
     listener: Option<TcpListener>,
@@ -140,8 +141,8 @@
     runtime.merge_maintenance(&maintenance);
 }
 
-/// Enables hot restarts if the client socket is inherited from the platform. Without an inherited socket, two processes
-/// cannot accept on the same socket one after the other.
+/// Enables hot restarts if the listening socket for clients is inherited from the platform. Otherwise each process
+/// would bind a socket of its own, and a successor could not accept clients on the predecessor's.
 fn set_up_hot_restart(runtime: &Rc<Runtime>, store: &MaintenanceStore) -> Option<Rc<HotRestart>> {
     runtime.process_config().accept_fd?;
     let socket_path = store.sibling_path(SOCKET_EXTENSION)?;
@@ -154,8 +155,8 @@
     cached: EndpointList,
     operator: &OperatorConfig,
 ) -> Option<u64> {
-    // Revision 0 is valid, so an unknown list is recognized by having no endpoint. A process that watches discovery on
-    // behalf of other instances also needs the full list as discovery has it.
+    // Revision 0 is valid, so a missing list is recognized by having no endpoints. A process that watches discovery on
+    // behalf of other instances cannot start from the cache either: it needs the full list as discovery has it.
     let needs_full_list = cached.endpoints.is_empty() || operator.duties.list.is_some();
     let revision = Some(cached.revision).filter(|_| !needs_full_list);
     runtime.update_endpoints(UpdateKind::Cached, cached);
@@ -176,7 +177,7 @@
         })
     }
 
-    /// The endpoint list that this process receives from other instances, if it is a member or a follower.
+    /// Returns the endpoint list that this process shares with other instances, if it is a member or a follower.
     fn shared_list(&self) -> Option<Rc<SharedEndpointList>> {
         let member_list = self.member.as_ref().map(|member| member.endpoint_list());
         let follower = self.list_follower.as_ref();
