--- a/tests/sockets/fleet.rs
+++ b/tests/sockets/fleet.rs
@@ -60,9 +60,11 @@
 #[test]
 fn twenty_processes_together_do_not_overload_a_cold_server() {
     const PROCESSES: usize = 20;
-    const WARM_UP: f64 = 8.0;
-    const COLD_FROM: f64 = 0.2;
-    /// Capacity of a server of size 10, in connections: ten connections of the default load per unit of size.
+    /// Slow start window, in seconds.
+    const SLOW_START_WINDOW: f64 = 8.0;
+    /// Fraction of its capacity that a server has at its start.
+    const COLD_CAPACITY_SHARE: f64 = 0.2;
+    /// Capacity of a server of size 10, in connections of the default load: ten per unit of size.
     const CAPACITY: f64 = 100.0;
     let warm: Vec<Backend> = ["s-1", "s-2", "s-3"]
         .into_iter()
@@ -99,7 +101,7 @@
         .map(|one| one.replace(r#""size":1.0"#, r#""size":10.0"#))
         .collect();
     let rules = format!(
-        r#""askWithin":1.0,"coldFrom":{COLD_FROM},"warmUp":{WARM_UP},"fall":1.0,"fallMultiple":3.0"#
+        r#""askWithin":1.0,"coldFrom":{COLD_CAPACITY_SHARE},"warmUp":{SLOW_START_WINDOW},"fall":1.0,"fallMultiple":3.0"#
     );
     let processes: Vec<Balancer> = (0..PROCESSES)
         .map(|n| {
@@ -137,9 +139,10 @@
             .iter()
             .take_while(|t| t.duration_since(*arrival).as_secs_f64() < 1.0)
             .count();
-        // Limit that the settings allow at the end of the window, plus the allowance for chance.
-        let warmth = COLD_FROM + (1.0 - COLD_FROM) * ((age + 1.0) / WARM_UP).min(1.0);
-        let n = 3.0 * warmth * CAPACITY / WARM_UP;
+        // The arrivals that the settings allow at the end of the one-second window, plus a tolerance for randomness.
+        let share = COLD_CAPACITY_SHARE
+            + (1.0 - COLD_CAPACITY_SHARE) * ((age + 1.0) / SLOW_START_WINDOW).min(1.0);
+        let n = 3.0 * share * CAPACITY / SLOW_START_WINDOW;
         let limit = n + 2.0 * n.sqrt() + 2.0;
         assert!(
             window as f64 <= limit,
--- a/tests/sockets/main.rs
+++ b/tests/sockets/main.rs
@@ -292,9 +292,10 @@
     let (discovery, backend) = (Discovery::new(), Backend::new("s-1"));
     let _balancer = Balancer::start(&discovery, &[backend.endpoint("SERVING")]);
     discovery.wait_for_requests(1);
-    // A change must be known 6 s after discovery fell silent. This leaves a second for a request that is rejected.
+    // A change must be known 6 s after discovery stopped responding. Polling again within 5 s leaves a second for the
+    // case that the next poll is rejected.
     std::thread::sleep(Duration::from_secs(5));
-    // This responds to the first request, which has timed out by now. A second request must have followed.
+    // This response is sent for the first request, which has timed out by now. A second request must have followed.
     discovery.respond_with_list(2, false, &[]);
     discovery.wait_for_requests(2);
     let requests = discovery.requests.lock().expect("not poisoned").clone();
--- a/tests/sockets/peers.rs
+++ b/tests/sockets/peers.rs
@@ -58,12 +58,12 @@
         }
     }
 
-    /// Its entry in an endpoint list, with this phase.
+    /// Returns its entry in an endpoint list, with this phase.
     pub fn endpoint(&self, phase: &str) -> String {
         self.endpoint_at(phase, self.address())
     }
 
-    /// Its entry in an endpoint list, with another address.
+    /// Returns its entry in an endpoint list, with this phase and another address.
     pub fn endpoint_at(&self, phase: &str, address: SocketAddr) -> String {
         let id = self.id;
         format!(
@@ -272,7 +272,9 @@
 /// What the processes of a test share: the temporary folder, which holds their log, and the configuration.
 pub struct Folder {
     pub path: std::path::PathBuf,
+    /// Setting `limits.sockets`: the number of descriptors that a process may hold.
     pub sockets: usize,
+    /// The `settings` of the configuration, as JSON.
     pub settings: String,
     pub log_level: &'static str,
 }
@@ -296,7 +298,8 @@
     }
 }
 
-/// Returns two ports that were free a moment ago, on a loopback address of this test's own: no other test takes them.
+/// Returns two addresses with ports that were free a moment ago. Each call uses another loopback IP address, so that no
+/// other test binds the ports.
 pub fn free_ports() -> [SocketAddr; 2] {
     static NEXT_TEST: AtomicU8 = AtomicU8::new(1);
     let test = NEXT_TEST.fetch_add(1, Ordering::Relaxed);
--- a/tests/sockets/replace.rs
+++ b/tests/sockets/replace.rs
@@ -56,7 +56,7 @@
         process
     }
 
-    /// Replaces a process as the platform does: the old process is terminated once the new one is ready.
+    /// Replaces a process as the platform does: the old process receives SIGTERM once the new one is ready.
     fn replace(&self, old: Balancer) -> Balancer {
         let new = self.start();
         old.signal("-TERM");
@@ -228,7 +228,7 @@
     assert_eq!(process.wait_for_exit(), Some(0));
 }
 
-/// The connection stays at the old process until it is migrated.
+/// Asserts that the client is migrated. Until then the old process serves it, so a line may still be echoed.
 fn assert_migrated_after_echo(client: &mut Peer) {
     client.send("M 1\r\n");
     let mut line = client.read_line();
--- a/tests/sockets/watch.rs
+++ b/tests/sockets/watch.rs
@@ -7,13 +7,14 @@
 
 /// Setting for lists that are pushed by an agent, which takes the place of discovery.
 const PUSHED: (&str, &str) = ("on_request", "pushed");
-/// Setting for the poll interval that is used at the operators' own site.
+/// Setting for a poll interval of 10 s, which is used in production.
 const RARELY_POLLED: (&str, &str) = (r#""askWithin":1.0"#, r#""askWithin":10.0"#);
 
 /// Time within which a change must be known after it is available at a reachable discovery.
 const PROPAGATION_TIME: Duration = Duration::from_secs(6);
 
-/// Asserts that the response in which the last server is draining has been applied: a client finds no server.
+/// Waits for the next poll, then asserts that the previous response, in which the last server is draining, has been
+/// applied: a request is rejected.
 #[track_caller]
 fn assert_drain_known(balancer: &Balancer, discovery: &Backend, watch: &mut Peer, id: u64) {
     discovery.read_request(watch);
@@ -31,14 +32,14 @@
         Balancer::spawn_with_settings(agent.address(), &[old.endpoint("SERVING")], &[PUSHED]);
     let (mut watch, request) = agent.accept_request();
     assert!(request.contains("since=1&timeout_ms=0 "), "{request}");
-    // The agent's list counts as known already, so the process is not ready with the cached list.
+    // The agent is expected to respond at once, so the process does not become ready with the cached list before that.
     let mut front = balancer.connect();
     front.send("PING\r\n");
     let changes = [old.endpoint("DRAINING"), new.endpoint("SERVING")];
     watch.send(&http_response(&endpoint_list(2, false, &changes)));
     assert_eq!(front.read_line(), "PONG\r\n");
     balancer.establish(0x11, &new);
-    // The agent restarts. It must be polled again long before the grace period of a drain is over.
+    // The agent restarts. It must be polled again at once, long before the grace period of a draining server ends.
     let request = agent.read_request(&mut watch);
     assert!(request.contains("since=2&timeout_ms=2000 "), "{request}");
     let broken = Instant::now();
@@ -251,6 +252,7 @@
         assert!(request.contains("GET /api/targets"), "{request}");
         // The balancer may close the connection before the last byte is written.
         let _ = watch.stream().write_all(text.as_bytes());
+        // The chunked response has no end and stays open; all others are ended.
         if n != 9 {
             let _ = watch.stream().shutdown(Shutdown::Write);
         }
