--- a/src/lifecycle/graceful_shutdown.rs
+++ b/src/lifecycle/graceful_shutdown.rs
@@ -129,8 +129,8 @@
             && self.runtime.lifecycle.clients_without_request.count() == 0
     }
 
-    /// Ends all pending requests. The balancer rejects a request that was certainly not executed, and fails one that
-    /// may have been.
+    /// Ends all pending requests. The balancer rejects a request if a retry by the client does no harm, and fails it
+    /// otherwise.
     fn send_final_responses(&self) {
         for id in self.runtime.pending_requests() {
             self.runtime.handle_event(Event::ShutdownDeadline(id));
--- a/src/lifecycle/hot_restart/mod.rs
+++ b/src/lifecycle/hot_restart/mod.rs
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Starts the shutdown: established connections are transferred to the successor that is ready, if any.
+    /// Starts the shutdown: connections are transferred to the successor that is ready, if any.
     pub fn begin_shutdown(&self) {
         self.handle(Input::Shutdown);
     }
--- a/src/lifecycle/startup.rs
+++ b/src/lifecycle/startup.rs
@@ -156,7 +156,8 @@
     operator: &OperatorConfig,
 ) -> Option<u64> {
     // Revision 0 is valid, so a missing list is recognized by having no endpoints. A process that watches discovery on
-    // behalf of other instances cannot start from the cache either: it needs the full list as discovery has it.
+    // behalf of other instances does not continue from the cached revision either: it needs the full list as discovery
+    // has it.
     let needs_full_list = cached.endpoints.is_empty() || operator.duties.list.is_some();
     let revision = Some(cached.revision).filter(|_| !needs_full_list);
     runtime.update_endpoints(UpdateKind::Cached, cached);
