--- a/crates/fleet-rig/src/capacity/control.rs
+++ b/crates/fleet-rig/src/capacity/control.rs
@@ -1,18 +1,19 @@
 //! Control-plane estimates for a balancer and a control instance, for two designs: one gossip cluster of all balancers
-//! (flat), and balancers that each follow two of the few control instances (follow).
+//! (flat), and balancers that each follow two of the control instances (follow). A duty is a task that one instance at a
+//! time runs while it holds the task's lease.
 
 use super::figure::{Figure, Unit};
 use super::inputs::Inputs;
 use super::row::{Limit, Mechanism, Row};
 use serde_json::json;
 
-/// Remedy for the rows in which the flat design exceeds its limits.
+/// Remedy named in the rows of the flat design, in which it may exceed its limits.
 pub const DISTRIBUTION: &str = "distribution from the control instances";
 
 /// Mean bytes of a random 64-bit id as a varint: ten for ids in the upper half, nine for nearly all others.
 const ID_BYTES: f64 = 9.5;
-/// `MAX_SENDERS` as it was when the flat cluster was measured, before distribution raised the limit.
-const SENDERS_BEFORE: f64 = 1024.0;
+/// The value of `MAX_SENDERS` with which the flat cluster was measured. Distribution needed a higher limit.
+const FORMER_MAX_SENDERS: f64 = 1024.0;
 
 const GOSSIP_FILE: &str = "crates/leases/src/gossip_store.rs";
 const AUTHENTICATION_FILE: &str = "crates/membership/src/authentication.rs";
@@ -38,19 +39,19 @@
     "pub struct RateLimiter",
 );
 
-fn bytes(inputs: &Inputs) -> Limit {
+fn bandwidth_limit(inputs: &Inputs) -> Limit {
     Limit::Requirement(inputs.parameter("control-bytes"))
 }
 
-fn core(inputs: &Inputs) -> Limit {
+fn cpu_limit(inputs: &Inputs) -> Limit {
     Limit::Requirement(inputs.parameter("control-core"))
 }
 
-fn memory(inputs: &Inputs) -> Limit {
+fn memory_limit(inputs: &Inputs) -> Limit {
     Limit::Requirement(inputs.parameter("control-memory-mb") * 1e6)
 }
 
-fn propagation(inputs: &Inputs) -> Limit {
+fn propagation_limit(inputs: &Inputs) -> Limit {
     Limit::Requirement(inputs.parameter("in-force-s"))
 }
 
@@ -61,12 +62,12 @@
         + removed(inputs) * inputs.parameter("removed-kept-days")
 }
 
-/// Entries removed per day: a replaced server comes back under another name.
+/// Entries removed per day. A server that is replaced at a restart gets a new name, and its old entry is removed.
 fn removed(inputs: &Inputs) -> Figure {
     inputs.parameter("restarts-a-day") * inputs.parameter("replaced-share")
 }
 
-/// Changes per minute in each scenario.
+/// Scenarios with their number of changes per minute.
 fn change_scenarios(inputs: &Inputs) -> [(&'static str, Figure); 7] {
     let per_server = || inputs.parameter("changes-a-server");
     let servers = || inputs.parameter("servers");
@@ -111,7 +112,7 @@
             balancers(),
         )
         .limit(Limit::Hard(
-            Figure::new(SENDERS_BEFORE),
+            Figure::new(FORMER_MAX_SENDERS),
             "seal::MAX_SENDERS, as it was",
         ))
         .provided_by(AUTHENTICATION),
@@ -146,8 +147,8 @@
             inputs.value_at("flat-datagrams", Unit::Rate, balancers()) * 2.0,
         ),
     ];
-    // Each sent byte is also received by another instance; for each change an instance sends and receives about one
-    // entry.
+    // The series counts sent bytes; on average an instance receives as many as it sends. For each change it sends and
+    // receives about one entry.
     let idle = || inputs.value_at("flat-bytes", Unit::ByteRate, balancers()) * 2.0;
     for (scenario, changes) in change_scenarios(inputs) {
         let change_bytes = changes / 60.0 * inputs.parameter("entry-bytes") * 2.0;
@@ -158,7 +159,7 @@
                 Unit::ByteRate,
                 idle() + change_bytes,
             )
-            .limit(bytes(inputs)),
+            .limit(bandwidth_limit(inputs)),
         );
     }
     rows.push(
@@ -168,7 +169,7 @@
             Unit::Cores,
             inputs.value_at("flat-cpu", Unit::Cores, balancers()),
         )
-        .limit(core(inputs)),
+        .limit(cpu_limit(inputs)),
     );
     rows.push(
         row(
@@ -177,7 +178,7 @@
             Unit::Bytes,
             inputs.value_at("flat-memory", Unit::Bytes, balancers()),
         )
-        .limit(memory(inputs)),
+        .limit(memory_limit(inputs)),
     );
     // If the first datagrams of a change exceed the maximum size, the change reaches none of the instances they name.
     let fits_in_datagram = rows[2].limit_ratio().is_some_and(|times| times <= 1.0);
@@ -192,7 +193,7 @@
             Unit::Seconds,
             propagation_time,
         )
-        .limit(propagation(inputs)),
+        .limit(propagation_limit(inputs)),
     );
     let if_reached = |name, unit| inputs.value_at_if_reached(name, "flat-bytes", unit, balancers());
     let full_restart = "release of everything at once";
@@ -266,19 +267,20 @@
                 Unit::ByteRate,
                 idle() + change_bytes,
             )
-            .limit(bytes(inputs))
+            .limit(bandwidth_limit(inputs))
             .remedy("a change told by one of the two sources alone: missing"),
         );
     }
-    let restarts = full_copy_bytes() * inputs.parameter("restarts-a-day") / balancers() / 86_400.0;
+    let restart_bytes =
+        full_copy_bytes() * inputs.parameter("restarts-a-day") / balancers() / 86_400.0;
     rows.push(
         row(
             "bytes, both ways",
             "490 restarts, shared out over the day",
             Unit::ByteRate,
-            idle() + restarts,
+            idle() + restart_bytes,
         )
-        .limit(bytes(inputs)),
+        .limit(bandwidth_limit(inputs)),
     );
     rows.push(row(
         "bytes of one start, all in all",
@@ -292,14 +294,14 @@
         Unit::Seconds,
         inputs.value_at("follow-full-entries", Unit::Seconds, entries(inputs)),
     ));
-    for (entries, servers) in [(630, "630 entries"), (5000, "5,000 entries")] {
-        for (starting, what) in [
+    for (entries, label) in [(630, "630 entries"), (5000, "5,000 entries")] {
+        for (starting, scenario) in [
             (350.0, "a region at once"),
             (2100.0, "release of everything at once"),
         ] {
             rows.push(row(
-                &format!("until all are full, {servers}"),
-                what,
+                &format!("until all are full, {label}"),
+                scenario,
                 Unit::Seconds,
                 start_duration(inputs, entries, starting, "/until_full/last"),
             ));
@@ -312,7 +314,7 @@
             Unit::Cores,
             inputs.value_at("follow-cpu", Unit::Cores, balancers()),
         )
-        .limit(core(inputs)),
+        .limit(cpu_limit(inputs)),
     );
     rows.push(
         row(
@@ -321,7 +323,7 @@
             Unit::Bytes,
             inputs.value_at("follow-memory", Unit::Bytes, balancers()),
         )
-        .limit(memory(inputs)),
+        .limit(memory_limit(inputs)),
     );
     rows.push(
         row(
@@ -330,7 +332,7 @@
             Unit::Bytes,
             inputs.value_at("follow-memory-entries", Unit::Bytes, entries(inputs)),
         )
-        .limit(memory(inputs)),
+        .limit(memory_limit(inputs)),
     );
     let delay =
         |what: &str, pointer| inputs.simulated("delays", "what", json!(what), pointer, 1e-3);
@@ -365,7 +367,7 @@
                 Unit::Seconds,
                 delay(what, "/everywhere/last"),
             )
-            .limit(propagation(inputs)),
+            .limit(propagation_limit(inputs)),
         );
     }
     for (what, scenario) in [
@@ -386,18 +388,18 @@
                 Unit::Seconds,
                 cut("/each/last", 1e-3),
             )
-            .limit(propagation(inputs)),
+            .limit(propagation_limit(inputs)),
         );
-        let each = || cut("/followers", 1.0);
+        let followers = || cut("/followers", 1.0);
         rows.push(
             row(
                 "bytes of a balancer in the minute after, over rest",
                 scenario,
                 Unit::Bytes,
-                cut("/bytes", 1.0) / each(),
+                cut("/bytes", 1.0) / followers(),
             )
             .limit(Limit::Internal(
-                cut("/all", 1.0) / each(),
+                cut("/all", 1.0) / followers(),
                 "all entries anew",
             ))
             .remedy(
@@ -407,14 +409,15 @@
         rows.push(
             row("until the region's own control instances hold all", scenario, Unit::Seconds, cut("/control", 1e-3))
                 .provided_by(GOSSIP)
-                .limit(propagation(inputs))
+                .limit(propagation_limit(inputs))
                 .remedy("a comparison of boards that sends what differs alone: missing (`crates/leases/src/gossip_store.rs`)"),
         );
     }
     rows
 }
 
-/// A duration from the simulated start of `starting` balancers at once, converted from ms to seconds.
+/// A duration from the simulated start of `starting` balancers at once, converted from ms to seconds. `pointer` is the JSON
+/// pointer to it within the run.
 fn start_duration(inputs: &Inputs, entries: u32, starting: f64, pointer: &str) -> Figure {
     let starts = inputs
         .simulation_runs
@@ -422,9 +425,9 @@
         .and_then(|list| list.as_array());
     let run = starts.and_then(|runs| {
         runs.iter().find(|run| {
-            let is =
+            let equals =
                 |field: &str, value: f64| run.get(field).and_then(|v| v.as_f64()) == Some(value);
-            is("entries", f64::from(entries)) && is("starting", starting)
+            equals("entries", f64::from(entries)) && equals("starting", starting)
         })
     });
     let name = format!("distribution.json: starts, {starting} of {entries} entries");
@@ -478,7 +481,8 @@
         )
     };
     let mut rows = Vec::new();
-    // With fewer control instances each carries the load of a proportionally larger fleet.
+    // With fewer control instances each carries the load of a proportionally larger fleet. Each balancer follows two of
+    // them, so if two remain, all balancers follow both; a single one has no more followers than that.
     let scenarios = [
         ("mean", Figure::new(1.0)),
         (
@@ -491,28 +495,28 @@
         ),
         ("all but one lost", control_instances() / 2.0),
     ];
-    for (scenario, times) in scenarios {
-        let followers = balancers() * times.clone() * 2.0 / control_instances();
+    for (scenario, load_factor) in scenarios {
+        let followers = balancers() * load_factor.clone() * 2.0 / control_instances();
         rows.push(row("followers", scenario, Unit::Count, followers).limit(max_followers()));
-        let size = || balancers() * times.clone();
+        let fleet_size = || balancers() * load_factor.clone();
         rows.push(row(
             "datagrams, both ways, the busiest",
             scenario,
             Unit::Rate,
-            inputs.value_at("control-datagrams", Unit::Rate, size()),
+            inputs.value_at("control-datagrams", Unit::Rate, fleet_size()),
         ));
         rows.push(row(
             "bytes, both ways, the busiest",
             scenario,
             Unit::ByteRate,
-            inputs.value_at("control-bytes", Unit::ByteRate, size()),
+            inputs.value_at("control-bytes", Unit::ByteRate, fleet_size()),
         ));
         rows.push(
             row(
                 "processor, the busiest",
                 scenario,
                 Unit::Cores,
-                inputs.value_at("control-cpu", Unit::Cores, size()),
+                inputs.value_at("control-cpu", Unit::Cores, fleet_size()),
             )
             .limit(one_core()),
         );
@@ -520,10 +524,11 @@
             "memory, 630 entries",
             scenario,
             Unit::Bytes,
-            inputs.value_at("control-memory", Unit::Bytes, size()),
+            inputs.value_at("control-memory", Unit::Bytes, fleet_size()),
         ));
     }
-    // A control instance holds each entry twice: in its source, like a balancer, and in its node's gossip store.
+    // A control instance holds each entry twice: in its source, like a balancer, and in its node's gossip store. The series
+    // was measured with 630 entries.
     let per_entry = inputs.slope("follow-memory-entries", Unit::Bytes, &entries(inputs));
     rows.push(row(
         "memory, all entries, on the board too",
@@ -543,11 +548,13 @@
             change_bytes(changes),
         ));
     }
+    // Bytes of entries per second at the configured rate: a datagram without the OVERHEAD of its encryption (50 bytes) and
+    // the message header.
     let budget = || {
-        let rows = inputs.constant(AUTHENTICATION_FILE, "MAX_DATAGRAM")
+        let entry_bytes = inputs.constant(AUTHENTICATION_FILE, "MAX_DATAGRAM")
             - 50.0
             - inputs.constant(MESSAGES_FILE, "MAX_HEADER");
-        inputs.struct_field(SOURCE_CONFIG_FILE, "datagrams_per_second") * rows
+        inputs.struct_field(SOURCE_CONFIG_FILE, "datagrams_per_second") * entry_bytes
     };
     let full_copy_bytes = || entries(inputs) * inputs.parameter("entry-bytes");
     rows.push(
@@ -594,10 +601,11 @@
             Unit::Seconds,
             balancers() * copies / control_instances() * inputs.parameter("servers") * inputs.parameter("entry-bytes") / budget(),
         )
-        .limit(propagation(inputs))
+        .limit(propagation_limit(inputs))
         .provided_by(Mechanism::Implemented("src/cluster/endpoint_list/publisher.rs", "async fn lead_term"))
         .remedy("a new holder that tells only what differs: missing"),
     );
+    // Each balancer polls each of its sources once per second.
     let requests = balancers();
     rows.push(
         row("asks a second", "all but one lost", Unit::Rate, requests).limit(Limit::Hard(
--- a/crates/fleet-rig/src/capacity/data_path.rs
+++ b/crates/fleet-rig/src/capacity/data_path.rs
@@ -9,7 +9,7 @@
 /// Remedy for rows that need more than the one core of a process.
 const MULTIPLE_PROCESSES: &str = "a balancer of several processes: missing";
 
-/// Remedy for expensive placements while many servers are in slow start.
+/// Remedy for expensive placements while many servers are cold, that is, in slow start.
 const CHEAPER_PLACEMENT: &str = "a placement that does not look at each cold server for each: missing (`src/balancer/selection.rs`)";
 
 /// Established connections at one balancer.
@@ -17,7 +17,7 @@
     inputs.parameter("connections") / inputs.parameter("balancers")
 }
 
-/// Deliveries per second through one balancer.
+/// Deliveries per second through one balancer. A delivery is one message relayed from a stream server to a client.
 pub fn deliveries(inputs: &Inputs) -> Figure {
     inputs.parameter("deliveries") / inputs.parameter("balancers")
 }
@@ -34,8 +34,8 @@
     // the zone.
     let balancers = inputs.parameter("balancers") * (zones.clone() - 1.0) / zones.clone();
     let lost = inputs.parameter("connections") / zones.clone();
-    let at_servers = lost.clone() * (zones.clone() - 1.0) / zones;
-    (lost + at_servers) / inputs.parameter("come-back") / balancers
+    let lost_at_servers = lost.clone() * (zones.clone() - 1.0) / zones;
+    (lost + lost_at_servers) / inputs.parameter("come-back") / balancers
 }
 
 /// Reconnects per second at one balancer during a release, in which every connection reconnects once.
@@ -43,7 +43,7 @@
     connections(inputs) / (inputs.parameter("release-minutes") * 60.0)
 }
 
-/// Rows for the data path.
+/// Rows for the data path of one balancer: connections, placements and deliveries.
 pub fn rows(inputs: &Inputs) -> Vec<Row> {
     let core = || Limit::Internal(Figure::new(1.0), "one process runs on one core");
     let relay = Mechanism::Implemented("src/proxy/relay.rs", "pub fn relay(");
--- a/crates/fleet-rig/src/capacity/dependencies.rs
+++ b/crates/fleet-rig/src/capacity/dependencies.rs
@@ -18,9 +18,8 @@
 );
 const SHARED_MAINTENANCE: &str = "what is out as entries of the distribution: missing";
 
-/// Calls per second at discovery: each long poll is renewed after its wait, and each change ends the polls of all
-/// watchers.
-fn calls(inputs: &Inputs, watchers: Figure, changes: Figure) -> Figure {
+/// Calls per second at discovery: each watcher renews its long poll after the maximum wait and after each change.
+fn discovery_calls(inputs: &Inputs, watchers: Figure, changes: Figure) -> Figure {
     let wait = inputs.constant("src/discovery/watcher.rs", "LONG_POLL_WAIT");
     watchers.clone() / wait + watchers * changes
 }
@@ -43,7 +42,7 @@
                 "calls, each balancer watching itself",
                 scenario,
                 Unit::Rate,
-                calls(inputs, all(), changes),
+                discovery_calls(inputs, all(), changes),
             )
             .provided_by(WATCH),
         );
@@ -77,7 +76,7 @@
                 "calls, one watch for all",
                 scenario,
                 Unit::Rate,
-                calls(inputs, Figure::new(1.0), changes),
+                discovery_calls(inputs, Figure::new(1.0), changes),
             )
             .provided_by(SHARED_WATCH),
         );
@@ -87,7 +86,7 @@
             "calls, one watch for all, none of the control instances hearing it",
             "region cut",
             Unit::Rate,
-            calls(
+            discovery_calls(
                 inputs,
                 control(),
                 inputs.parameter("changes-a-day") / 86_400.0,
@@ -105,8 +104,9 @@
     let capacity = connections_per_server.clone() / inputs.parameter("server-fill");
     let topic = inputs.parameter("largest-topic");
     let placement = Mechanism::Implemented("src/balancer/selection.rs", "fn choose_server");
-    let budget = Mechanism::Implemented("src/balancer/slow_start.rs", "fn available_tokens");
-    let cold = inputs.constant("src/balancer/slow_start.rs", "WARM_UP_BUDGET_SHARE")
+    let slow_start = Mechanism::Implemented("src/balancer/slow_start.rs", "fn available_tokens");
+    // New connections per second of a server in slow start.
+    let slow_start_rate = inputs.constant("src/balancer/slow_start.rs", "WARM_UP_BUDGET_SHARE")
         * capacity.clone()
         / inputs.parameter("warm-up");
     vec![
@@ -153,16 +153,16 @@
             "new connections that a cold one is sent, by all balancers",
             "restart",
             Unit::Rate,
-            cold.clone(),
+            slow_start_rate.clone(),
         )
-        .provided_by(budget),
+        .provided_by(slow_start),
         Row::new(
             "of these by one balancer",
             "restart",
             Unit::Rate,
-            cold / inputs.parameter("balancers"),
+            slow_start_rate / inputs.parameter("balancers"),
         )
-        .provided_by(budget),
+        .provided_by(slow_start),
         Row::new(
             "topics larger than one server's room",
             "all",
@@ -219,7 +219,7 @@
         inputs.parameter("largest-topic"),
     );
     let sum = all.clone() / largest.clone();
-    let (Some(n), Some(sum), Some(over)) = (
+    let (Some(n), Some(sum), Some(largest_ratio)) = (
         topics.value(),
         sum.value(),
         (largest.clone() / capacity.clone()).value(),
@@ -231,6 +231,7 @@
             .map(|rank| (rank as f64).powf(-power))
             .sum::<f64>()
     };
+    // Finds the exponent of the power law by bisection.
     let (mut low, mut high) = (0.0, 8.0);
     for _ in 0..40 {
         let middle = (low + high) / 2.0;
@@ -239,14 +240,14 @@
             false => high = middle,
         }
     }
-    let ranks = over.max(1.0).powf(1.0 / high).min(n).floor();
+    let ranks = largest_ratio.max(1.0).powf(1.0 / high).min(n).floor();
     // Adds nothing to the value, but keeps the sources of the inputs.
     let provenance = (topics + all + largest + capacity.clone()) * 0.0;
     provenance + ranks
 }
 
 /// Table of the kinds of state: which have to be shared between balancers, and their size if shared.
-pub fn shared(inputs: &Inputs) -> String {
+pub fn shared_state(inputs: &Inputs) -> String {
     let of = |name: &str| inputs.parameter(name);
     let removed = of("restarts-a-day") * of("replaced-share") * of("removed-kept-days");
     let rows: [(&str, Figure, &str, &str); 9] = [
@@ -326,7 +327,7 @@
 pub fn operator(inputs: &Inputs) -> Vec<Row> {
     let balancers = || inputs.parameter("balancers");
     let servers = || inputs.parameter("servers");
-    let out = |share: Figure| servers() / share;
+    let servers_in_one_of = |areas: Figure| servers() / areas;
     let bound = || {
         Limit::Hard(
             inputs.constant("crates/admin/src/maintenance.rs", "MAX_ENTRIES"),
@@ -363,7 +364,7 @@
             "servers out at once",
             "zone",
             Unit::Count,
-            out(inputs.parameter("zones")),
+            servers_in_one_of(inputs.parameter("zones")),
         )
         .limit(bound())
         .provided_by(MAINTENANCE),
@@ -371,7 +372,7 @@
             "servers out at once",
             "region",
             Unit::Count,
-            out(inputs.parameter("regions")),
+            servers_in_one_of(inputs.parameter("regions")),
         )
         .limit(bound())
         .provided_by(MAINTENANCE),
@@ -405,79 +406,80 @@
 
 /// Table of failures and maintenance events, with their frequency and extent.
 pub fn failure_scenarios(inputs: &Inputs) -> String {
-    let g = |name: &str| inputs.parameter(name);
+    let parameter = |name: &str| inputs.parameter(name);
     let one = Figure::new(1.0);
-    let none = Figure::new(0.0);
+    let zero = Figure::new(0.0);
     let day = Figure::new(86_400.0);
-    let connections_per_server = connections(inputs);
-    let at_server = g("connections") / g("servers");
-    let balancers = |of: Figure| g("balancers") / of;
+    let connections_per_balancer = connections(inputs);
+    let connections_per_server = parameter("connections") / parameter("servers");
+    let balancers_in_one_of = |areas: Figure| parameter("balancers") / areas;
     let rows: Vec<(&str, Figure, Figure, Figure, Figure, Figure)> = vec![
         // Event, times per year, balancers, servers, connections that reconnect, configuration changes.
         (
             "a balancer's machine",
-            g("failures-a-day") * 365.0,
+            parameter("failures-a-day") * 365.0,
             one.clone(),
-            none.clone(),
-            connections_per_server.clone(),
-            none.clone(),
+            zero.clone(),
+            connections_per_balancer.clone(),
+            zero.clone(),
         ),
         (
             "a stream server's machine",
-            g("failures-a-day") * 365.0,
-            none.clone(),
+            parameter("failures-a-day") * 365.0,
+            zero.clone(),
             one.clone(),
-            at_server.clone(),
-            g("changes-a-server"),
+            connections_per_server.clone(),
+            parameter("changes-a-server"),
         ),
         (
             "a rack of balancers",
-            Figure::new(365.0) / g("rack-every-days"),
-            g("rack-machines"),
-            none.clone(),
-            connections_per_server.clone() * g("rack-machines"),
-            none.clone(),
+            Figure::new(365.0) / parameter("rack-every-days"),
+            parameter("rack-machines"),
+            zero.clone(),
+            connections_per_balancer.clone() * parameter("rack-machines"),
+            zero.clone(),
         ),
         (
             "a rack of stream servers",
-            Figure::new(365.0) / g("rack-every-days"),
-            none.clone(),
-            g("rack-machines"),
-            at_server.clone() * g("rack-machines"),
-            g("rack-machines") * g("changes-a-server"),
+            Figure::new(365.0) / parameter("rack-every-days"),
+            zero.clone(),
+            parameter("rack-machines"),
+            connections_per_server.clone() * parameter("rack-machines"),
+            parameter("rack-machines") * parameter("changes-a-server"),
         ),
         (
             "a zone",
-            Figure::new(365.0) / g("zone-every-days"),
-            balancers(g("zones")),
-            g("servers") / g("zones"),
+            Figure::new(365.0) / parameter("zone-every-days"),
+            balancers_in_one_of(parameter("zones")),
+            parameter("servers") / parameter("zones"),
             // Connections at the zone's balancers, and those of other balancers at the zone's servers.
-            g("connections") / g("zones") * (Figure::new(2.0) - Figure::new(1.0) / g("zones")),
-            g("servers") / g("zones") * g("changes-a-server"),
+            parameter("connections") / parameter("zones")
+                * (Figure::new(2.0) - Figure::new(1.0) / parameter("zones")),
+            parameter("servers") / parameter("zones") * parameter("changes-a-server"),
         ),
         (
             "a region cut off for an hour, and healed",
-            g("region-cuts-a-year"),
-            balancers(g("regions")),
-            g("servers") / g("regions"),
-            none.clone(),
-            g("changes-a-day") * g("region-cut-s") / day.clone(),
+            parameter("region-cuts-a-year"),
+            balancers_in_one_of(parameter("regions")),
+            parameter("servers") / parameter("regions"),
+            zero.clone(),
+            parameter("changes-a-day") * parameter("region-cut-s") / day.clone(),
         ),
         (
             "490 restarts, a day",
             Figure::new(365.0),
-            g("restarts-a-day"),
-            none.clone(),
-            connections_per_server.clone() * g("restarts-a-day"),
-            none.clone(),
+            parameter("restarts-a-day"),
+            zero.clone(),
+            connections_per_balancer.clone() * parameter("restarts-a-day"),
+            zero.clone(),
         ),
         (
             "a release of all balancers",
-            g("releases-a-year"),
-            g("balancers"),
-            none.clone(),
-            g("connections"),
-            none,
+            parameter("releases-a-year"),
+            parameter("balancers"),
+            zero.clone(),
+            parameter("connections"),
+            zero,
         ),
     ];
     let mut text = String::from(
--- a/crates/fleet-rig/src/capacity/figure.rs
+++ b/crates/fleet-rig/src/capacity/figure.rs
@@ -39,7 +39,7 @@
         })
     }
 
-    /// Formats a value with its unit, to three significant digits.
+    /// Formats a value in base units with a suitable unit, as [`format_number`] does.
     pub fn format(self, value: f64) -> String {
         match self {
             Self::Count => format_count(value),
@@ -104,13 +104,14 @@
     sign.to_owned() + &out
 }
 
-/// A number with its provenance. It has no value if one of its sources is not measured or does not exist.
+/// A number with its provenance. It has no value if one of its sources was not measured or does not exist; it is infinite
+/// for an event that never occurred.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Figure {
     value: f64,
     /// Sources that are missing.
     pub missing: BTreeSet<String>,
-    /// Measured series the figure is derived from, each with its description on the page.
+    /// Measured series, simulation runs and other rows the figure is derived from, each with its description on the page.
     pub series: BTreeMap<String, String>,
     /// Assumptions the figure is derived from.
     pub assumptions: BTreeSet<String>,
--- a/crates/fleet-rig/src/capacity/inputs.rs
+++ b/crates/fleet-rig/src/capacity/inputs.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
-/// A series is reported as bent if a point is off the line by more than this share of the largest value.
+/// A series is marked as non-linear ("bends") if a point is off the line by more than this share of the largest value.
 const NONLINEARITY_THRESHOLD: f64 = 0.1;
 
 /// A value that is given rather than measured.
@@ -27,7 +27,7 @@
     pub question: Option<String>,
 }
 
-/// All given values, by name.
+/// All values that are given rather than measured, by name.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Parameters {
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Reads the data files under a workspace root. The files of measurements may be absent; the file of assumptions must
-    /// exist.
+    /// Reads the data files under a workspace root. Measurement files may be absent. Fails if the file of assumptions is
+    /// absent, or if a file cannot be read or parsed.
     pub fn read(root: &Path) -> Result<Self, String> {
         let measured = MeasuredSeries::read(&root.join("docs/measured/scale.json"))?;
         let parameters = read(&root.join("docs/measured/assumptions.json"))?;
@@ -104,7 +104,7 @@
         errors
     }
 
-    /// The requirement or assumption of this name.
+    /// The requirement or assumption of this name. Without either, reports an error and returns a missing figure.
     pub fn parameter(&self, name: &str) -> Figure {
         self.used_parameters.borrow_mut().insert(name.to_owned());
         if let Some(parameter) = self.parameters.requirements.get(name) {
@@ -125,6 +125,7 @@
         }
     }
 
+    /// The series of this name and the factor from its unit to the base unit. Reports an error if it is not in `unit`.
     fn series(&self, name: &str, unit: Unit) -> Option<(&Series, f64)> {
         let series = self.measured.0.get(name)?;
         match Unit::parse(&series.unit) {
@@ -137,6 +138,7 @@
     }
 
     /// The value of a series at a size: interpolated between measured sizes, extrapolated by the fitted line beyond them.
+    /// Missing if the series is absent or has too few sizes; reports an error if it is not in `unit`.
     pub fn value_at(&self, name: &str, unit: Unit, size: Figure) -> Figure {
         let Some((series, factor)) = self.series(name, unit) else {
             return size * Figure::missing(name);
@@ -151,8 +153,9 @@
         figure
     }
 
-    /// Like [`Self::value_at`], for an event that may not occur in large runs. `all_runs` is a series with a value for each
-    /// run. From its first size beyond the last one at which the event occurred, the result is infinite.
+    /// Like [`Self::value_at`], for an event that may not occur in large runs. The series `name` has only the sizes at which
+    /// the event occurred, and `all_runs` every size that was run. The result is infinite from the first size of `all_runs`
+    /// that is larger than all sizes of `name`.
     pub fn value_at_if_reached(
         &self,
         name: &str,
@@ -168,12 +171,12 @@
             return self.value_at(name, unit, size);
         };
         let largest = series.points.iter().map(|p| p.0).fold(0.0, f64::max);
-        let without = all
+        let sizes_without = all
             .points
             .iter()
             .map(|p| p.0)
             .filter(|size| *size > largest);
-        let first_missing = without.fold(f64::INFINITY, f64::min);
+        let first_missing = sizes_without.fold(f64::INFINITY, f64::min);
         if at < first_missing {
             return self.value_at(name, unit, size);
         }
@@ -185,7 +188,9 @@
         Figure::new(f64::INFINITY).derived_from(name, description)
     }
 
-    /// A value of a single simulation run at full fleet size: of the run in `list` whose `field` has this value.
+    /// A result of a single simulation run at full fleet size. The run is the one in the array `list` whose `field` equals
+    /// `value`; `pointer` is the JSON pointer to the result within the run, and `unit_factor` converts it to the base unit.
+    /// A result of `null` is infinite; without the run or the result, the figure is missing.
     pub fn simulated(
         &self,
         list: &str,
@@ -220,7 +225,7 @@
     }
 
     /// The growth of a series per unit of size. `up_to` is the largest size the slope is used for; the description reports
-    /// the extrapolation to it.
+    /// the extrapolation to it. Missing if the series is absent or has too few sizes.
     pub fn slope(&self, name: &str, unit: Unit, up_to: &Figure) -> Figure {
         let Some((series, factor)) = self.series(name, unit) else {
             return Figure::missing(name);
@@ -233,7 +238,8 @@
         Figure::new(fit.slope * factor).derived_from(name, description)
     }
 
-    /// The value of `const NAME: T = ...;` in a source file: a product of integers, or a duration in seconds.
+    /// The value of `const NAME: T = ...;` in a source file: a product of numbers and shifts, or a `Duration`, in seconds.
+    /// Missing if the file has no such constant; reports an error for any other expression.
     pub fn constant(&self, file: &str, name: &str) -> Figure {
         let text = std::fs::read_to_string(self.root.join(file)).unwrap_or_default();
         let Some(expression) = find_constant(&text, name) else {
@@ -248,7 +254,7 @@
         }
     }
 
-    /// The first numeric value of a struct field, `name: 123,`, in a source file.
+    /// The first numeric value of a struct field, `name: 123,`, in a source file; missing if there is none.
     pub fn struct_field(&self, file: &str, name: &str) -> Figure {
         let text = std::fs::read_to_string(self.root.join(file)).unwrap_or_default();
         let begin = format!("{name}: ");
@@ -329,7 +335,7 @@
     Some(expression.trim().to_owned())
 }
 
-/// Evaluates a product of integers or shifts, or a `Duration` in seconds.
+/// Evaluates a product of numbers and shifts, or a `Duration`, which gives seconds.
 fn parse_number(expression: &str) -> Option<f64> {
     if let Some(rest) = expression.strip_prefix("Duration::from_") {
         let (unit, rest) = rest.split_once('(')?;
--- a/crates/fleet-rig/src/capacity/mod.rs
+++ b/crates/fleet-rig/src/capacity/mod.rs
@@ -14,12 +14,12 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Path of the generated page, relative to the workspace root.
+/// Path of the page with the generated tables, relative to the workspace root.
 pub const PAGE: &str = "docs/CAPACITY.md";
 /// Path of the page of open questions; each assumption names one of its headings.
 pub const QUESTIONS: &str = "docs/QUESTIONS.md";
 
-/// All tables by name. Fails with every error found in the input data.
+/// Generates all tables, as Markdown by the name in the page's markers. Fails with every error found in the input data.
 pub fn tables(inputs: &Inputs) -> Result<BTreeMap<&'static str, String>, Vec<String>> {
     let groups = [
         ("balancer-flat", control::balancer_flat(inputs)),
@@ -40,12 +40,12 @@
             "assumptions",
             data_path::parameter_table(&inputs.parameters.assumptions, true),
         ),
-        ("shared", dependencies::shared(inputs)),
+        ("shared", dependencies::shared_state(inputs)),
         ("troubles", dependencies::failure_scenarios(inputs)),
         ("series", data_path::series_table(inputs)),
         ("ranking", rank::table(inputs, &groups, false)),
         ("ranking-built", rank::table(inputs, &groups, true)),
-        ("left", rank::missing_measurements(&groups)),
+        ("left", rank::missing_inputs(&groups)),
     ]);
     tables.extend(
         groups
@@ -111,7 +111,8 @@
         .collect()
 }
 
-/// Regenerates the page under a workspace root. With `check` it writes nothing and fails if the page is out of date.
+/// Regenerates the page under a workspace root. With `check` it writes nothing and fails if the page is out of date. Also
+/// fails if a file cannot be read or written, for invalid data, and for an assumption without a question.
 pub fn run(root: &Path, check: bool) -> Result<(), String> {
     let read =
         |file: &str| std::fs::read_to_string(root.join(file)).map_err(|e| format!("{file}: {e}"));
--- a/crates/fleet-rig/src/capacity/rank.rs
+++ b/crates/fleet-rig/src/capacity/rank.rs
@@ -11,9 +11,9 @@
 
 type Groups<'a> = &'a [(&'static str, Vec<Row>)];
 
-/// Ranks rows by how far they exceed their limit: first rows beyond a limit in the code or that are never reached, then
-/// rows without a mechanism, rows over their limit, and rows near it. Covers the tables of the follower design with
-/// `follow_design`, and all others without.
+/// Ranks rows by severity, and rows of the same severity by the ratio of estimate to limit. In descending severity: rows
+/// over a limit in the code or with an infinite estimate, rows without a mechanism, rows over another limit, and rows near
+/// their limit. `follow_design` selects the tables of the follow design; otherwise all other tables are ranked.
 pub fn table(inputs: &Inputs, groups: Groups, follow_design: bool) -> String {
     let mut ranked: Vec<(u8, f64, &str, &Row)> = Vec::new();
     for (name, rows) in groups {
@@ -33,7 +33,7 @@
         }
     }
     ranked.sort_by(|a, b| a.0.cmp(&b.0).then(b.1.total_cmp(&a.1)));
-    // Only the worst scenario of a row is listed, with the number of others.
+    // Of each quantity only the worst scenario is listed, with the number of its other ranked scenarios.
     let mut scenario_counts: BTreeMap<(&str, &str), usize> = BTreeMap::new();
     for (_, _, name, row) in &ranked {
         *scenario_counts.entry((name, &row.quantity)).or_default() += 1;
@@ -71,8 +71,8 @@
     text
 }
 
-/// Lists missing inputs, with the number of rows that need each.
-pub fn missing_measurements(groups: Groups) -> String {
+/// Lists the missing measurements and constants, with the number of rows that need each.
+pub fn missing_inputs(groups: Groups) -> String {
     let mut missing: BTreeMap<String, usize> = BTreeMap::new();
     for row in groups.iter().flat_map(|(_, rows)| rows) {
         for name in row.missing() {
--- a/crates/fleet-rig/src/capacity/row.rs
+++ b/crates/fleet-rig/src/capacity/row.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 use std::fmt::Write;
 
-/// Text for an event that never occurred within the observed time.
+/// Text for an estimate that is infinite because the event never occurred within the observed time.
 pub const NEVER_REACHED: &str = "did not come about";
 
 /// The upper limit of a row's estimate.
@@ -54,9 +54,9 @@
     pub unit: Unit,
     /// Upper limit of the estimate.
     pub limit: Limit,
-    /// The estimate.
+    /// The estimated value, with its sources.
     pub estimate: Figure,
-    /// The mechanism that provides it.
+    /// The mechanism that provides the quantity.
     pub mechanism: Mechanism,
     /// The remedy if the limit is exceeded; empty if it is `mechanism` itself.
     pub remedy: &'static str,
@@ -197,9 +197,13 @@
         Some(value) if value.is_infinite() => NEVER_REACHED.to_owned(),
         Some(value) => unit.format(value),
         None => {
-            let missing: Vec<String> = figure.missing.iter().map(|l| format!("`{l}`")).collect();
+            let missing: Vec<String> = figure
+                .missing
+                .iter()
+                .map(|name| format!("`{name}`"))
+                .collect();
             // Constants are read from source files rather than measured.
-            let what = match figure.missing.iter().all(|l| l.contains(".rs: ")) {
+            let what = match figure.missing.iter().all(|name| name.contains(".rs: ")) {
                 true => "not there",
                 false => "not measured",
             };
