--- a/crates/fleet-rig/src/capacity/control.rs
+++ b/crates/fleet-rig/src/capacity/control.rs
@@ -1,6 +1,6 @@
 //! Control-plane estimates for a balancer and a control instance, for two designs: one gossip cluster of all balancers
-//! (flat), and balancers that each follow two of the control instances (follow). A duty is a task that one instance at a
-//! time runs while it holds the task's lease.
+//! (flat), and balancers that each follow two of the control instances (follow). A duty is a task that one instance at
+//! a time runs while it holds the task's lease.
 
 use super::figure::{Figure, Unit};
 use super::inputs::Inputs;
@@ -416,8 +416,8 @@
     rows
 }
 
-/// A duration from the simulated start of `starting` balancers at once, converted from ms to seconds. `pointer` is the JSON
-/// pointer to it within the run.
+/// A duration from the simulated start of `starting` balancers at once, converted from ms to seconds. `pointer` is the
+/// JSON pointer to it within the run.
 fn start_duration(inputs: &Inputs, entries: u32, starting: f64, pointer: &str) -> Figure {
     let starts = inputs
         .simulation_runs
@@ -527,8 +527,8 @@
             inputs.value_at("control-memory", Unit::Bytes, fleet_size()),
         ));
     }
-    // A control instance holds each entry twice: in its source, like a balancer, and in its node's gossip store. The series
-    // was measured with 630 entries.
+    // A control instance holds each entry twice: in its source, like a balancer, and in its node's gossip store. The
+    // series was measured with 630 entries.
     let per_entry = inputs.slope("follow-memory-entries", Unit::Bytes, &entries(inputs));
     rows.push(row(
         "memory, all entries, on the board too",
@@ -548,8 +548,8 @@
             change_bytes(changes),
         ));
     }
-    // Bytes of entries per second at the configured rate: a datagram without the OVERHEAD of its encryption (50 bytes) and
-    // the message header.
+    // Bytes of entries per second at the configured rate: a datagram without the OVERHEAD of its encryption (50 bytes)
+    // and the message header.
     let budget = || {
         let entry_bytes = inputs.constant(AUTHENTICATION_FILE, "MAX_DATAGRAM")
             - 50.0
@@ -587,8 +587,8 @@
         )
         .provided_by(RATE_LIMITER),
     );
-    // A new holder of the duty `list` publishes every server again. If the change log can hold all of these entries, both
-    // sources send them to a follower; otherwise the follower compares with one source and receives them once.
+    // A new holder of the duty `list` publishes every server again. If the change log can hold all of these entries,
+    // both sources send them to a follower; otherwise the follower compares with one source and receives them once.
     let change_log = inputs.struct_field(SOURCE_CONFIG_FILE, "change_log_capacity");
     let copies = match (inputs.parameter("servers").value(), change_log.value()) {
         (Some(servers), Some(change_log)) if servers <= change_log => 2.0,
--- a/crates/fleet-rig/src/capacity/figure.rs
+++ b/crates/fleet-rig/src/capacity/figure.rs
@@ -1,4 +1,5 @@
-//! A number together with its provenance: arithmetic merges the sources, and a result with a missing source has no value.
+//! A number together with its provenance: arithmetic merges the sources, and a result with a missing source has no
+//! value.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Add, Div, Mul, Sub};
@@ -104,14 +105,15 @@
     sign.to_owned() + &out
 }
 
-/// A number with its provenance. It has no value if one of its sources was not measured or does not exist; it is infinite
-/// for an event that never occurred.
+/// A number with its provenance. It has no value if one of its sources was not measured or does not exist; it is
+/// infinite for an event that never occurred.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Figure {
     value: f64,
     /// Sources that are missing.
     pub missing: BTreeSet<String>,
-    /// Measured series, simulation runs and other rows the figure is derived from, each with its description on the page.
+    /// Measured series, simulation runs and other rows the figure is derived from, each with its description on the
+    /// page.
     pub series: BTreeMap<String, String>,
     /// Assumptions the figure is derived from.
     pub assumptions: BTreeSet<String>,
--- a/crates/fleet-rig/src/capacity/inputs.rs
+++ b/crates/fleet-rig/src/capacity/inputs.rs
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Reads the data files under a workspace root. Measurement files may be absent. Fails if the file of assumptions is
-    /// absent, or if a file cannot be read or parsed.
+    /// Reads the data files under a workspace root. Measurement files may be absent. Fails if the file of assumptions
+    /// is absent, or if a file cannot be read or parsed.
     pub fn read(root: &Path) -> Result<Self, String> {
         let measured = MeasuredSeries::read(&root.join("docs/measured/scale.json"))?;
         let parameters = read(&root.join("docs/measured/assumptions.json"))?;
@@ -137,8 +137,8 @@
         }
     }
 
-    /// The value of a series at a size: interpolated between measured sizes, extrapolated by the fitted line beyond them.
-    /// Missing if the series is absent or has too few sizes; reports an error if it is not in `unit`.
+    /// The value of a series at a size: interpolated between measured sizes, extrapolated by the fitted line beyond
+    /// them. Missing if the series is absent or has too few sizes; reports an error if it is not in `unit`.
     pub fn value_at(&self, name: &str, unit: Unit, size: Figure) -> Figure {
         let Some((series, factor)) = self.series(name, unit) else {
             return size * Figure::missing(name);
@@ -153,9 +153,9 @@
         figure
     }
 
-    /// Like [`Self::value_at`], for an event that may not occur in large runs. The series `name` has only the sizes at which
-    /// the event occurred, and `all_runs` every size that was run. The result is infinite from the first size of `all_runs`
-    /// that is larger than all sizes of `name`.
+    /// Like [`Self::value_at`], for an event that may not occur in large runs. The series `name` has only the sizes at
+    /// which the event occurred, and `all_runs` every size that was run. The result is infinite from the first size of
+    /// `all_runs` that is larger than all sizes of `name`.
     pub fn value_at_if_reached(
         &self,
         name: &str,
@@ -188,9 +188,9 @@
         Figure::new(f64::INFINITY).derived_from(name, description)
     }
 
-    /// A result of a single simulation run at full fleet size. The run is the one in the array `list` whose `field` equals
-    /// `value`; `pointer` is the JSON pointer to the result within the run, and `unit_factor` converts it to the base unit.
-    /// A result of `null` is infinite; without the run or the result, the figure is missing.
+    /// A result of a single simulation run at full fleet size. The run is the one in the array `list` whose `field`
+    /// equals `value`; `pointer` is the JSON pointer to the result within the run, and `unit_factor` converts it to the
+    /// base unit. A result of `null` is infinite; without the run or the result, the figure is missing.
     pub fn simulated(
         &self,
         list: &str,
@@ -224,8 +224,8 @@
         Figure::new(result * unit_factor).derived_from(&name, description)
     }
 
-    /// The growth of a series per unit of size. `up_to` is the largest size the slope is used for; the description reports
-    /// the extrapolation to it. Missing if the series is absent or has too few sizes.
+    /// The growth of a series per unit of size. `up_to` is the largest size the slope is used for; the description
+    /// reports the extrapolation to it. Missing if the series is absent or has too few sizes.
     pub fn slope(&self, name: &str, unit: Unit, up_to: &Figure) -> Figure {
         let Some((series, factor)) = self.series(name, unit) else {
             return Figure::missing(name);
@@ -238,8 +238,8 @@
         Figure::new(fit.slope * factor).derived_from(name, description)
     }
 
-    /// The value of `const NAME: T = ...;` in a source file: a product of numbers and shifts, or a `Duration`, in seconds.
-    /// Missing if the file has no such constant; reports an error for any other expression.
+    /// The value of `const NAME: T = ...;` in a source file: a product of numbers and shifts, or a `Duration`, in
+    /// seconds. Missing if the file has no such constant; reports an error for any other expression.
     pub fn constant(&self, file: &str, name: &str) -> Figure {
         let text = std::fs::read_to_string(self.root.join(file)).unwrap_or_default();
         let Some(expression) = find_constant(&text, name) else {
--- a/crates/fleet-rig/src/capacity/mod.rs
+++ b/crates/fleet-rig/src/capacity/mod.rs
@@ -111,8 +111,8 @@
         .collect()
 }
 
-/// Regenerates the page under a workspace root. With `check` it writes nothing and fails if the page is out of date. Also
-/// fails if a file cannot be read or written, for invalid data, and for an assumption without a question.
+/// Regenerates the page under a workspace root. With `check` it writes nothing and fails if the page is out of date.
+/// Also fails if a file cannot be read or written, for invalid data, and for an assumption without a question.
 pub fn run(root: &Path, check: bool) -> Result<(), String> {
     let read =
         |file: &str| std::fs::read_to_string(root.join(file)).map_err(|e| format!("{file}: {e}"));
--- a/crates/fleet-rig/src/capacity/rank.rs
+++ b/crates/fleet-rig/src/capacity/rank.rs
@@ -11,9 +11,10 @@
 
 type Groups<'a> = &'a [(&'static str, Vec<Row>)];
 
-/// Ranks rows by severity, and rows of the same severity by the ratio of estimate to limit. In descending severity: rows
-/// over a limit in the code or with an infinite estimate, rows without a mechanism, rows over another limit, and rows near
-/// their limit. `follow_design` selects the tables of the follow design; otherwise all other tables are ranked.
+/// Ranks rows by severity, and rows of the same severity by the ratio of estimate to limit. In descending severity:
+/// rows over a limit in the code or with an infinite estimate, rows without a mechanism, rows over another limit, and
+/// rows near their limit. `follow_design` selects the tables of the follow design; otherwise all other tables are
+/// ranked.
 pub fn table(inputs: &Inputs, groups: Groups, follow_design: bool) -> String {
     let mut ranked: Vec<(u8, f64, &str, &Row)> = Vec::new();
     for (name, rows) in groups {
--- a/crates/fleet-rig/src/distribution/chaos.rs
+++ b/crates/fleet-rig/src/distribution/chaos.rs
@@ -1,5 +1,6 @@
 //! Runs with random faults drawn from a seed: crashes, restarts without state, freezes, cuts between arbitrary sets of
-//! instances (also one-way), lost, duplicated, delayed and forged datagrams. All faults end before the final check.
+//! instances (also one-way), lost, duplicated, delayed and forged datagrams. All faults end before the final check,
+//! with time for recovery.
 
 use super::checker::Violation;
 use super::world::{CONTROLS, Fault, InjectedBug, Plan, REGIONS, World, key};
@@ -10,18 +11,19 @@
 
 /// Start of the followers, in ms; by then the control instances have formed a cluster and written the first rows.
 const FOLLOWERS_START: Millis = 15_000;
-/// First and last time of new faults, in ms.
+/// Span in which faults are generated, in ms. The last one begins up to 4 s after its end.
 const FAULT_SPAN: (Millis, Millis) = (20_000, 170_000);
-/// End of all faults and changes, in ms.
+/// Time at which all faults end, in ms. The last change and the last forged datagram follow within a second.
 const HEALED_AT: Millis = 175_000;
 /// Time of the final check, in ms.
 const CHECKED_AT: Millis = 265_000;
-/// Largest number of control instances that are down, frozen or still recovering at the same time.
+/// Largest number of control instances that are down, frozen or still recovering at the same time. A majority of the
+/// nine voters stays unimpaired.
 const MAX_IMPAIRED: usize = 4;
 /// Time in which a control instance that restarted without state has received all entries again, in ms.
 const RECOVERY_TIME: Millis = 30_000;
 
-/// Result of one seed.
+/// Result of [`run_seed`].
 #[derive(Clone, Debug)]
 pub struct Outcome {
     /// The seed.
@@ -30,13 +32,13 @@
     pub violations: BTreeMap<Violation, u64>,
     /// Descriptions of the first violations.
     pub descriptions: Vec<String>,
-    /// Number of injected faults.
+    /// Number of scheduled fault events. The event that ends a fault is counted too.
     pub faults: usize,
-    /// Number of changes of the truth.
+    /// Number of changes of the list at discovery.
     pub changes: usize,
     /// Number of checked entries.
     pub checks: u64,
-    /// Counters of all sources and followers, added up.
+    /// Counters of all running sources and followers at the end of the run, added up.
     pub counted: BTreeMap<String, u64>,
 }
 
@@ -47,7 +49,7 @@
     }
 }
 
-/// Runs one seed.
+/// Runs a simulation with the faults and changes of one seed, and checks it after recovery.
 pub fn run_seed(seed: u64, followers: usize, injected_bug: InjectedBug) -> Outcome {
     let plan = Plan {
         followers,
@@ -118,7 +120,7 @@
     let seed = world.random().next_u64();
     let random = &mut <ChaCha8Rng as rand::SeedableRng>::seed_from_u64(seed);
     let mut faults = Vec::new();
-    // Until when each control instance is impaired, and each process is affected by a fault.
+    // The times until which each control instance is impaired and each process is down or frozen.
     let mut impaired_until = [0; CONTROLS];
     let mut busy_until = vec![0; all];
     let mut at = FAULT_SPAN.0;
@@ -154,8 +156,11 @@
             6 => {
                 // All followers of a region restart at once.
                 let region = &splits[random.random_range(0..REGIONS)].0;
-                let of = region.iter().copied().filter(|i| *i >= CONTROLS);
-                for i in of.filter(|i| busy_until[*i] <= at).collect::<Vec<_>>() {
+                let region_followers = region.iter().copied().filter(|i| *i >= CONTROLS);
+                for i in region_followers
+                    .filter(|i| busy_until[*i] <= at)
+                    .collect::<Vec<_>>()
+                {
                     busy_until[i] = at + 101;
                     faults.extend([(at, Fault::Kill(i)), (at + 100, Fault::Start(i))]);
                 }
@@ -200,7 +205,7 @@
     faults
 }
 
-/// Runs a range of seeds on `jobs` threads; returns the results in order of the seeds.
+/// Runs a range of seeds on `jobs` threads; returns the results in order of the seeds. Panics if a run panics.
 pub fn run_seeds(seeds: std::ops::Range<u64>, followers: usize, jobs: usize) -> Vec<Outcome> {
     let next = std::sync::atomic::AtomicU64::new(seeds.start);
     let work = || {
@@ -216,7 +221,9 @@
     let mut all: Vec<Outcome> = std::thread::scope(|scope| {
         let threads: Vec<_> = (0..jobs).map(|_| scope.spawn(work)).collect();
         let joined = threads.into_iter().map(|t| t.join());
-        joined.flat_map(|of| of.expect("a run panicked")).collect()
+        joined
+            .flat_map(|outcomes| outcomes.expect("a run panicked"))
+            .collect()
     });
     all.sort_by_key(|outcome| outcome.seed);
     all
--- a/crates/fleet-rig/src/distribution/checker.rs
+++ b/crates/fleet-rig/src/distribution/checker.rs
@@ -13,37 +13,40 @@
 pub enum Violation {
     /// A follower holds a lower version of an entry than before, or has lost an entry.
     Back,
-    /// A follower holds an entry that it held as removed, now at a lower version.
+    /// A follower that held a removal of an entry holds the entry again, at a lower version.
     Returned,
     /// A follower holds an entry that was never written.
     Invented,
-    /// Two values were written under one version.
+    /// Two different values were written under the same key and version.
     Twofold,
     /// After recovery a follower or the writer lacks an entry, or holds a different one.
     Lost,
 }
 
-/// One change of the truth.
+/// One change of the list at discovery.
 #[derive(Clone, Debug)]
 pub struct Change {
     /// The changed key.
     pub key: u64,
     /// Time of the change, in ms.
     pub at: Millis,
-    /// For each follower, when it first held the change or a later change of the key.
+    /// Followers that hold the change or a later change of the key, each with the time when it first did, in ms.
     pub effective_at: Vec<(u32, Millis)>,
 }
 
 /// Checks what followers hold against what was written.
 #[derive(Debug, Default)]
 pub struct Checker {
-    /// By key and version: the hash of the value, and the index after the key's last change at the time of the write.
+    /// By key and version: the hash of the value, and the end of the range of `changes` that the write includes: the
+    /// index of the key's last change before the write plus one, or 0.
     written: HashMap<(u64, u64), (u64, usize)>,
-    /// By follower and key: the version held, whether it is a removal, and the index after the last change it contains.
+    /// By follower and key: the version held, whether it is a removal, and the end of the range of `changes` that it
+    /// includes, as in `written`.
     held: Vec<HashMap<u64, (u64, bool, usize)>>,
     /// All changes, in order.
     pub changes: Vec<Change>,
-    by_key: HashMap<u64, Vec<usize>>,
+    /// The indices in `changes` of each key's changes.
+    changes_by_key: HashMap<u64, Vec<usize>>,
     /// Number of violations of each kind.
     pub violations: BTreeMap<Violation, u64>,
     /// Descriptions of the first violations.
@@ -79,9 +82,12 @@
         }
     }
 
-    /// Records a change of the truth.
+    /// Records a change of the list at discovery.
     pub fn record_change(&mut self, now: Millis, key: u64) {
-        self.by_key.entry(key).or_default().push(self.changes.len());
+        self.changes_by_key
+            .entry(key)
+            .or_default()
+            .push(self.changes.len());
         self.changes.push(Change {
             key,
             at: now,
@@ -89,10 +95,13 @@
         });
     }
 
-    /// Records an entry written by a control instance.
+    /// Records an entry written by a control instance; reports a second value for the same key and version.
     pub fn record_write(&mut self, now: Millis, writer: usize, entry: &GossipEntry) {
         let value = xxh3_64(&entry.value);
-        let last = self.by_key.get(&entry.key).and_then(|of| of.last());
+        let last = self
+            .changes_by_key
+            .get(&entry.key)
+            .and_then(|indices| indices.last());
         let change = last.map_or(0, |last| last + 1);
         let place = (entry.key, entry.version);
         let (before, _) = *self.written.entry(place).or_insert((value, change));
@@ -113,7 +122,7 @@
         self.held[follower].clear();
     }
 
-    /// Checks an entry that a follower holds.
+    /// Checks an entry that a follower holds, and records the changes that have taken effect with it.
     pub fn check_entry(&mut self, now: Millis, follower: usize, entry: &GossipEntry) {
         self.checks += 1;
         let before = self.held[follower].get(&entry.key).copied();
@@ -143,8 +152,8 @@
             self.report(kind, text());
         }
         let seen = before.map_or(0, |before| before.2);
-        if let Some(of) = self.by_key.get(&entry.key) {
-            for n in of.iter().filter(|n| (seen..change).contains(*n)) {
+        if let Some(indices) = self.changes_by_key.get(&entry.key) {
+            for n in indices.iter().filter(|n| (seen..change).contains(*n)) {
                 self.changes[*n].effective_at.push((follower as u32, now));
             }
         }
@@ -152,7 +161,7 @@
         self.held[follower].insert(entry.key, now_held);
     }
 
-    /// Checks all entries of a follower; none that it held before may be missing.
+    /// Checks all entries of a follower; reports if there are fewer than it held before.
     pub fn check_all<'a>(
         &mut self,
         now: Millis,
--- a/crates/fleet-rig/src/distribution/measure.rs
+++ b/crates/fleet-rig/src/distribution/measure.rs
@@ -1,6 +1,6 @@
-//! Measurements at fleet size: propagation delay of changes, costs of a balancer and of a control instance, a region cut
-//! off for an hour, and simultaneous starts. Results are stored as data, part by part, and the page is generated from
-//! them.
+//! Measurements at fleet size: propagation delay of changes, costs of a balancer and of a control instance, a region
+//! cut off for an hour, and simultaneous starts. Each part replaces its own results in a JSON file, from which the page
+//! is generated.
 
 use super::chaos;
 use super::checker::Violation;
@@ -44,7 +44,8 @@
 /// Name of the source counter for datagrams with entries or hashes.
 const PIECES_COUNTER: &str = "pieces";
 
-/// The configured rate of a source, and the most datagrams its `RateLimiter` allows in any one second.
+/// The configured rate of a source, and the most datagrams its `RateLimiter` allows in any one second, except that the
+/// datagrams of one further reservation are left out.
 fn budget() -> (u64, u64) {
     let limits = Limits::default();
     let rate = u64::from(limits.datagrams_per_second);
@@ -78,7 +79,8 @@
     pub each: Spread,
     /// Delay of each change until the last follower held it.
     pub everywhere: Spread,
-    /// Pairs of change and follower not in effect half a minute after the last change.
+    /// Pairs of a change and a follower at which it was not in effect when the run ended, half a minute or more after
+    /// the last change.
     pub missing: usize,
     /// Wall-clock time of the run, in seconds.
     pub wall: f64,
@@ -95,7 +97,7 @@
     pub datagrams: f64,
     /// CPU time in microseconds.
     pub cpu: f64,
-    /// Allocated bytes.
+    /// Allocated bytes, at the end of the measurement.
     pub memory: f64,
 }
 
@@ -154,13 +156,13 @@
     pub entries: usize,
     /// Time from the end of the cut until a change is in effect, for each change and follower of the region.
     pub each: Spread,
-    /// Pairs of change and follower not in effect a minute after the end of the cut.
+    /// Pairs of a change and a follower of the region at which it was not in effect a minute after the end of the cut.
     pub missing: usize,
     /// Bytes received by the region's balancers in the minute after the cut, less those of a minute at rest.
     pub bytes: f64,
-    /// Size of all entries, times the region's balancers.
+    /// Size of all entries in bytes, times the region's balancers.
     pub all: f64,
-    /// Size of the changed entries, times the region's balancers.
+    /// Size of the changed entries in bytes, times the region's balancers.
     pub changed: f64,
     /// Time from the end of the cut until the region's own control instances hold all entries, in ms; `None` if longer
     /// than a minute. They receive the entries by the comparison of gossip stores.
@@ -190,7 +192,8 @@
     pub bytes: u64,
     /// The most datagrams that a control instance sent in any second.
     pub datagrams: u64,
-    /// Limits for `pieces`: the configured rate of a source, and the most its rate limiter allows in any second.
+    /// Limits for `pieces`: the configured rate of a source, and the most its rate limiter allows in any second
+    /// (without the one reservation by which the limiter may exceed it).
     pub budget: (u64, u64),
     /// Increase of the counters of sources and followers during the start.
     pub counted: BTreeMap<String, u64>,
@@ -207,7 +210,7 @@
     pub seeds: u64,
     /// Number of balancers in each run.
     pub followers: usize,
-    /// Total number of injected faults.
+    /// Total number of scheduled fault events. The event that ends a fault is counted too.
     pub faults: usize,
     /// Total number of changes.
     pub changes: usize,
@@ -225,7 +228,7 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Results {
-    /// Processor of the machine of the last run.
+    /// Number of cores and processor model of the machine of the last run.
     pub machine: String,
     delays: Vec<Delay>,
     costs: Vec<Cost>,
@@ -302,6 +305,7 @@
 }
 
 /// Measures the time until changes are in effect, at the required rate over `minutes` with a burst in the middle.
+/// `loss` is the share of lost datagrams.
 pub fn measure_delay(
     what: &str,
     followers: usize,
@@ -335,7 +339,7 @@
     times.extend((0..BURST).map(|_| middle + world.random().random_range(0..60_000)));
     for (n, at) in times.iter().enumerate() {
         let fault = match n % 8 {
-            // Of eight rows one is removed, one is new, and the others change.
+            // Of eight changes one removes a row, one adds a row, and the others change a row.
             0 => Fault::Remove(key(SERVERS - 1 - n)),
             1 => Fault::Set(key(SERVERS + n)),
             _ => Fault::Set(key(n * 3 % (SERVERS / 2))),
@@ -378,8 +382,9 @@
     }
 }
 
-fn fold(all: &[Spent], with: fn(f64, f64) -> f64, by: f64) -> Spent {
-    let of = |value: fn(&Spent) -> f64| all.iter().map(value).fold(0.0, with) / by;
+/// Folds each resource over all instances, and divides the result.
+fn fold(all: &[Spent], with: fn(f64, f64) -> f64, divisor: f64) -> Spent {
+    let of = |value: fn(&Spent) -> f64| all.iter().map(value).fold(0.0, with) / divisor;
     Spent {
         bytes: of(|s| s.bytes),
         datagrams: of(|s| s.datagrams),
@@ -396,7 +401,7 @@
     fold(all, f64::max, 1.0)
 }
 
-/// Measures resource usage at rest, over `seconds`.
+/// Measures resource usage at rest, over `seconds` of virtual time.
 pub fn measure_cost(followers: usize, entries: usize, seconds: u64, seed: u64) -> Cost {
     let start = Instant::now();
     let plan = Plan {
@@ -432,7 +437,7 @@
     }
 }
 
-/// Measures followers that start one after another, a second apart.
+/// Measures the time until followers are synchronized and the memory they allocate, if they start a second apart.
 pub fn measure_filling(entries: usize, followers: usize, seed: u64) -> Filling {
     let start = Instant::now();
     let plan = Plan {
@@ -454,6 +459,7 @@
     }
     let durations = world.followers().map(|i| match world.synchronized_at[i] {
         Some(at) => at - world.started_at[i],
+        // Not synchronized within the run, whose duration is counted instead.
         None => world.now,
     });
     let until_full = summarize(durations.collect::<Vec<_>>());
@@ -467,7 +473,7 @@
     }
 }
 
-/// Measures a region that is cut off for `seconds` while changes are made elsewhere.
+/// Measures a region that is cut off for `seconds` of virtual time while changes are made elsewhere.
 pub fn measure_cut(
     what: &str,
     followers: usize,
@@ -731,12 +737,13 @@
     Ok(sound)
 }
 
-/// Runs one part and stores its results: data, page, series and charts.
+/// Runs one part and stores its results: data, page, series and charts. Fails if a file cannot be read or written, or
+/// if a run over sockets fails.
 pub fn run(folder: &Path, part: Part) -> Result<(), String> {
     match part {
         Part::Delay => {
             let minutes = 10;
-            let plays = [
+            let runs = [
                 ("1% loss", 0.01, Failures::None),
                 ("5% loss", 0.05, Failures::None),
                 (
@@ -757,10 +764,13 @@
             ];
             let mut delays = Vec::new();
             std::thread::scope(|scope| {
-                let plays = plays.map(|(what, loss, failures)| {
+                let runs = runs.map(|(what, loss, failures)| {
                     scope.spawn(move || measure_delay(what, BALANCERS, loss, failures, minutes, 1))
                 });
-                delays.extend(plays.into_iter().map(|p| p.join().expect("a run panicked")));
+                delays.extend(
+                    runs.into_iter()
+                        .map(|run| run.join().expect("a run panicked")),
+                );
             });
             delays.iter().for_each(|d| println!("{d:?}"));
             update_results(folder, |results| results.delays = delays)
@@ -792,7 +802,7 @@
         Part::Cut => {
             let mut cuts = Vec::new();
             std::thread::scope(|scope| {
-                let plays = [
+                let runs = [
                     ("a region for an hour", 3600, SERVERS, false),
                     ("a region for an hour, 5,000 entries", 3600, 5000, false),
                 ]
@@ -801,7 +811,10 @@
                         measure_cut(what, BALANCERS, entries, seconds, 240, republish_all, 1)
                     })
                 });
-                cuts.extend(plays.into_iter().map(|p| p.join().expect("a run panicked")));
+                cuts.extend(
+                    runs.into_iter()
+                        .map(|run| run.join().expect("a run panicked")),
+                );
             });
             cuts.iter().for_each(|c| println!("{c:?}"));
             update_results(folder, |results| results.cuts = cuts)
@@ -809,7 +822,7 @@
         Part::Start => {
             let mut starts = Vec::new();
             std::thread::scope(|scope| {
-                let plays = [
+                let runs = [
                     (SERVERS, Some(1)),
                     (SERVERS, None),
                     (5000, Some(1)),
@@ -818,7 +831,10 @@
                 .map(|(entries, region)| {
                     scope.spawn(move || measure_simultaneous_start(BALANCERS, entries, region, 1))
                 });
-                starts.extend(plays.into_iter().map(|p| p.join().expect("a run panicked")));
+                starts.extend(
+                    runs.into_iter()
+                        .map(|run| run.join().expect("a run panicked")),
+                );
             });
             starts.iter().for_each(|s| println!("{s:?}"));
             update_results(folder, |results| results.starts = starts)
@@ -849,7 +865,7 @@
     instances, 6 regions, 13 zones, one way 1 ms in a zone, 2 ms in a region, 40 to 120 ms between regions and up to a \
     fifth more; 1% lost, 1% doubled; no sockets, no clients, no relay";
 
-/// Stores the medians of the runs as series.
+/// Stores the median of the runs at each size as series.
 fn update_series(folder: &Path, costs: &[Cost], fillings: &[Filling]) -> Result<(), String> {
     let mut all = BTreeMap::new();
     let command = "cargo run --release -p spanspur-fleet-rig -- distribution";
@@ -1273,7 +1289,7 @@
          processor time within the instances' calls alone, that of the busiest control instance.\n\n\
          | balancers | run | until full, ms | each: p50 / p99 / last, ms | everywhere: p50 / p99 / last, ms | missing | lost: until full / later, unsent | balancer: B/s | datagrams/s | us/s | kernel | control: kB/s | datagrams/s | us/s | kernel | s of ours |\n\
          | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
-    let part =
+    let percent =
         |kernel: Option<f64>| kernel.map_or("-".to_owned(), |k| format!("{:.0}%", k * 100.0));
     for s in &results.sockets {
         let full = s.until_full.map_or_else(
@@ -1293,11 +1309,11 @@
             s.follow.bytes,
             s.follow.datagrams,
             s.follow.cpu,
-            part(s.follow.kernel),
+            percent(s.follow.kernel),
             s.control.bytes / 1000.0,
             s.control.datagrams,
             s.control.cpu,
-            part(s.control.kernel),
+            percent(s.control.kernel),
             s.wall
         )?;
         let costs = results.costs.iter();
--- a/crates/fleet-rig/src/distribution/mod.rs
+++ b/crates/fleet-rig/src/distribution/mod.rs
@@ -1,6 +1,7 @@
-//! Simulation of the distribution in virtual time: control instances, each a real cluster node with a real source, and
-//! up to thousands of real followers, including their encrypted datagrams. Network, clocks, crashes and pauses are drawn
-//! from a seed; a checker that records all writes verifies what the followers hold.
+//! Simulation of the distribution, which replicates entries from control instances to balancers (followers). It runs in
+//! virtual time: control instances, each a real cluster node with a real source, and up to thousands of real followers,
+//! including their encrypted datagrams. Network, clocks, crashes and pauses are drawn from a seed; a checker that
+//! records all writes verifies what the followers hold.
 //!
 //! | module | contents |
 //! | --- | --- |
--- a/crates/fleet-rig/src/distribution/sockets.rs
+++ b/crates/fleet-rig/src/distribution/sockets.rs
@@ -1,8 +1,9 @@
-//! The distribution over loopback sockets in real time, to verify the results of virtual time: nine control instances
-//! and many followers without a balancer in one process, each with the production driver and its own sockets.
+//! The distribution over loopback sockets in real time, to verify the results of the simulation in virtual time: nine
+//! control instances and many followers without a balancer in one process, each with the production driver and its own
+//! sockets.
 //!
 //! The control instances share one thread, the followers another. Entries are published through the gossip store of one
-//! control instance without holding a lease; it confirms the list as often as the holder of the duty would.
+//! control instance without holding a lease; it confirms the list as often as the lease holder would.
 
 use super::measure::{Spread, summarize};
 use super::world::{CONTROLS, PROBE_TIMING, VALUE_BYTES, key, location, name};
@@ -29,7 +30,7 @@
 
 /// Interval between checks whether all followers are synchronized or hold a change.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Interval between confirmations of the list, like those of the duty's holder.
+/// Interval between confirmations of the list, as often as those of the lease holder.
 const CONFIRM_INTERVAL: Duration = Duration::from_millis(250);
 /// Interval between changes.
 const CHANGE_INTERVAL: Duration = Duration::from_secs(1);
@@ -80,9 +81,10 @@
     pub followers: usize,
     /// Number of entries.
     pub entries: usize,
-    /// Time from the start of all instances until a balancer holds all entries.
+    /// Time from the start of all instances until a balancer holds all entries, over the balancers.
     pub until_all: Spread,
-    /// Time from the start of all instances until all balancers hold all entries and have completed a comparison, in ms.
+    /// Time from the start of all instances until all balancers hold all entries and have completed a comparison, in
+    /// ms.
     pub until_full: Option<u64>,
     /// Number of balancers that were synchronized at the end of the run.
     pub full: usize,
@@ -92,14 +94,14 @@
     pub everywhere: Spread,
     /// For each change and balancer that holds it: time from its publication.
     pub each: Spread,
-    /// Pairs of change and balancer that were not in effect at the end.
+    /// Pairs of a change and a balancer at which it was not in effect at the end.
     pub missing: usize,
     /// Mean of the balancers.
     pub follow: Rest,
     /// The control instance with the most bytes; its CPU time is the mean of all control instances.
     pub control: Rest,
-    /// Datagrams of all instances that were sent and not received, until synchronized and later. Datagrams in flight are
-    /// included.
+    /// Datagrams of all instances that were sent and not received, until all balancers were synchronized and later.
+    /// Datagrams in flight are included.
     pub lost: (u64, u64),
     /// Datagrams that a socket did not accept.
     pub unsent: u64,
@@ -171,8 +173,8 @@
 
 /// Queries to the followers' thread.
 enum Query {
-    /// Number of followers that hold all entries and are synchronized. If the flag is set, answers 0 without asking each
-    /// follower while some lack entries.
+    /// Number of followers that hold all entries and are synchronized. If the flag is set, answers 0 without asking
+    /// each follower while some lack entries.
     Synchronized(bool, oneshot::Sender<usize>),
     /// Number of followers that hold each change.
     Changed(oneshot::Sender<Vec<usize>>),
@@ -184,17 +186,22 @@
 
 #[derive(Clone, Debug, Default)]
 struct Timeline {
+    /// For each follower that holds all entries, when it first did.
     all: Vec<Instant>,
+    /// For each change, when each follower that holds it received it.
     changes: Vec<Vec<Instant>>,
 }
 
-/// Runs once. Fails if a socket cannot be bound or a thread does not answer.
+/// Runs the control instances and followers and measures them. Fails if a socket cannot be bound or a thread does not
+/// answer.
 pub fn run(config: SocketRunConfig) -> Result<Sockets, String> {
     let (cluster, sources) = (addresses(65)?, addresses(66)?);
-    let (queries, received_queries) = mpsc::unbounded_channel();
-    let at = sources.clone();
+    let (queries, query_receiver) = mpsc::unbounded_channel();
+    let source_addresses = sources.clone();
     let began = Instant::now();
-    let follow = std::thread::spawn(move || run_local(run_followers(config, at, received_queries)));
+    let follow = std::thread::spawn(move || {
+        run_local(run_followers(config, source_addresses, query_receiver))
+    });
     let result = run_local(run_controls(config, cluster, sources, began, queries));
     // The sender of queries is dropped, so the followers' thread ends.
     let followed = follow
@@ -209,7 +216,7 @@
     LocalSet::new().block_on(&runtime, run)
 }
 
-/// An address for each control instance, with a port that was free when probed.
+/// An address in 127.`net`.0.0/16 for each control instance, with a port that was free when probed.
 fn addresses(net: u8) -> Result<Vec<SocketAddr>, String> {
     let bound = (0..CONTROLS).map(|i| {
         let socket = UdpSocket::bind((Ipv4Addr::new(127, net, 0, 1 + i as u8), 0))?;
@@ -237,7 +244,7 @@
 async fn run_followers(
     config: SocketRunConfig,
     sources: Vec<SocketAddr>,
-    mut received_queries: mpsc::UnboundedReceiver<Query>,
+    mut query_receiver: mpsc::UnboundedReceiver<Query>,
 ) -> Result<(), String> {
     let times = Rc::new(RefCell::new(Timeline {
         changes: vec![Vec::new(); config.changes],
@@ -280,7 +287,7 @@
             }
         };
         let driver = FollowerDriver::start(setup, Box::new(on_update)).await;
-        all.push(driver.map_err(|e| format!("{host}: {e}"))?);
+        all.push(driver.map_err(|e| format!("cannot start the follower at {host}: {e}"))?);
     }
     let synchronized = |driver: &&FollowerDriver| match driver.answer().status {
         ReplicationStatus::Follower { status } => {
@@ -288,7 +295,7 @@
         }
         ReplicationStatus::Source { .. } => false,
     };
-    while let Some(query) = received_queries.recv().await {
+    while let Some(query) = query_receiver.recv().await {
         // A failed send is ignored: the receiver may have timed out.
         match query {
             Query::Synchronized(skip_if_incomplete, to) => {
@@ -334,14 +341,16 @@
         };
         let (node, mut updates) = Cluster::start(setup)
             .await
-            .map_err(|e| format!("{at}: {e}"))?;
+            .map_err(|e| format!("cannot start the cluster node at {at}: {e}"))?;
         let source = SourceDriver::start(SourceConfig {
             identity: identity(i, *source_address),
             keys: keys(),
             limits: Limits::default(),
             seed: i as u64,
         });
-        let source = source.await.map_err(|e| format!("{source_address}: {e}"))?;
+        let source = source
+            .await
+            .map_err(|e| format!("cannot start the source at {source_address}: {e}"))?;
         let to = source.clone();
         spawn_local(async move {
             while let Some(entry) = updates.recv().await {
@@ -399,7 +408,10 @@
     sent.map_err(|_| "the followers' thread has ended")?;
     match timeout(ANSWER_TIMEOUT, answer).await {
         Ok(Ok(answer)) => Ok(answer),
-        _ => Err("the followers' thread does not answer".to_owned()),
+        _ => Err(format!(
+            "the followers' thread did not answer within {} s",
+            ANSWER_TIMEOUT.as_secs()
+        )),
     }
 }
 
--- a/crates/fleet-rig/src/distribution/world.rs
+++ b/crates/fleet-rig/src/distribution/world.rs
@@ -1,10 +1,10 @@
 //! Control instances and followers in virtual time, with regions, zones and the network between them. A run is
 //! reproducible from its seed.
 //!
-//! The truth stands in for discovery: a map from keys to values. The control instance that holds the grant for the duty
-//! `list` watches the truth and publishes differences through its node's gossip store, with version
-//! `period << 20 | step`, and a head entry several times per second. Every control instance passes its own entries and
-//! those received by gossip to its source.
+//! The list at discovery is a map from keys to values. The control instance that holds the lease `list` is the writer:
+//! it watches that map and publishes differences through its node's gossip store, with the version `term << 20 |
+//! sequence`, and a heartbeat several times per second. Every control instance passes its own entries and those
+//! received by gossip to its source.
 
 use super::checker::{Checker, is_removed};
 use crate::ranking;
@@ -31,20 +31,21 @@
 pub const REGIONS: usize = 6;
 /// Number of zones in each region.
 pub const ZONES: [u32; REGIONS] = [3, 2, 2, 2, 2, 2];
-/// Datagrams queued for a frozen process, like in a kernel socket buffer; further ones are dropped.
+/// Largest number of datagrams queued for a frozen process, as in a kernel socket buffer; further ones are dropped.
 const KERNEL_BUFFER: usize = 256;
-/// Interval between publications of the head entry.
-const HEAD_INTERVAL: Millis = 250;
-/// Bits of a version that count the writes within one period of the duty.
-const STEP_BITS: u32 = 20;
-/// Delay from a change of the truth until the writer sees it.
+/// Interval between heartbeats, in ms.
+const HEARTBEAT_INTERVAL: Millis = 250;
+/// Number of low bits of a version that count the writes within one term of the writer.
+const SEQUENCE_BITS: u32 = 20;
+/// Delay from a change at discovery until the control instances see it, in ms.
 const WATCH_DELAY: Millis = 5;
-/// Largest delay between receiving a grant and acting on it.
+/// Largest delay between receiving a grant and acting on it, in ms.
 const MAX_GRANT_DELAY: Millis = 5;
-/// Size of a value in bytes, as of one row of the list.
+/// Size of a value in bytes, the same as of a row of the endpoint list.
 pub const VALUE_BYTES: usize = 44;
 /// Number of recorded datagrams kept for replay.
 const MAX_RECORDED: usize = 512;
+/// Wall-clock time at the start of a run, in ms since the Unix epoch.
 const START_WALL_CLOCK: Millis = 1_700_000_000_000;
 /// Probe timing between control instances: the one-way delay between regions is up to 120 ms.
 pub(super) const PROBE_TIMING: ProbeTiming = ProbeTiming {
@@ -52,7 +53,8 @@
     ack_timeout: Duration::from_millis(400),
     suspicion_timeout: Duration::from_millis(2000),
 };
-const DUTY: &str = "list";
+/// Name of the writer's lease, and prefix of the keys.
+const LIST_LEASE: &str = "list";
 const SECRET: &[u8] = b"a secret of the rig";
 /// Ports for the datagrams of the cluster and of the distribution.
 const CLUSTER_PORT: u16 = 7000;
@@ -67,9 +69,9 @@
     None,
     /// Followers apply each entry a second time, seconds later, regardless of its version.
     AcceptsOlderVersions,
-    /// Every source drops one of this many changes.
+    /// Every source drops the entries whose version is a multiple of this number.
     DropsChanges(u64),
-    /// Followers corrupt a byte of one of this many entries.
+    /// Followers corrupt a byte of the entries whose version is a multiple of this number.
     CorruptsEntries(u64),
 }
 
@@ -84,11 +86,11 @@
     pub loss: f64,
     /// Share of datagrams that are delivered twice.
     pub duplicated: f64,
-    /// Share of datagrams that are delayed by seconds.
+    /// Share of datagrams that are delayed by a further 0.5 to 8 s.
     pub delayed: f64,
-    /// Period of the duty `list`, in ms.
-    pub duty_period: Millis,
-    /// A new writer publishes all rows again, changed or not, like the list duty does.
+    /// Interval of the lease `list`, in ms.
+    pub lease_interval: Millis,
+    /// A new writer publishes all rows again, changed or not, as the endpoint list task in production does.
     pub republish_all: bool,
     /// The deliberate bug.
     pub injected_bug: InjectedBug,
@@ -106,7 +108,7 @@
             loss: 0.01,
             duplicated: 0.01,
             delayed: 0.0,
-            duty_period: 4000,
+            lease_interval: 4000,
             republish_all: false,
             injected_bug: InjectedBug::None,
             metering: false,
@@ -134,23 +136,30 @@
     Network(f64, f64, f64),
     /// Delivers a forged datagram: random, truncated, corrupted, replayed, or encrypted with another key.
     Forge(usize),
-    /// Gives a key of the truth a new value.
+    /// Sets a key of the list at discovery to a new value.
     Set(u64),
-    /// Removes a key from the truth.
+    /// Removes a key from the list at discovery.
     Remove(u64),
 }
 
 enum Event {
+    /// Receiving instance and port, sender, and content.
     Datagram(u32, u16, SocketAddr, Vec<u8>),
+    /// Instance and port of the component to wake.
     Wake(u32, u16),
+    /// Instance, incarnation and grant.
     Granted(u32, u64, LeaseGrant),
-    PublishHead(u32, u64, u64),
-    TruthChanged(u64),
-    /// Bug [`InjectedBug::AcceptsOlderVersions`]: an entry is applied again.
+    /// Instance, incarnation and term of the writer.
+    PublishHeartbeat(u32, u64, u64),
+    /// The changed key.
+    DiscoveryChanged(u64),
+    /// Bug [`InjectedBug::AcceptsOlderVersions`]: the instance of this incarnation applies an entry again.
     Reapply(u32, u64, GossipEntry),
     Fault(Fault),
 }
 
+/// An event with its time and sequence number. The order is reversed, so that the heap returns the earliest event
+/// first.
 struct Scheduled(Millis, u64, Event);
 
 impl PartialEq for Scheduled {
@@ -203,16 +212,19 @@
 }
 
 struct WriterTerm {
-    period: u64,
-    step: u64,
-    until: Millis,
+    /// Fencing token of the grant.
+    term: u64,
+    /// Number of entries written in this term.
+    sequence: u64,
+    /// On the monotonic clock of the instance.
+    ends_at: Millis,
 }
 
 struct ControlInstance {
     node: Node,
     source: Source,
     writer_term: Option<WriterTerm>,
-    /// Keys to compare with the truth; `None` for all.
+    /// Keys to compare with the list at discovery; `None` for all.
     dirty: Option<BTreeSet<u64>>,
 }
 
@@ -226,10 +238,12 @@
     role: Role,
     incarnation: u64,
     frozen: bool,
+    /// Events for the process while it is frozen.
     queued_events: Vec<Event>,
     queued_datagrams: usize,
     monotonic_offset: u64,
     wall_offset: i64,
+    /// Next scheduled wake-up of the distribution component and of the cluster node.
     wake_at: [Millis; 2],
     /// Entries as a follower with an injected bug would hold them.
     buggy_entries: BTreeMap<u64, GossipEntry>,
@@ -243,15 +257,15 @@
     pub now: Millis,
     /// Records writes and verifies followers.
     pub checker: Checker,
-    /// The current value of each key, as discovery would return it.
-    pub truth: BTreeMap<u64, Vec<u8>>,
+    /// The list at discovery: the current value of each key.
+    pub discovery_list: BTreeMap<u64, Vec<u8>>,
     /// For each instance, the meters of its distribution component and of its cluster node.
     pub meters: Vec<[Meter; 2]>,
     /// Number of processed events.
     pub processed_events: u64,
-    /// For each instance, when the follower was first synchronized since its start.
+    /// For each instance, when the follower was first synchronized since its start, in ms.
     pub synchronized_at: Vec<Option<Millis>>,
-    /// For each instance, the time of its last start.
+    /// For each instance, the time of its last start, in ms.
     pub started_at: Vec<Millis>,
     /// Number of events reported by sources and followers, by kind.
     pub event_counts: BTreeMap<String, u64>,
@@ -262,6 +276,7 @@
     cuts: Vec<(Vec<bool>, Vec<bool>)>,
     recorded: Vec<(u16, Vec<u8>)>,
     value_counter: u64,
+    /// CPU time of one clock reading, in nanoseconds.
     clock_cost: i64,
 }
 
@@ -291,7 +306,7 @@
     }
 }
 
-/// The name of an instance.
+/// The name of an instance: `control-` or `balancer-` and its number.
 pub fn name(i: usize) -> String {
     match i < CONTROLS {
         true => format!("control-{i}"),
@@ -301,7 +316,7 @@
 
 /// The key of the `n`-th server.
 pub fn key(n: usize) -> u64 {
-    LeaseId::of(&format!("{DUTY}/{n:016x}")).0
+    LeaseId::of(&format!("{LIST_LEASE}/{n:016x}")).0
 }
 
 fn keys() -> Keys {
@@ -352,7 +367,8 @@
                 buggy_entries: BTreeMap::new(),
             })
             .collect();
-        // The cost of one clock reading: of the two readings around a call, half of the cost falls into the measured time.
+        // The cost of one clock reading: of the two readings around a call, half of the cost falls into the measured
+        // time.
         let start = thread_cpu_ns();
         (0..1000).for_each(|_| {
             std::hint::black_box(thread_cpu_ns());
@@ -361,7 +377,7 @@
         let mut world = Self {
             now: 0,
             checker: Checker::new(plan.followers),
-            truth: BTreeMap::new(),
+            discovery_list: BTreeMap::new(),
             meters: vec![[Meter::default(); 2]; all],
             processed_events: 0,
             synchronized_at: vec![None; all],
@@ -379,7 +395,7 @@
         };
         for n in 0..world.plan.entries {
             let value = world.next_value();
-            world.truth.insert(key(n), value);
+            world.discovery_list.insert(key(n), value);
         }
         (0..CONTROLS).for_each(|i| world.start(i));
         world
@@ -390,12 +406,12 @@
         &mut self.random
     }
 
-    /// Schedules a fault.
+    /// Schedules a fault for a time in ms, or for now if that time has passed.
     pub fn at(&mut self, at: Millis, fault: Fault) {
         self.push(at, Event::Fault(fault));
     }
 
-    /// Schedules the start of all followers at random times within a span.
+    /// Schedules the start of all followers at random times within a span, in ms.
     pub fn start_followers(&mut self, from: Millis, span: Millis) {
         for i in self.followers() {
             let at = from + self.random.random_range(0..=span);
@@ -475,7 +491,7 @@
         }
     }
 
-    /// Processes events until the given time.
+    /// Processes all events up to and including the given time, in ms.
     pub fn run_until(&mut self, end: Millis) {
         while self.queue.peek().is_some_and(|next| next.0 <= end) {
             let Some(Scheduled(at, _, event)) = self.queue.pop() else {
@@ -488,7 +504,8 @@
         self.now = end;
     }
 
-    /// Checks after recovery that the writer holds the truth, and every running follower what the writer holds.
+    /// Checks after recovery that the writer holds the list at discovery, and every running follower what the writer
+    /// holds.
     pub fn final_check(&mut self) {
         let now = self.now;
         let Some(writer) = self.writer() else {
@@ -505,14 +522,14 @@
                 expected.insert(key, entry.clone());
             }
         }
-        for (key, value) in &self.truth {
+        for (key, value) in &self.discovery_list {
             if expected.get(key).is_none_or(|entry| entry.value != *value) {
                 let text = format!("{now} the writer lacks {key:x}");
                 self.checker.report(super::Violation::Lost, text);
             }
         }
         for entry in expected.values() {
-            if !self.truth.contains_key(&entry.key) && !is_removed(entry) {
+            if !self.discovery_list.contains_key(&entry.key) && !is_removed(entry) {
                 let text = format!("{now} the writer keeps {:x}", entry.key);
                 self.checker.report(super::Violation::Lost, text);
             }
@@ -561,6 +578,7 @@
         }
     }
 
+    /// The cost of one clock reading if metering is enabled, for [`metered`].
     fn meter_cost(&self) -> Option<i64> {
         self.plan.metering.then_some(self.clock_cost)
     }
@@ -573,11 +591,11 @@
 
     fn dispatch(&mut self, event: Event) {
         let process = match &event {
-            Event::Fault(_) | Event::TruthChanged(_) => None,
+            Event::Fault(_) | Event::DiscoveryChanged(_) => None,
             Event::Datagram(i, ..)
             | Event::Wake(i, _)
             | Event::Granted(i, ..)
-            | Event::PublishHead(i, ..)
+            | Event::PublishHeartbeat(i, ..)
             | Event::Reapply(i, ..) => Some(*i as usize),
         };
         if let Some(i) = process
@@ -599,7 +617,7 @@
             Event::Granted(i, incarnation, grant) => {
                 self.begin_term(i as usize, incarnation, grant)
             }
-            Event::PublishHead(i, incarnation, period) => {
+            Event::PublishHeartbeat(i, incarnation, term) => {
                 let i = i as usize;
                 if self.processes[i].incarnation == incarnation && self.is_writer(i) {
                     let Role::Control(control) = &mut self.processes[i].role else {
@@ -608,17 +626,17 @@
                     if control
                         .writer_term
                         .as_ref()
-                        .is_some_and(|term| term.period == period)
+                        .is_some_and(|current| current.term == term)
                     {
                         self.publish_changes(i, true);
                         self.push(
-                            self.now + HEAD_INTERVAL,
-                            Event::PublishHead(i as u32, incarnation, period),
+                            self.now + HEARTBEAT_INTERVAL,
+                            Event::PublishHeartbeat(i as u32, incarnation, term),
                         );
                     }
                 }
             }
-            Event::TruthChanged(key) => {
+            Event::DiscoveryChanged(key) => {
                 for i in 0..CONTROLS {
                     if let Role::Control(control) = &mut self.processes[i].role
                         && let Some(dirty) = &mut control.dirty
@@ -863,21 +881,24 @@
             Role::Control(control) => control
                 .writer_term
                 .as_ref()
-                .is_some_and(|term| mono < term.until),
+                .is_some_and(|term| mono < term.ends_at),
             _ => false,
         }
     }
 
-    /// Starts a term as the writer, after a grant for one period of the duty.
+    /// Starts or extends a term as the writer, after a grant for one interval of the lease.
     fn begin_term(&mut self, i: usize, incarnation: u64, grant: LeaseGrant) {
-        let (was, mono, duty_period) =
-            (self.is_writer(i), self.monotonic(i), self.plan.duty_period);
+        let (was_writer, mono, lease_interval) = (
+            self.is_writer(i),
+            self.monotonic(i),
+            self.plan.lease_interval,
+        );
         let republish_all = self.plan.republish_all;
         let process = &mut self.processes[i];
         let Role::Control(control) = &mut process.role else {
             return;
         };
-        if process.incarnation != incarnation || grant.lease != LeaseId::of(DUTY) {
+        if process.incarnation != incarnation || grant.lease != LeaseId::of(LIST_LEASE) {
             return;
         }
         let in_time = grant.is_valid(mono);
@@ -886,32 +907,32 @@
             return;
         }
         control.writer_term = Some(WriterTerm {
-            period: grant.fencing_token,
-            step: 0,
-            // Like the list duty, the writer goes on until the next grant is due; nobody else can get a grant before.
-            until: mono + duty_period + duty_period / 8,
+            term: grant.fencing_token,
+            sequence: 0,
+            // As in production, the writer goes on until the next grant is due; nobody else can get a grant before.
+            ends_at: mono + lease_interval + lease_interval / 8,
         });
-        if !was {
+        if !was_writer {
             control.dirty = None;
         }
-        if !was && republish_all {
+        if !was_writer && republish_all {
             self.republish_all(i);
         }
         self.publish_changes(i, true);
         self.push(
-            self.now + HEAD_INTERVAL,
-            Event::PublishHead(i as u32, incarnation, grant.fencing_token),
+            self.now + HEARTBEAT_INTERVAL,
+            Event::PublishHeartbeat(i as u32, incarnation, grant.fencing_token),
         );
     }
 
-    /// Publishes all keys of the truth again.
+    /// Publishes all rows of the list at discovery again.
     fn republish_all(&mut self, i: usize) {
-        let rows = self.truth.clone();
+        let rows = self.discovery_list.clone();
         self.write(i, rows.into_iter().collect(), false);
     }
 
-    /// Publishes what differs from the truth, and a head entry if `head` is set.
-    fn publish_changes(&mut self, i: usize, head: bool) {
+    /// Publishes what differs from the list at discovery, and a heartbeat if `heartbeat` is set.
+    fn publish_changes(&mut self, i: usize, heartbeat: bool) {
         let Role::Control(control) = &mut self.processes[i].role else {
             return;
         };
@@ -920,42 +941,44 @@
             Some(keys) => keys.into_iter().collect(),
             None => {
                 let known = self.checker.keys();
-                let all: BTreeSet<u64> = known.chain(self.truth.keys().copied()).collect();
+                let all: BTreeSet<u64> = known.chain(self.discovery_list.keys().copied()).collect();
                 all.into_iter().collect()
             }
         };
         let mut rows = Vec::new();
         for key in keys {
-            let on_board = control.node.gossip_store().get(key);
-            match (self.truth.get(&key), on_board) {
+            let published = control.node.gossip_store().get(key);
+            match (self.discovery_list.get(&key), published) {
                 (Some(value), Some(entry)) if entry.value == *value => {}
                 (Some(value), _) => rows.push((key, value.clone())),
-                // A key that is gone from the truth is published as removed by a writer whose store still holds it.
+                // A key that is gone from discovery is published as removed if the writer's store still holds it.
                 (None, Some(entry)) if !is_removed(entry) => {
                     let mut value = entry.value.clone();
+                    // The mark of a removal, see `is_removed`.
                     value[1] = 2;
                     rows.push((key, value));
                 }
                 (None, _) => {}
             }
         }
-        self.write(i, rows, head);
+        self.write(i, rows, heartbeat);
     }
 
-    fn write(&mut self, i: usize, rows: Vec<(u64, Vec<u8>)>, head: bool) {
+    /// Writes rows, and a heartbeat if `heartbeat` is set, with the next versions of the writer's term.
+    fn write(&mut self, i: usize, rows: Vec<(u64, Vec<u8>)>, heartbeat: bool) {
         let (now, cost) = (self.clocks(i), self.meter_cost());
         let Role::Control(control) = &mut self.processes[i].role else {
             return;
         };
-        let Some(term) = &mut control.writer_term else {
+        let Some(writer_term) = &mut control.writer_term else {
             return;
         };
         let mut entries: Vec<GossipEntry> = Vec::new();
-        let head_key = LeaseId::of(DUTY).0;
-        let head = head.then(|| (head_key, vec![0; 17]));
-        for (key, value) in rows.into_iter().chain(head) {
-            term.step = (term.step + 1).min((1 << STEP_BITS) - 1);
-            let version = term.period << STEP_BITS | term.step;
+        let heartbeat_key = LeaseId::of(LIST_LEASE).0;
+        let heartbeat = heartbeat.then(|| (heartbeat_key, vec![0; 17]));
+        for (key, value) in rows.into_iter().chain(heartbeat) {
+            writer_term.sequence = (writer_term.sequence + 1).min((1 << SEQUENCE_BITS) - 1);
+            let version = writer_term.term << SEQUENCE_BITS | writer_term.sequence;
             entries.push(GossipEntry {
                 key,
                 version,
@@ -964,7 +987,7 @@
         }
         let rows: Vec<GossipEntry> = entries
             .iter()
-            .filter(|e| e.key != head_key)
+            .filter(|e| e.key != heartbeat_key)
             .cloned()
             .collect();
         for entry in &rows {
@@ -982,7 +1005,8 @@
         self.apply_effects(i, CLUSTER_PORT);
     }
 
-    /// Passes entries of the gossip store to the instance's source.
+    /// Passes entries of the gossip store to the instance's source. `complete` confirms that the source then holds all
+    /// entries.
     fn publish_to_source(&mut self, i: usize, rows: &[GossipEntry], complete: bool) {
         let (now, cost) = (self.monotonic(i), self.meter_cost());
         let kept: Vec<GossipEntry> = match self.plan.injected_bug {
@@ -1006,11 +1030,12 @@
         self.apply_effects(i, DISTRIBUTION_PORT);
     }
 
+    /// Passes entries received by gossip to the source; a heartbeat among them confirms that they are complete.
     fn apply_updates(&mut self, i: usize, updates: &[GossipEntry]) {
-        let head_key = LeaseId::of(DUTY).0;
+        let heartbeat_key = LeaseId::of(LIST_LEASE).0;
         let rows: Vec<GossipEntry> = updates
             .iter()
-            .filter(|e| e.key != head_key)
+            .filter(|e| e.key != heartbeat_key)
             .cloned()
             .collect();
         let complete = rows.len() < updates.len();
@@ -1054,7 +1079,7 @@
                 );
                 node.configure(
                     now,
-                    &BTreeMap::from([(DUTY.to_owned(), self.plan.duty_period)]),
+                    &BTreeMap::from([(LIST_LEASE.to_owned(), self.plan.lease_interval)]),
                 );
                 node
             });
@@ -1148,19 +1173,20 @@
             Fault::Forge(i) => self.forge(i),
             Fault::Set(key) => {
                 let value = self.next_value();
-                self.truth.insert(key, value);
+                self.discovery_list.insert(key, value);
                 self.checker.record_change(self.now, key);
-                self.push(self.now + WATCH_DELAY, Event::TruthChanged(key));
+                self.push(self.now + WATCH_DELAY, Event::DiscoveryChanged(key));
             }
             Fault::Remove(key) => {
-                if self.truth.remove(&key).is_some() {
+                if self.discovery_list.remove(&key).is_some() {
                     self.checker.record_change(self.now, key);
-                    self.push(self.now + WATCH_DELAY, Event::TruthChanged(key));
+                    self.push(self.now + WATCH_DELAY, Event::DiscoveryChanged(key));
                 }
             }
         }
     }
 
+    /// Delivers a forged datagram, see [`Fault::Forge`].
     fn forge(&mut self, to: usize) {
         let (mut port, mut bytes): (u16, Vec<u8>) = match self.random.random_range(0..5) {
             0 => {
@@ -1169,16 +1195,16 @@
                 (DISTRIBUTION_PORT, bytes)
             }
             1 => {
-                // The name of one of our control instances, but the key of another cluster.
+                // The name of one of the control instances, but the key of another cluster.
                 let control = self.random.random_range(0..CONTROLS);
                 let id = InstanceId::of(&name(control)).0;
                 let key = Keys(vec![Key::new(b"the secret of another")]);
                 let sessions = Sessions::new(id, START_WALL_CLOCK * 2, key);
-                let run = self.processes[to].incarnation;
-                let greets = self.random.random_bool(0.5);
-                let sealed = match greets {
+                let incarnation = self.processes[to].incarnation;
+                let is_greeting = self.random.random_bool(0.5);
+                let sealed = match is_greeting {
                     true => sessions.seal_greeting(&[7; 40]),
-                    false => sessions.seal_answer(run, &[7; 40]),
+                    false => sessions.seal_answer(incarnation, &[7; 40]),
                 };
                 (DISTRIBUTION_PORT, sealed.unwrap_or_default())
             }
@@ -1197,7 +1223,7 @@
     }
 }
 
-/// Bytes owned by an effect that leaves the instance; 0 if memory is not counted.
+/// Bytes owned by an effect that leaves the instance, for a capacity in elements; 0 if memory is not counted.
 fn owned_bytes<T>(cost: Option<i64>, capacity: usize) -> i64 {
     match cost.is_some() && allocated() != 0 {
         true => (capacity * size_of::<T>()) as i64,
--- a/crates/fleet-rig/tests/capacity.rs
+++ b/crates/fleet-rig/tests/capacity.rs
@@ -68,9 +68,12 @@
 }
 
 fn value(row: &Row) -> f64 {
-    row.estimate
-        .value()
-        .unwrap_or_else(|| panic!("'{}' lacks {:?}", row.quantity, row.estimate.missing))
+    row.estimate.value().unwrap_or_else(|| {
+        panic!(
+            "'{}' has no value; missing: {:?}",
+            row.quantity, row.estimate.missing
+        )
+    })
 }
 
 fn assert_close(actual: f64, expected: f64) {
@@ -107,7 +110,10 @@
         "each change",
     );
     assert_close(value(ids), 2092.0 / 8.0 * 9.5);
-    assert!(ids.exceeds_hard_limit(), "within the limit in the code");
+    assert!(
+        ids.exceeds_hard_limit(),
+        "ids do not exceed the limit in the code"
+    );
 
     let rows = data_path::rows(&inputs);
     let established = 120e6 / 2100.0;
@@ -168,7 +174,8 @@
         )),
         1e6 / (6000.0 / 0.7),
     );
-    // The number of topics larger than a server's capacity must fit the power law whose sizes add up to all connections.
+    // The number of topics larger than a server's capacity must fit the power law whose sizes add up to all
+    // connections.
     let over = value(row(&server, "topics larger than one server's room", "all"));
     let sizes = |power: f64| (1..=130_000).map(move |k| 1e6 * f64::from(k).powf(-power));
     let power = (1e6_f64 / (6000.0 / 0.7)).ln() / (over + 0.5).ln();
@@ -288,7 +295,8 @@
         "release of everything at once",
     );
     assert_eq!(join.format_estimate(), "did not come about");
-    // A change cannot reach 2,100 instances, whatever was measured at fewer: its first datagrams exceed the maximum size.
+    // A change cannot reach 2,100 instances, whatever was measured at fewer: its first datagrams exceed the maximum
+    // size.
     let news = "until a change is in force everywhere, by news alone";
     assert_eq!(
         row(&flat, news, "at rest").format_estimate(),
@@ -346,17 +354,17 @@
 
 #[test]
 fn invalid_data_is_rejected_by_name() {
-    let refused = |inputs: &Inputs| tables(inputs).expect_err("invalid data").join("\n");
+    let errors_of = |inputs: &Inputs| tables(inputs).expect_err("invalid data").join("\n");
     let mut series = synthetic_series();
     series.insert("flat-bytes".into(), line("ms", &[1.0, 2.0], 0.0, 1.0));
-    assert!(refused(&inputs_of(series)).contains("'flat-bytes' is in 'ms'"));
+    assert!(errors_of(&inputs_of(series)).contains("'flat-bytes' is in 'ms'"));
 
     let mut assumed = parameters();
     let one = assumed.assumptions["servers"].clone();
     assumed.assumptions.insert("odd".into(), one);
     assumed.assumptions.remove("warm-up");
     let inputs = Inputs::new(&root(), MeasuredSeries::default(), Value::Null, assumed);
-    let what = refused(&inputs);
+    let what = errors_of(&inputs);
     assert!(
         what.contains("'odd'") && what.contains("'warm-up'"),
         "{what}"
@@ -517,7 +525,7 @@
         named.contains("57,144") && named.contains("capacity writes it"),
         "{named}"
     );
-    assert_eq!(untouched, changed, "the check changed the page");
+    assert_eq!(untouched, changed, "the check wrote the page");
 }
 
 #[test]
--- a/crates/fleet-rig/tests/distribution.rs
+++ b/crates/fleet-rig/tests/distribution.rs
@@ -17,7 +17,7 @@
     assert_eq!(outcomes.len(), 20);
     for outcome in &outcomes {
         println!(
-            "seed {}: {} faults, {} changes, {} looks",
+            "seed {}: {} faults, {} changes, {} checked entries",
             outcome.seed, outcome.faults, outcome.changes, outcome.checks
         );
         assert!(
@@ -55,7 +55,7 @@
         of.sum()
     };
     for what in ["forged", "replay", "other-run", "size"] {
-        assert!(counted(what) > 0, "no datagram was refused as {what}");
+        assert!(counted(what) > 0, "no datagram was counted as {what}");
     }
 }
 
@@ -69,7 +69,7 @@
     );
     assert!(
         outcome.violations.contains_key(&Violation::Returned),
-        "a returned entry was not detected"
+        "a removed entry that came back was not detected"
     );
 }
 
@@ -89,7 +89,7 @@
     println!("seed 1: {:?}", outcome.violations);
     assert!(
         outcome.violations.contains_key(&Violation::Invented),
-        "an invented entry was not detected"
+        "an entry that was never written was not detected"
     );
 }
 
@@ -100,10 +100,10 @@
     assert_eq!(delay.missing, 0, "not in effect everywhere");
     assert!(
         delay.each.count as usize >= 100 * FOLLOWERS,
-        "too little was changed"
+        "too few changes took effect"
     );
-    assert!(delay.each.p99 <= 3000, "p99");
-    assert!(delay.each.last <= 12_000, "last");
+    assert!(delay.each.p99 <= 3000, "p99 of the delay exceeds 3 s");
+    assert!(delay.each.last <= 12_000, "a delay exceeds 12 s");
 }
 
 #[test]
@@ -118,8 +118,8 @@
     );
     println!("seed 1: {delay:?}");
     assert_eq!(delay.missing, 0, "not in effect everywhere");
-    assert!(delay.each.p99 <= 3000, "p99");
-    assert!(delay.each.last <= 12_000, "last");
+    assert!(delay.each.p99 <= 3000, "p99 of the delay exceeds 3 s");
+    assert!(delay.each.last <= 12_000, "a delay exceeds 12 s");
 }
 
 #[test]
@@ -134,7 +134,7 @@
     );
     println!("seed 1: {delay:?}");
     assert_eq!(delay.missing, 0, "not in effect everywhere");
-    assert!(delay.each.last <= 12_000, "last");
+    assert!(delay.each.last <= 12_000, "a delay exceeds 12 s");
 }
 
 #[test]
@@ -148,16 +148,17 @@
         cut
     });
     // Changes are sent by up to three sources: the two of a follower, and one that replaced one of these.
-    let more = (many.bytes - few.bytes) / (many.changed - few.changed);
+    let bytes_per_changed_byte = (many.bytes - few.bytes) / (many.changed - few.changed);
     assert!(
-        (0.5..5.0).contains(&more),
-        "not in proportion to what changed: {more}"
+        (0.5..5.0).contains(&bytes_per_changed_byte),
+        "not in proportion to the changed bytes: {bytes_per_changed_byte}"
     );
-    // In addition a follower compares with one source, whatever changed: at most 64 branches of 64 hashes.
-    let fixed_bytes = (few.bytes - more * few.changed) / few.followers as f64;
+    // In addition a follower compares with one source, whatever the number of changes: at most 64 branches of 64
+    // hashes.
+    let fixed_bytes = (few.bytes - bytes_per_changed_byte * few.changed) / few.followers as f64;
     assert!(
         fixed_bytes < 20_000.0,
-        "too much that does not depend on the changes: {fixed_bytes}"
+        "too many bytes that do not depend on the changes: {fixed_bytes}"
     );
     assert!(
         many.bytes < many.all / 4.0,
@@ -170,8 +171,14 @@
     let start = measure::measure_simultaneous_start(120, 630, None, 1);
     println!("seed 1: {start:?}");
     assert_eq!(start.missing, 0, "not all synchronized");
-    assert!(start.pieces <= start.budget.1, "over the budget");
-    assert!(start.until_full.last <= 30_000, "too slow");
+    assert!(
+        start.pieces <= start.budget.1,
+        "above the limit of the rate limiter"
+    );
+    assert!(
+        start.until_full.last <= 30_000,
+        "not synchronized within 30 s"
+    );
 }
 
 #[test]
@@ -217,11 +224,14 @@
     );
     println!("seed 1: {few:?}\n{many:?}");
     assert_eq!((few.full, many.full), (30, 120), "not all synchronized");
-    assert!(many.follow_most.bytes < 4096.0, "a balancer's bytes");
+    assert!(
+        many.follow_most.bytes < 4096.0,
+        "a balancer uses 4,096 B/s or more"
+    );
     let ratio = many.follow.bytes / few.follow.bytes;
     assert!(
         (0.9..1.1).contains(&ratio),
-        "grows with their number: {ratio}"
+        "the cost depends on the number of balancers: {ratio}"
     );
 }
 
