--- a/crates/fleet-rig/src/lib.rs
+++ b/crates/fleet-rig/src/lib.rs
@@ -22,7 +22,8 @@
 use spanspur_leases::ranking::Ranking;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The ranking that all runs use. Its score has the form of the balancer's own: -1 / ln(h), h being a hash in (0, 1).
+/// The ranking of instances for a lease that all runs use. The score is -1 / ln(h), as in the balancer, where h is a
+/// hash of lease and instance in (0, 1).
 pub fn ranking() -> Ranking {
     Ranking(|lease, instance| {
         let mut bytes = [0; 16];
--- a/crates/fleet-rig/src/main.rs
+++ b/crates/fleet-rig/src/main.rs
@@ -15,8 +15,8 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs real processes under seeded kills, freezes and cuts. 100 seeds of a minute each, ten at a time, take about
-    /// 12 minutes.
+    /// Runs real processes under seeded kills, pauses, network partitions and orderly shutdowns. 100 seeds of a minute
+    /// each, ten at a time, take about 12 minutes.
     Real {
         /// The balancer's executable.
         #[arg(default_value = "target/release/spanspur")]
@@ -24,33 +24,41 @@
         /// The first seed.
         #[arg(long, default_value_t = 0)]
         first: u64,
+        /// The number of seeds.
         #[arg(long, default_value_t = 100)]
         seeds: u64,
+        /// The time in seconds for which faults are injected with each seed.
         #[arg(long, default_value_t = 60)]
         seconds: u64,
+        /// The number of concurrent runs.
         #[arg(long, default_value_t = 10)]
         jobs: usize,
     },
-    /// Runs 50 instances with 10,000 leases in virtual time, for more than a million terms.
+    /// Runs a large cluster in virtual time, by default 50 instances with 10,000 leases for more than a million terms.
     Large {
+        /// The seed of the run.
         #[arg(long, default_value_t = 1)]
         seed: u64,
+        /// The number of instances.
         #[arg(long, default_value_t = 50)]
         instances: usize,
+        /// The number of leases.
         #[arg(long, default_value_t = 10_000)]
         duties: usize,
-        /// The least number of terms to run.
+        /// The least number of terms to run, over all leases.
         #[arg(long, default_value_t = 1_000_000)]
         periods: u64,
         /// Traces one lease, given by the hexadecimal id in a reported violation, and all faults.
         #[arg(long, value_parser = |text: &str| u64::from_str_radix(text, 16))]
         watch: Option<u64>,
     },
-    /// Measures the distribution from nine control instances to 2,100 balancers, in virtual time or over sockets.
+    /// Measures the distribution of entries from nine control instances to 2,100 balancers, in virtual time or over
+    /// sockets.
     Distribution {
-        /// What to run.
+        /// The part to run.
         #[arg(value_enum, default_value_t = Distribution::All)]
         part: Distribution,
+        /// The folder for the results.
         #[arg(long, default_value = "docs/measured")]
         folder: PathBuf,
         /// For `seeds`: the number of seeds.
@@ -59,34 +67,38 @@
         /// For `seeds`: the first seed.
         #[arg(long, default_value_t = 0)]
         first: u64,
-        /// For `seeds`: the balancers of each run.
+        /// For `seeds`: the number of balancers in each run.
         #[arg(long, default_value_t = 100)]
         followers: usize,
+        /// For `seeds`: the number of concurrent runs.
         #[arg(long, default_value_t = 3)]
         jobs: usize,
     },
-    /// Writes the tables of docs/CAPACITY.md, the size expected in two years, from the measured series and the
+    /// Computes the tables of docs/CAPACITY.md, for the size expected in two years, from the measured series and the
     /// assumptions.
     Capacity {
         /// The root of the workspace.
         #[arg(default_value = ".")]
         root: PathBuf,
-        /// Writes nothing, and fails if the page differs from what the data gives.
+        /// Writes nothing, and fails if the page differs from the computed one.
         #[arg(long)]
         check: bool,
     },
-    /// Measures costs and takeover times, and writes data, a table and charts.
+    /// Measures the costs and takeover times of leases, and writes data, a table and charts.
     Measure {
+        /// The folder for the results.
         #[arg(default_value = "docs/measured")]
         folder: PathBuf,
     },
-    /// Measures the cost of a flat cluster at several sizes, and writes series, a table and charts.
+    /// Measures the cost of a flat cluster, in which every instance knows every other, at several sizes, and writes
+    /// series, a table and charts.
     Scale(scale::Args),
     /// Measures the cost of the data path, and writes series. Takes about two minutes.
     DataPath {
         /// The balancer's executable, a release build.
         #[arg(long, default_value = "target/release/spanspur")]
         program: String,
+        /// The file whose series are replaced.
         #[arg(long, default_value = "docs/measured/scale.json")]
         file: PathBuf,
         /// The parts to measure, all by default: placement, list, group, delivery, opening, standing.
