--- a/crates/fleet-rig/src/checker.rs
+++ b/crates/fleet-rig/src/checker.rs
@@ -24,29 +24,29 @@
 pub struct Checker {
     /// By lease, in the order of arrival.
     acts: BTreeMap<u64, Vec<Act>>,
-    /// Spans of time in which gaps are allowed, because no majority was reachable.
+    /// Spans of true time in which no majority was reachable. A gap that overlaps one is allowed.
     pub excused: Vec<(Millis, Millis)>,
 }
 
 /// The result of a check.
 #[derive(Clone, Debug, Default, serde::Serialize)]
 pub struct CheckReport {
-    /// All executions.
+    /// The number of executions.
     pub acts: u64,
     /// Descriptions of terms that were executed more than once, and of terms whose grants overlapped.
     #[serde(rename = "twice")]
     pub duplicates: Vec<String>,
-    /// Executions that the target would refuse, because it has seen a higher fencing token.
+    /// The number of executions that the target would refuse, because it has seen a higher fencing token.
     pub fenced: u64,
     /// Descriptions of the gaps in which more than one term was missed and that are not excused.
     pub gaps: Vec<String>,
-    /// Gaps of a single missed term.
+    /// The number of gaps in which a single term was missed.
     #[serde(rename = "missed_one")]
     pub single_misses: u64,
     /// The longest gap that is not excused, in intervals.
     #[serde(rename = "longest")]
     pub longest_gap: f64,
-    /// The shortest time from winning one term to winning the next, in intervals.
+    /// The shortest time from winning one term to winning the next, in intervals; infinite if no lease had two terms.
     #[serde(rename = "closest")]
     pub shortest_term: f64,
 }
@@ -58,7 +58,7 @@
     }
 
     /// For each lease whose last execution up to `at` was by the given instance: the time from `at` to the next
-    /// execution, and by how much the next one exceeded one interval after the last.
+    /// execution, and by how much that one came later than one interval after the last (0 if it did not).
     pub fn takeover_times(&self, by: usize, at: Millis, interval: Millis) -> Vec<(Millis, Millis)> {
         let takeover_time = |acts: &Vec<Act>| {
             let last = acts
@@ -155,7 +155,8 @@
 }
 
 impl CheckReport {
-    /// Whether no term was executed twice and no more than one term in a row was missed.
+    /// Whether no term was executed twice, no two grants of a lease overlapped, and no more than one term in a row was
+    /// missed.
     pub fn passed(&self) -> bool {
         self.duplicates.is_empty() && self.gaps.is_empty()
     }
--- a/crates/fleet-rig/src/world.rs
+++ b/crates/fleet-rig/src/world.rs
@@ -23,7 +23,7 @@
 pub struct Plan {
     /// The number of instances.
     pub instances: usize,
-    /// The number of voters: the first instances.
+    /// The number of voters, which are the first instances.
     pub voters: usize,
     /// The number of leases, all with the same interval.
     pub leases: usize,
@@ -43,7 +43,7 @@
     /// detects duplicates.
     pub without_votes: bool,
     /// Whether an instance votes at once after its start, as if it had run for a day. Meant as a second proof that the
-    /// checker detects duplicates.
+    /// checker detects duplicates; no test sets it.
     pub without_abstention: bool,
 }
 
@@ -76,7 +76,7 @@
     Freeze(usize),
     /// The process resumes.
     Thaw(usize),
-    /// The instance leaves the cluster in order, and its process ends.
+    /// The instance leaves the cluster gracefully, and its process ends.
     Leave(usize),
     /// Datagrams from any of the first instances to any of the second are dropped.
     Cut(Vec<usize>, Vec<usize>),
@@ -84,7 +84,7 @@
     Heal,
     /// The instance's wall clock jumps by this many milliseconds.
     Jump(usize, i64),
-    /// The instance is configured with this many leases, the first ones.
+    /// The instance (the first number) is configured with the first leases, as many as the second number says.
     Duties(usize, usize),
     /// The instance receives a forged datagram: random bytes, or a recorded datagram, which may be truncated or have
     /// one bit flipped.
@@ -92,8 +92,10 @@
 }
 
 enum Event {
+    /// Receiver, sender's address, and bytes.
     Datagram(usize, SocketAddr, Vec<u8>),
     Wake(usize),
+    /// Instance, its incarnation, the grant, and the true times at which it was won and at which it expires.
     Act(usize, u64, LeaseGrant, Millis, Millis),
     Fault(Fault),
 }
@@ -108,7 +110,9 @@
     monotonic_offset: u64,
     /// The wall clock's offset from true time.
     wall_offset: i64,
+    /// The true time of the next wake-up; `Millis::MAX` if none is scheduled.
     wake_at: Millis,
+    /// The number of leases that the instance is configured with.
     leases: usize,
 }
 
@@ -248,7 +252,7 @@
         &mut self.random
     }
 
-    /// Schedules a fault.
+    /// Schedules a fault at a true time; one in the past takes effect now.
     pub fn inject(&mut self, at: Millis, fault: Fault) {
         self.schedule(at, Event::Fault(fault));
     }
@@ -414,7 +418,7 @@
             Fault::Thaw(i) => {
                 self.processes[i].frozen = false;
                 let deferred = std::mem::take(&mut self.processes[i].deferred);
-                // All at the same time: they are processed in the order in which they came.
+                // Events due at the same time are processed in the order in which they were scheduled.
                 for event in deferred {
                     self.schedule(self.now, event);
                 }
@@ -541,7 +545,8 @@
     }
 }
 
-/// The probe timing of the membership that fits leases of this interval.
+/// The probe timing of the membership for leases of this interval. Probes are sent every tenth of it, limited to 100 to
+/// 1000 ms.
 pub fn probe_timing(interval: Millis) -> ProbeTiming {
     let probe = (interval / 10).clamp(100, 1000);
     ProbeTiming {
