--- a/crates/fleet-rig/src/meter.rs
+++ b/crates/fleet-rig/src/meter.rs
@@ -6,7 +6,7 @@
 use spanspur_leases::Millis;
 use std::collections::BTreeMap;
 
-/// Readings of the clock from which the cost of one reading is taken.
+/// The number of clock readings over which the cost of one reading is averaged.
 const READINGS: u32 = 10_000;
 
 /// The processor time of the calling thread so far, in nanoseconds. Other threads do not count.
@@ -40,6 +40,7 @@
 pub struct Meter {
     /// Processor time within the node, in nanoseconds, by instance. Reading the clock is included.
     cpu_ns: Vec<u64>,
+    /// The number of measured calls, by instance.
     calls: Vec<u64>,
     /// The processor time that reading the clock adds to a call, in nanoseconds.
     clock_overhead: f64,
@@ -53,7 +54,8 @@
     pub downs: u64,
     /// How often an instance learned that others considered it down, and refuted it.
     pub refutations: u64,
-    /// By key of an entry: how often an instance received it, and the true time of the last receipt.
+    /// By key of an entry: the number of receipts from other instances, summed over all instances, and the true time of
+    /// the last one.
     received: BTreeMap<u64, (usize, Millis)>,
 }
 
@@ -98,7 +100,8 @@
         self.visible_pairs == self.visible.len() * self.visible.len().saturating_sub(1)
     }
 
-    /// How often an instance received an entry with this key from another one, and the true time of the last receipt.
+    /// The number of receipts of entries with this key from other instances, summed over all instances, and the true
+    /// time of the last one; zeros if there was none.
     pub fn receipts(&self, key: u64) -> (usize, Millis) {
         self.received.get(&key).copied().unwrap_or_default()
     }
--- a/crates/fleet-rig/src/soak.rs
+++ b/crates/fleet-rig/src/soak.rs
@@ -12,11 +12,12 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// The probe interval of the real processes, the shortest that the default probe timing of the membership allows.
+/// The interval at which the real processes probe each server, and thereby that of the leases. It is the shortest that
+/// the membership's default probe timing allows.
 const INTERVAL: Duration = Duration::from_millis(2000);
 
-/// Runs one seed against real processes. Returns the violations that the servers' own records show, and the number of
-/// probes.
+/// Runs five real processes of the program under the faults of one seed, for `span`. Returns the violations that the
+/// servers' own records show, and the number of probes. Panics if a step takes too long.
 pub fn run_real(program: &str, seed: u64, span: Duration) -> (Vec<String>, usize) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let servers = start_servers(40);
@@ -47,7 +48,8 @@
                 std::thread::sleep(INTERVAL * 3 + INTERVAL / 4);
                 cluster.signal(target, "-CONT");
             }
-            // A cut: the two instances and the others reject each other's datagrams, for their keys differ.
+            // A network partition: the two instances and the others reject each other's datagrams, because their keys
+            // differ.
             3 => {
                 let keys = cluster.keys.clone();
                 cluster.keys = r#"["a key that the others lack"]"#.into();
@@ -69,7 +71,7 @@
                 cluster.start(target);
             }
         }
-        // Before the next fault, votes that a restarted instance may have forgotten expire.
+        // Votes that a restarted instance may have lost expire before the next fault.
         std::thread::sleep(INTERVAL * 4);
     }
     let violations = find_violations(&servers, INTERVAL, from, Instant::now());
@@ -109,8 +111,8 @@
     failed == 0
 }
 
-/// Runs a large cluster in virtual time until `end`, with one fault after the other from which the cluster can recover.
-/// `traced_lease` is the id of a lease to trace.
+/// Runs a large cluster in virtual time until `end`, in milliseconds, with faults one after the other and time to
+/// recover from each. `traced_lease` is the id of a lease to trace.
 pub fn run_large(seed: u64, plan: Plan, end: u64, traced_lease: Option<u64>) -> CheckReport {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let (interval, skew, size) = (plan.interval, plan.max_skew, plan.instances);
