--- a/crates/fleet-rig/src/scale.rs
+++ b/crates/fleet-rig/src/scale.rs
@@ -26,8 +26,8 @@
 const REQUIRED_INSTANCES: usize = 2100;
 /// Runs up to this size are repeated.
 const MAX_REPEATED_SIZE: usize = 300;
-/// The required limits of control at one balancer: sent bytes per second, processor time (us per second) and memory
-/// (bytes); and of the time until a change is everywhere (ms).
+/// The required limits for the control part of one balancer: sent bytes per second, processor time (us per second) and
+/// memory (bytes); and for the time until a change has reached all instances (ms).
 const LIMITS: [(&str, f64); 4] = [
     ("flat-bytes", 4_000.0),
     ("flat-cpu", 17_000.0),
@@ -119,7 +119,7 @@
     pub memory: f64,
     /// For each change, the milliseconds until all other instances had it; `None` if the wait ended before.
     pub news_ms: Vec<Option<u64>>,
-    /// For each change, the share of the other instances that had it then.
+    /// For each change, the share of the other instances that had it when the wait for it ended.
     pub news_share: Vec<f64>,
     /// The sums of the nodes' counters over the whole run.
     pub counters: BTreeMap<String, u64>,
@@ -234,7 +234,9 @@
 type Points = BTreeMap<usize, Vec<Point>>;
 
 /// Runs all sizes, each run in its own process, and writes the series into `scale.json`, the results of all runs, a
-/// page and charts. Earlier results of other sizes are kept.
+/// page and charts. Earlier results of other sizes are kept. With `args.one`, it runs one cluster in this process and
+/// prints its result instead. Fails if a run fails, after all others have ended, or if a file cannot be read or
+/// written.
 pub fn run(args: &Args) -> Result<(), String> {
     let first_size = args.sizes.first().copied().unwrap_or(0);
     if let Some(seed) = args.one {
@@ -371,6 +373,7 @@
     times?.into_iter().max().map(|ms| ms as f64)
 }
 
+/// Reads one value of a run; `None` if the run did not get that far.
 type Value = fn(&Point) -> Option<f64>;
 
 /// The series: name, what was measured, unit, and the value of one run.
@@ -479,7 +482,11 @@
 }
 
 /// Renders the page with the results of all runs.
-fn render_page(flat: &Points, real: &Points, args: &Args) -> Result<String, std::fmt::Error> {
+fn render_page(
+    virtual_time: &Points,
+    sockets: &Points,
+    args: &Args,
+) -> Result<String, std::fmt::Error> {
     let cores = std::thread::available_parallelism().map_or(0, usize::from);
     let mut text = format!(
         "# The flat cluster at size, measured\n\n\
@@ -499,13 +506,13 @@
         args.loss * 100.0,
         args.wait
     );
-    for (size, points) in flat {
+    for (size, points) in virtual_time {
         write_row(&mut text, *size, points)?;
     }
     text +=
         "\n![Share of the letter's limits](scale-limits.svg)\n\n![All see all](scale-join.svg)\n\n";
-    write_counters(&mut text, flat)?;
-    let held = largest(REQUIRED_INSTANCES, |n| sessions_held(n - 1));
+    write_counters(&mut text, virtual_time)?;
+    let held = largest_fully_reached(REQUIRED_INSTANCES, |n| sessions_held(n - 1));
     write!(
         text,
         "\n## Ends by the formats alone\n\nOf the board's, the sealing's and the encoder's own code, without a cluster.\n\n\
@@ -519,23 +526,23 @@
             text,
             "- One entry of {value} bytes leaves its publisher for all others up to {} instances; at {REQUIRED_INSTANCES} for {} of \
              {}, and the rest wait for a comparison.",
-            largest(REQUIRED_INSTANCES, reached),
+            largest_fully_reached(REQUIRED_INSTANCES, reached),
             reached(REQUIRED_INSTANCES),
             REQUIRED_INSTANCES - 1
         )?;
     }
-    if !real.is_empty() {
+    if !sockets.is_empty() {
         write!(
             text,
             "\n## Over loopback sockets\n\nThe same instances in real time, each with the balancer's driver on a socket \
              of its own, all on one thread: its whole processor time is theirs, the kernel's part with it. Who sees whom is \
              looked at once a second; 'wrongly down' and the rig's part are not counted here.\n\n{TABLE_HEAD}"
         )?;
-        for (size, points) in real {
+        for (size, points) in sockets {
             write_row(&mut text, *size, points)?;
         }
         text.push('\n');
-        write_counters(&mut text, real)?;
+        write_counters(&mut text, sockets)?;
     }
     Ok(text)
 }
@@ -544,8 +551,11 @@
                     until then | a change at all, ms |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
 
 fn write_row(text: &mut String, size: usize, points: &[Point]) -> std::fmt::Result {
-    let cell = |value: Value, unit: f64, digits: usize| {
-        let values: Option<Vec<f64>> = points.iter().map(|p| value(p).map(|v| v / unit)).collect();
+    let cell = |value: Value, divisor: f64, digits: usize| {
+        let values: Option<Vec<f64>> = points
+            .iter()
+            .map(|p| value(p).map(|v| v / divisor))
+            .collect();
         let Some(values) = values else {
             return "never".to_owned();
         };
@@ -622,15 +632,15 @@
             continue;
         };
         let receivers = 1 + forward_to.len();
-        // A node marks gossip messages with one byte in front.
+        // A node prefixes each gossip message with one byte that marks it as such.
         let body = [vec![2], postcard::to_stdvec(&message).unwrap_or_default()].concat();
-        // A handshake answer has the size of any other datagram and needs no session.
+        // Sealed as a handshake answer, which needs no session and has the size of any other datagram.
         reached += sessions.seal_answer(1, &body).map_or(0, |_| receivers);
     }
     reached
 }
 
-/// With how many of this many others an instance has a session after all have answered its handshake.
+/// The number of sessions that an instance holds after this many others have answered its handshake.
 pub fn sessions_held(others: usize) -> usize {
     let mut own = sessions(0);
     let held = (1..=others).filter(|i| {
@@ -644,13 +654,14 @@
 
 const INCARNATION: u64 = 1;
 
+/// The empty session table of an instance.
 fn sessions(i: usize) -> Sessions {
     let keys = Keys(vec![Key::new(b"a secret of the rig")]);
     Sessions::new(InstanceId::of(&name(i)).0, INCARNATION, keys)
 }
 
 /// The largest cluster size up to `up_to` at which, as at all smaller sizes, all other instances are reached.
-fn largest(up_to: usize, reached: impl Fn(usize) -> usize) -> usize {
+fn largest_fully_reached(up_to: usize, reached: impl Fn(usize) -> usize) -> usize {
     (2..=up_to)
         .take_while(|n| reached(*n) == n - 1)
         .last()
--- a/crates/fleet-rig/src/series.rs
+++ b/crates/fleet-rig/src/series.rs
@@ -75,12 +75,13 @@
         })
     }
 
-    /// The value of the fitted line at a size.
+    /// The value of the fitted line at a size; `None` for fewer than two distinct sizes.
     pub fn predict(&self, size: f64) -> Option<f64> {
         self.fit().map(|fit| fit.intercept + fit.slope * size)
     }
 
-    /// The ratio of a size to the largest measured size; 1 for sizes within the measured range.
+    /// The ratio of a size to the largest measured size; 1 for sizes within the measured range, and infinite if
+    /// no size above 0 was measured.
     pub fn extrapolation(&self, size: f64) -> f64 {
         let max_size = self.points.iter().map(|p| p.0).fold(0.0, f64::max);
         if max_size == 0.0 {
@@ -106,8 +107,8 @@
         }
     }
 
-    /// Writes series into the file in place of those with the same names, and keeps all others. Fails if the file cannot
-    /// be read, parsed or written.
+    /// Writes series into the file in place of those with the same names, and keeps all others. Fails if the file
+    /// cannot be read, parsed or written.
     pub fn update(
         file: &Path,
         series: impl IntoIterator<Item = (String, Series)>,
