--- a/crates/fleet-rig/src/real.rs
+++ b/crates/fleet-rig/src/real.rs
@@ -86,7 +86,9 @@
 
 /// A stream server that accepts all connections, answers probes and records them.
 pub struct StubServer {
+    /// The server's id in the endpoint list.
     pub id: String,
+    /// The address at which the server listens.
     pub address: SocketAddr,
     /// The received probes, in the order of arrival.
     pub probes: Arc<Mutex<Vec<ProbeRecord>>>,
@@ -167,6 +169,7 @@
 /// A discovery service that serves one list and counts its requests.
 #[derive(Clone)]
 pub struct StubDiscovery {
+    /// The address at which the service listens.
     pub address: SocketAddr,
     list: Arc<(Mutex<RevisedList>, Condvar)>,
     /// The number of requests at this address.
@@ -221,6 +224,7 @@
                     .parse::<u64>()
                     .ok()
             });
+            // A long poll: a request that names the current revision waits for the next one.
             let list = self.list.0.lock().expect("lock not poisoned");
             let wait = Duration::from_millis(if since.is_some() { 3500 } else { 0 });
             let (list, _) = self
@@ -254,7 +258,7 @@
     Ipv4Addr::new(127, process as u8, high as u8, low as u8)
 }
 
-/// Listens at an address of its own, on any port.
+/// Listens at an address of its own, on a free port.
 fn listener() -> TcpListener {
     TcpListener::bind((unique_address(), 0)).expect("a port is free")
 }
@@ -272,8 +276,11 @@
     pub dir: PathBuf,
     /// The discovery that members use.
     pub discovery: StubDiscovery,
+    /// The instances' names, by index.
     pub names: Vec<String>,
+    /// The UDP addresses for cluster traffic, by instance.
     pub gossip_addresses: Vec<SocketAddr>,
+    /// The TCP addresses at which clients connect, by instance.
     pub listen_addresses: Vec<SocketAddr>,
     /// The `duties` section of the operator's file, as JSON.
     pub duties: String,
@@ -284,7 +291,7 @@
     pub sections: BTreeMap<usize, String>,
     /// The instances outside the cluster, which are the last ones, with the discovery that each uses.
     pub non_members: BTreeMap<usize, StubDiscovery>,
-    /// The running processes.
+    /// The running processes, by instance.
     pub running: BTreeMap<usize, Child>,
 }
 
@@ -448,7 +455,7 @@
         serde_json::from_slice(&output.stdout).ok()
     }
 
-    /// Queries a running instance with a sub-command, and returns the answer as text for people.
+    /// Queries a running instance with a sub-command, and returns the human-readable answer.
     pub fn query_as_text(&self, i: usize, command: &str) -> String {
         let output = Command::new(&self.program)
             .args([command, "--operator"])
@@ -458,12 +465,13 @@
         String::from_utf8_lossy(&output.stdout).into_owned()
     }
 
-    /// The log of an instance over all its processes; empty if there is none.
+    /// The log of an instance, including that of its earlier processes; empty if there is none.
     pub fn log(&self, i: usize) -> String {
         std::fs::read_to_string(self.dir.join(format!("log-{i}"))).unwrap_or_default()
     }
 
-    /// Requests a connection from an instance as a client, and returns the first line of the answer.
+    /// Requests a connection from an instance as a client, and returns the first line of the answer;
+    /// empty if none comes within `STEP_TIMEOUT`.
     pub fn open_connection(&self, i: usize, id: u64, key: &str) -> String {
         let mut stream =
             TcpStream::connect(self.listen_addresses[i]).expect("the instance accepts");
