--- a/crates/fleet-rig/src/measure.rs
+++ b/crates/fleet-rig/src/measure.rs
@@ -16,7 +16,9 @@
     instances: usize,
     duties: usize,
     every_ms: u64,
+    /// Sent datagrams.
     datagrams: f64,
+    /// Sent bytes.
     bytes: f64,
     /// Datagrams of the same cluster without leases, which are those of the membership and the digests.
     idle_datagrams: f64,
@@ -35,7 +37,7 @@
     duties: u64,
     /// p50, p99 and maximum of the time from the kill to the next execution.
     from_kill: [u64; 3],
-    /// p50, p99 and maximum of how much the next execution exceeded one interval after the last.
+    /// p50, p99 and maximum of how much later the next execution came than one interval after the last.
     late: [u64; 3],
 }
 
@@ -51,6 +53,7 @@
 fn lossless_plan(instances: usize, leases: usize, interval: u64) -> Plan {
     Plan {
         instances,
+        // The largest odd number up to 9 and up to the number of instances.
         voters: instances.min(9) - (instances.min(9) + 1) % 2,
         leases,
         interval,
@@ -60,7 +63,8 @@
     }
 }
 
-/// The processor time of the calling thread so far, in microseconds. Other threads do not count.
+/// The processor time of the calling thread so far, in microseconds; NaN if it cannot be read. Other threads do
+/// not count.
 fn cpu_us() -> f64 {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     let ns = text.split(' ').next().and_then(|ns| ns.parse::<f64>().ok());
@@ -169,7 +173,8 @@
     )
 }
 
-/// Measures everything, prints each result, and writes `duties.json`, `duties.md` and the charts into a folder.
+/// Measures costs, takeovers and joins, prints the costs and takeovers, and writes `duties.json`, `duties.md` and the
+/// charts into a folder. Fails if a file cannot be written. Panics if the checker finds a violation.
 pub fn run(folder: &Path) -> Result<(), String> {
     let mut costs = Vec::new();
     for instances in [3, 5, 10, 50] {
--- a/crates/fleet-rig/src/sockets.rs
+++ b/crates/fleet-rig/src/sockets.rs
@@ -23,10 +23,11 @@
 /// The time between two reads of who has received a change.
 const CHANGE_POLL: Duration = Duration::from_millis(5);
 
-/// By key of an entry: how often an instance received it from another one, and when the last did.
+/// By key of an entry: the number of receipts from other instances, summed over all instances, and the time of the last
+/// one.
 type Receipts = Rc<RefCell<BTreeMap<u64, (usize, Instant)>>>;
 
-/// Runs one cluster.
+/// Runs one cluster. Fails if the runtime cannot be built, a socket cannot be bound, or an instance cannot be started.
 pub fn run_once(args: &Args, instances: usize, seed: u64) -> Result<Point, String> {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime = builder.enable_all().build().map_err(|e| e.to_string())?;
