--- a/crates/fleet-rig/src/data_path.rs
+++ b/crates/fleet-rig/src/data_path.rs
@@ -106,7 +106,7 @@
         let deadline = Instant::now() + STEP_TIMEOUT;
         while TcpStream::connect(address).is_err() {
             if Instant::now() > deadline {
-                return Err("the balancer does not listen".into());
+                return Err(format!("the balancer does not listen at {address}"));
             }
             std::thread::sleep(Duration::from_millis(20));
         }
@@ -155,7 +155,7 @@
         let text = std::fs::read_to_string(path).map_err(|e| e.to_string())?;
         let line = text.lines().find_map(|line| line.strip_prefix(key));
         let kib = line.and_then(|rest| rest.trim().split(' ').next()?.parse::<f64>().ok());
-        Ok(kib.ok_or("no such memory statistic")? * 1024.0)
+        Ok(kib.ok_or_else(|| format!("no memory statistic {key:?}"))? * 1024.0)
     }
 
     /// The process's processor time so far, in microseconds. The process has one thread.
@@ -167,7 +167,7 @@
     }
 }
 
-/// The median; of an even number of values, the higher of the two in the middle.
+/// The median; of an even number of values, the higher of the two in the middle. Panics if there are no values.
 pub fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
     values[values.len() / 2]
@@ -356,7 +356,7 @@
 }
 
 /// The size of a list in bytes, and the median time in us to parse it and to update the decision module. The list is
-/// complete if `whole` is set, and otherwise one changed entry.
+/// complete if `whole` is set, and otherwise a delta with one changed entry.
 fn apply_list(servers: usize, whole: bool) -> Result<(f64, f64), String> {
     let entry_of = |n: usize, phase| entry(&format!("s-{n}"), "10.1.2.3:4567", phase, 0);
     let all: Vec<String> = (0..servers).map(|n| entry_of(n, "SERVING")).collect();
