--- a/crates/fleet-rig/tests/virtual_time.rs
+++ b/crates/fleet-rig/tests/virtual_time.rs
@@ -1,4 +1,4 @@
-//! Clusters of real nodes in virtual time. Each test prints its seed; the same seed gives the same run.
+//! Clusters of real nodes in virtual time. The same seed gives the same run.
 
 use rand::RngExt;
 use spanspur_fleet_rig::{CheckReport, Fault, Plan, World};
@@ -109,7 +109,8 @@
     }
 }
 
-/// All faults at once, including those that no cluster can tolerate: terms may be missed, but none is executed twice.
+/// Overlapping faults of all kinds, including those that no cluster can tolerate: terms may be missed, but none is
+/// executed twice.
 #[test]
 fn concurrent_faults_cause_no_duplicate_execution() {
     let mut acts = 0;
@@ -128,9 +129,9 @@
         while at < end {
             let random = world.random();
             let (target, gap) = (random.random_range(0..5), random.random_range(0..3_000));
-            let (first, kind) = (random.random_range(0..5), random.random_range(0..9));
+            let (sender, kind) = (random.random_range(0..5), random.random_range(0..9));
             let jump = random.random_range(-5_000..5_000);
-            let known = random.random_range(0..40);
+            let lease_count = random.random_range(0..40);
             world.inject(
                 at,
                 match kind {
@@ -138,10 +139,10 @@
                     1 | 2 => Fault::Start(target),
                     3 => Fault::Freeze(target),
                     4 => Fault::Thaw(target),
-                    5 => Fault::Cut(vec![first], vec![target]),
+                    5 => Fault::Cut(vec![sender], vec![target]),
                     6 => Fault::Heal,
                     7 => Fault::Jump(target, jump),
-                    _ => Fault::Duties(target, known),
+                    _ => Fault::Duties(target, lease_count),
                 },
             );
             world.inject(at, Fault::Forge(target));
@@ -153,7 +154,8 @@
             "seed {seed}: {} acts, {} fenced",
             report.acts, report.fenced
         );
-        // Overlapping grants are also reported, but only two executions of one term name instances.
+        // The report also lists overlapping grants. Only the text for a term that was executed twice contains the word
+        // "instance".
         let duplicate = report
             .duplicates
             .iter()
