--- a/crates/fleet-rig/src/main.rs
+++ b/crates/fleet-rig/src/main.rs
@@ -61,16 +61,16 @@
         /// The folder for the results.
         #[arg(long, default_value = "docs/measured")]
         folder: PathBuf,
-        /// For `seeds`: the number of seeds.
+        /// For `seeds` and `all`: the number of seeds.
         #[arg(long, default_value_t = 100)]
         seeds: u64,
-        /// For `seeds`: the first seed.
+        /// For `seeds` and `all`: the first seed.
         #[arg(long, default_value_t = 0)]
         first: u64,
-        /// For `seeds`: the number of balancers in each run.
+        /// For `seeds` and `all`: the number of balancers in each run.
         #[arg(long, default_value_t = 100)]
         followers: usize,
-        /// For `seeds`: the number of concurrent runs.
+        /// For `seeds` and `all`: the number of concurrent runs.
         #[arg(long, default_value_t = 3)]
         jobs: usize,
     },
