--- a/tests/control_answers.rs
+++ b/tests/control_answers.rs
@@ -1,8 +1,9 @@
-//! The sub-commands that ask a running process: `--json` passes its answer on unchanged, and the tables are for people.
+//! Tests of the sub-commands that query a running process over its control socket: `--json` prints the answer
+//! unchanged, and without it the answer is printed as a table.
 //!
-//! The answers are `tests/fixtures/control/*.json`, which `crates/cluster/tests/control_answers.rs` holds to the types.
-//! The tables in `tests/fixtures/control/*.txt` were written by the tree at 71566bd; rewriting them
-//! (`WRITE_FIXTURES=1`) hides a change of a text.
+//! The answers are `tests/fixtures/control/*.json`, which `crates/cluster/tests/control_answers.rs` checks against
+//! their Rust types. The tables in `tests/fixtures/control/*.txt` were generated at commit 71566bd; regenerating them
+//! (`WRITE_FIXTURES=1`) hides a changed text.
 
 #[path = "common/fixture.rs"]
 mod fixture;
@@ -11,8 +12,14 @@
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::process::{Command, Output};
 
-/// Runs a sub-command against a process that gives this answer; returns the question too.
-fn asked(name: &str, command: &str, arguments: &[&str], answer: &str) -> (String, Output) {
+/// Runs a sub-command against a control socket that replies with `answer`. Returns the query line that the socket
+/// received and the output of the sub-command.
+fn run_against_answer(
+    name: &str,
+    command: &str,
+    arguments: &[&str],
+    answer: &str,
+) -> (String, Output) {
     let socket = std::env::temp_dir().join(format!(
         "spanspur-answers-{}-{name}-{}.sock",
         std::process::id(),
@@ -20,14 +27,16 @@
     ));
     let _ = std::fs::remove_file(&socket);
     let listener = UnixListener::bind(&socket).expect("a socket");
-    let (question, output) = std::thread::scope(|scope| {
-        let answers = scope.spawn(|| {
-            let (mut asking, _) = listener.accept().expect("asked");
-            let mut question = String::new();
-            let mut reader = BufReader::new(asking.try_clone().expect("a stream"));
-            reader.read_line(&mut question).expect("a line");
-            asking.write_all(answer.as_bytes()).expect("answered");
-            question
+    let (query, output) = std::thread::scope(|scope| {
+        let server = scope.spawn(|| {
+            let (mut stream, _) = listener.accept().expect("a connection");
+            let mut query = String::new();
+            let mut reader = BufReader::new(stream.try_clone().expect("a stream"));
+            reader.read_line(&mut query).expect("a line");
+            stream
+                .write_all(answer.as_bytes())
+                .expect("the answer is written");
+            query
         });
         let output = Command::new(env!("CARGO_BIN_EXE_spanspur"))
             .env_clear()
@@ -37,41 +46,41 @@
             .args(arguments)
             .output()
             .expect("it starts");
-        // One that did not ask must not leave the listener waiting.
+        // If the sub-command never connected, this connection unblocks `accept`.
         drop(UnixStream::connect(&socket));
-        (answers.join().expect("answered"), output)
+        (server.join().expect("the server thread ends"), output)
     });
     let _ = std::fs::remove_file(&socket);
-    (question, output)
+    (query, output)
 }
 
 #[test]
-fn each_answer_is_passed_on_as_it_is_and_shown_as_the_table_of_the_fixture() {
+fn json_output_is_the_unchanged_answer_and_table_output_matches_the_fixture() {
     for (name, command) in [
         ("duties", "duties"),
         ("members", "members"),
         ("changes_source", "changes"),
         ("changes_follower", "changes"),
     ] {
-        let kept = fixture::path(&format!("control/{name}.json"));
-        let answer = std::fs::read_to_string(kept).expect("the fixture");
-        let (question, json) = asked(name, command, &["--json"], &answer);
-        assert_eq!(question, format!("{command}\n"));
+        let path = fixture::path(&format!("control/{name}.json"));
+        let answer = std::fs::read_to_string(path).expect("the fixture");
+        let (query, json) = run_against_answer(name, command, &["--json"], &answer);
+        assert_eq!(query, format!("{command}\n"));
         assert!(json.status.success(), "{name}: {json:?}");
         assert_eq!(String::from_utf8_lossy(&json.stdout), answer, "{name}");
 
-        let (_, table) = asked(name, command, &[], &answer);
+        let (_, table) = run_against_answer(name, command, &[], &answer);
         assert!(table.status.success(), "{name}: {table:?}");
-        let shown = String::from_utf8(table.stdout).expect("text");
-        fixture::assert_text(&format!("control/{name}.txt"), &shown);
+        let text = String::from_utf8(table.stdout).expect("text");
+        fixture::assert_text(&format!("control/{name}.txt"), &text);
     }
 }
 
 #[test]
-fn a_process_without_a_distribution_is_named_in_these_words() {
+fn changes_fails_with_an_explanation_if_the_process_neither_distributes_nor_follows() {
     let answer = "{\"error\":\"'changes' is no question here\"}\n";
     for arguments in [&["--json"][..], &[]] {
-        let (_, output) = asked("none", "changes", arguments, answer);
+        let (_, output) = run_against_answer("none", "changes", arguments, answer);
         assert!(!output.status.success(), "{output:?}");
         assert_eq!(
             String::from_utf8_lossy(&output.stderr),
