--- a/tests/cluster/main.rs
+++ b/tests/cluster/main.rs
@@ -1,49 +1,50 @@
-//! Shared duties among real processes on loopback: killed, frozen, cut off, reloaded. What counts is the stand-in
-//! servers' own record.
+//! Tests of duties shared by real processes on loopback that are killed, frozen (SIGSTOP), restarted and reloaded.
+//! Most checks use what the stub servers recorded.
 
 use spanspur_fleet_rig::real::*;
 use std::collections::BTreeSet;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-const EVERY: Duration = Duration::from_millis(2000);
+/// Interval of the probe duty.
+const PROBE_INTERVAL: Duration = Duration::from_millis(2000);
 const PROGRAM: &str = env!("CARGO_BIN_EXE_spanspur");
 
 #[test]
-fn forty_duties_of_five_instances_that_are_killed_frozen_and_restarted() {
+fn forty_probe_duties_keep_their_interval_while_instances_are_killed_frozen_and_restarted() {
     let servers = start_servers(40);
     let discovery = StubDiscovery::new(serving_entries(&servers));
-    let mut cluster = Cluster::new(PROGRAM, 5, discovery, &probe_duties(EVERY));
+    let mut cluster = Cluster::new(PROGRAM, 5, discovery, &probe_duties(PROBE_INTERVAL));
     wait_until("every server is probed", || all_probed(&servers));
     let from = Instant::now();
-    let pause = |periods: u32| std::thread::sleep(EVERY * periods);
+    let sleep_periods = |periods: u32| std::thread::sleep(PROBE_INTERVAL * periods);
 
     cluster.kill(0);
-    pause(4);
+    sleep_periods(4);
     cluster.start(0);
-    pause(3);
-    // Frozen for three periods and more, then let go.
+    sleep_periods(3);
+    // Frozen for four periods, then resumed.
     cluster.signal(1, "-STOP");
-    pause(4);
+    sleep_periods(4);
     cluster.signal(1, "-CONT");
-    pause(2);
-    // Two, 50 ms apart.
+    sleep_periods(2);
+    // Two instances are killed 50 ms apart.
     cluster.kill(2);
     std::thread::sleep(Duration::from_millis(50));
     cluster.kill(3);
-    pause(4);
+    sleep_periods(4);
     cluster.start(2);
     cluster.start(3);
-    pause(3);
-    // One leaves in order: its duties go on without a gap.
+    sleep_periods(3);
+    // One instance shuts down in an orderly way: others take over its duties without a gap.
     cluster.signal(4, "-TERM");
     assert_eq!(cluster.wait_for_exit(4), Some(0));
-    pause(2);
+    sleep_periods(2);
 
-    let found = find_violations(&servers, EVERY, from, Instant::now());
+    let violations = find_violations(&servers, PROBE_INTERVAL, from, Instant::now());
     assert!(
-        found.is_empty(),
-        "{found:#?}\nlogs: {}",
+        violations.is_empty(),
+        "{violations:#?}\nlogs: {}",
         cluster.dir.display()
     );
     let answer = cluster.query(0, "duties").expect("an answer");
@@ -60,20 +61,20 @@
         .iter()
         .filter(|m| m["alive"] == true);
     assert_eq!(alive.count(), 4, "{members}");
-    let shown = cluster.query_as_text(0, "duties");
+    let table = cluster.query_as_text(0, "duties");
     assert!(
-        shown.contains("holder") && shown.contains("probe/"),
-        "{shown}"
+        table.contains("holder") && table.contains("probe/"),
+        "{table}"
     );
 }
 
 #[test]
-fn a_server_that_hangs_is_avoided_by_all_though_one_probed_it() {
+fn a_hanging_server_is_avoided_by_all_instances_after_one_failed_probe() {
     let servers = start_servers(2);
     let discovery = StubDiscovery::new(serving_entries(&servers));
-    let cluster = Cluster::new(PROGRAM, 3, discovery, &probe_duties(EVERY));
+    let cluster = Cluster::new(PROGRAM, 3, discovery, &probe_duties(PROBE_INTERVAL));
     wait_until("every server is probed", || all_probed(&servers));
-    // Found by its answers to clients: the key that leads to the first server.
+    // A key that is placed on the first server, found by sending requests.
     let key = (0..100).map(|n| format!("{n:016x}")).find(|key| {
         let before = servers[0].requests.load(Ordering::Relaxed);
         cluster.open_connection(0, 0xa000, key);
@@ -81,13 +82,13 @@
     });
     let key = key.expect("a key for each server");
     servers[0].unresponsive.store(true, Ordering::Relaxed);
-    // Within this the next probe comes, waits for its answer in vain, and tells all.
-    std::thread::sleep(EVERY + Duration::from_millis(500));
+    // Long enough for the next probe to start, time out and be gossiped to all instances.
+    std::thread::sleep(PROBE_INTERVAL + Duration::from_millis(500));
     for i in 0..3 {
         let start = Instant::now();
         let answer = cluster.open_connection(i, 0xb000 + i as u64, &key);
         assert_eq!(answer, "UP r1\r\n", "instance {i}");
-        // Whoever tries the silent server first waits for it for an aim or more.
+        // An instance that tried the hanging server first would take longer, since it waits there for an answer.
         assert!(
             start.elapsed() < Duration::from_millis(400),
             "instance {i}: {:?}",
@@ -96,40 +97,43 @@
     }
     servers[0].unresponsive.store(false, Ordering::Relaxed);
     let before = servers[0].requests.load(Ordering::Relaxed);
-    wait_until("it is used again", || {
+    wait_until("the server is used again", || {
         cluster.open_connection(1, 0xc000, &key);
         servers[0].requests.load(Ordering::Relaxed) > before
     });
 }
 
 #[test]
-fn one_watches_discovery_for_all_and_the_rest_ask_when_its_news_is_old() {
+fn one_instance_polls_discovery_for_all_and_the_others_poll_when_the_shared_list_is_stale() {
     let servers = start_servers(3);
     let discovery = StubDiscovery::new(serving_entries(&servers));
     let duties = r#"{"list":{"every_ms":2500,"max_age_ms":1500}}"#;
     let mut cluster = Cluster::new(PROGRAM, 3, discovery.clone(), duties);
-    let relieved = |cluster: &Cluster| -> Vec<usize> {
+    let suspended = |cluster: &Cluster| -> Vec<usize> {
         (0..3)
             .filter(|i| {
                 let log = cluster.log(*i);
-                let on =
+                let suspended_at =
                     log.rfind("discovery polling suspended: list confirmed by another instance");
-                on.is_some() && on > log.rfind("discovery polling resumed: shared list is stale")
+                suspended_at.is_some()
+                    && suspended_at > log.rfind("discovery polling resumed: shared list is stale")
             })
             .collect()
     };
-    wait_until("two of three are relieved", || {
-        relieved(&cluster).len() == 2
+    wait_until("two of three instances suspend polling", || {
+        suspended(&cluster).len() == 2
     });
-    let others = relieved(&cluster);
-    let leader = (0..3).find(|i| !others.contains(i)).expect("one watches");
-    // A drain told to the one that watches is kept by all within 300 ms.
+    let others = suspended(&cluster);
+    let leader = (0..3)
+        .find(|i| !others.contains(i))
+        .expect("one instance polls");
+    // A drain that the polling instance learns is in force on all instances within 300 ms.
     let mut entries = serving_entries(&servers);
     entries[1] = servers[1].entry("DRAINING");
     entries.remove(2);
     discovery.publish(entries.clone());
     std::thread::sleep(Duration::from_millis(300));
-    let told = [1, 2].map(|n: usize| servers[n].requests.load(Ordering::Relaxed));
+    let before = [1, 2].map(|n: usize| servers[n].requests.load(Ordering::Relaxed));
     for i in 0..3 {
         for n in 0..8 {
             assert_eq!(
@@ -140,18 +144,21 @@
         }
     }
     let after = [1, 2].map(|n: usize| servers[n].requests.load(Ordering::Relaxed));
-    assert_eq!(told, after, "new work after a drain was told");
-    // The one that watches dies: the others ask themselves once its news is too old, and one takes the duty.
+    assert_eq!(before, after, "requests to a draining or removed server");
+    // The polling instance is killed: the others poll discovery themselves once the shared list is stale, and one of
+    // them takes over the list lease.
     cluster.kill(leader);
-    let again = |cluster: &Cluster| {
-        let takes = |i: &&usize| {
+    let publishers = |cluster: &Cluster| {
+        let publishes = |i: &&usize| {
             cluster
                 .log(**i)
                 .contains("list lease held: publishing the endpoint list")
         };
-        others.iter().filter(takes).count()
+        others.iter().filter(publishes).count()
     };
-    wait_until("another one takes the watch", || again(&cluster) == 1);
+    wait_until("another instance takes over the list lease", || {
+        publishers(&cluster) == 1
+    });
     entries.push(servers[2].entry("SERVING"));
     entries[0] = servers[0].entry("DRAINING");
     discovery.publish(entries);
@@ -171,10 +178,10 @@
 }
 
 #[test]
-fn a_key_is_replaced_without_a_stop_and_a_bad_file_changes_nothing() {
+fn keys_are_rotated_by_reload_without_a_gap_and_an_invalid_file_changes_nothing() {
     let servers = start_servers(3);
     let discovery = StubDiscovery::new(serving_entries(&servers));
-    let mut cluster = Cluster::new(PROGRAM, 3, discovery, &probe_duties(EVERY));
+    let mut cluster = Cluster::new(PROGRAM, 3, discovery, &probe_duties(PROBE_INTERVAL));
     wait_until("every server is probed", || all_probed(&servers));
     let from = Instant::now();
     let steps = [
@@ -190,12 +197,14 @@
             std::thread::sleep(Duration::from_millis(150));
         }
     }
-    std::thread::sleep(EVERY * 3);
-    // Too fast for a take-over, and a key that nobody knows: both are named, and all stays as it was.
-    cluster.duties = probe_duties(EVERY).replace("\"every_ms\":2000", "\"every_ms\":900,\"odd\":1");
+    std::thread::sleep(PROBE_INTERVAL * 3);
+    // An interval that is too short for a takeover, and an unknown field: the reload is rejected, and the running
+    // configuration stays.
+    cluster.duties =
+        probe_duties(PROBE_INTERVAL).replace("\"every_ms\":2000", "\"every_ms\":900,\"odd\":1");
     cluster.write_operator_config(1);
     cluster.signal(1, "-HUP");
-    wait_until("the fault is logged", || {
+    wait_until("the rejected reload is logged", || {
         cluster.log(1).contains("not reloaded")
     });
     assert!(
@@ -203,15 +212,15 @@
         "{}",
         cluster.log(1)
     );
-    std::thread::sleep(EVERY * 2);
-    let found = find_violations(&servers, EVERY, from, Instant::now());
-    assert!(found.is_empty(), "{found:#?}");
+    std::thread::sleep(PROBE_INTERVAL * 2);
+    let violations = find_violations(&servers, PROBE_INTERVAL, from, Instant::now());
+    assert!(violations.is_empty(), "{violations:#?}");
     let counters = &cluster.query(2, "members").expect("an answer")["counters"];
     assert_eq!(counters["forged"].as_u64().unwrap_or(0), 0, "{counters}");
 }
 
 #[test]
-fn without_an_operators_file_there_is_one_listener_and_no_datagram_socket() {
+fn without_an_operator_file_there_is_one_listener_and_no_udp_socket() {
     let discovery = StubDiscovery::new(Vec::new());
     let listen = free_address();
     let config = std::env::temp_dir().join(format!("spanspur-off-{}.json", std::process::id()));
@@ -228,36 +237,43 @@
     wait_until("it listens", || {
         std::net::TcpStream::connect(listen).is_ok()
     });
-    wait_until("it watches", || discovery.polls.load(Ordering::Relaxed) > 0);
+    wait_until("it polls discovery", || {
+        discovery.polls.load(Ordering::Relaxed) > 0
+    });
     let proc = std::path::PathBuf::from(format!("/proc/{}", child.id()));
-    let held: Vec<String> = std::fs::read_dir(proc.join("fd"))
-        .expect("its descriptors")
+    let own_inodes: Vec<String> = std::fs::read_dir(proc.join("fd"))
+        .expect("its file descriptors")
         .filter_map(|entry| std::fs::read_link(entry.ok()?.path()).ok())
         .filter_map(|link| {
             let link = link.to_string_lossy().into_owned();
             Some(link.strip_prefix("socket:[")?.strip_suffix(']')?.to_owned())
         })
         .collect();
-    let among = |table: &str, state: &str| {
+    let count_sockets = |table: &str, state: &str| {
         let table = std::fs::read_to_string(proc.join("net").join(table)).unwrap_or_default();
         let rows = table.lines().skip(1).filter(|row| row.contains(state));
-        // Each socket once, by its inode: the table is read in pieces, and while others come and go a row may come twice.
+        // Count each inode once: the kernel returns the table in several reads, and a row can appear twice if sockets
+        // open or close in between.
         let inodes = rows.filter_map(|row| row.split_whitespace().nth(9));
         let own: BTreeSet<&str> = inodes
-            .filter(|inode| held.iter().any(|h| h == inode))
+            .filter(|inode| own_inodes.iter().any(|o| o == inode))
             .collect();
         own.len()
     };
-    // State 0A of a row is 'listens'.
-    let found = (among("tcp", " 0A "), among("udp", ""), among("udp6", ""));
+    // State 0A is LISTEN.
+    let counts = (
+        count_sockets("tcp", " 0A "),
+        count_sockets("udp", ""),
+        count_sockets("udp6", ""),
+    );
     child.kill().expect("killed");
     child.wait().expect("ended");
     let _ = std::fs::remove_file(&config);
-    assert_eq!(found, (1, 0, 0), "listeners and datagram sockets");
+    assert_eq!(counts, (1, 0, 0), "TCP listeners, UDP and UDP6 sockets");
 }
 
 #[test]
-fn check_names_every_fault() {
+fn check_reports_every_invalid_setting() {
     let file = std::env::temp_dir().join(format!("spanspur-check-{}.json", std::process::id()));
     let text = format!(
         r#"{{"cluster":{{"listen":"{}","voters":["a","b"],"keys":["short"],"seed":[]}},
@@ -266,24 +282,24 @@
     );
     std::fs::write(&file, text.replace("\"seed\"", "\"seeds\"")).expect("written");
     let run = || {
-        let done = std::process::Command::new(PROGRAM)
+        let output = std::process::Command::new(PROGRAM)
             .arg("check")
             .arg(&file)
             .output()
             .expect("it runs");
         (
-            done.status.code(),
-            String::from_utf8_lossy(&done.stderr).into_owned(),
+            output.status.code(),
+            String::from_utf8_lossy(&output.stderr).into_owned(),
         )
     };
-    let (code, told) = run();
+    let (code, stderr) = run();
     assert_eq!(code, Some(1));
     for part in [
         "cluster.voters: 2 voters",
         "cluster.keys[0]: shorter",
         "duties.probe.every_ms: 100 ms is less",
     ] {
-        assert!(told.contains(part), "{part}: {told}");
+        assert!(stderr.contains(part), "{part}: {stderr}");
     }
     std::fs::write(&file, text).expect("written");
     assert!(run().1.contains("'seed' was unexpected"));
