--- a/tests/distribution/main.rs
+++ b/tests/distribution/main.rs
@@ -1,6 +1,6 @@
-//! The list of servers on its way from three control instances to six balancers outside their cluster, all real
-//! processes on loopback: killed, frozen, cut off, restarted at once. What counts is the stand-in servers' and the
-//! stand-in discovery's own record.
+//! Tests the distribution of the endpoint list from three control instances to six balancers outside their cluster.
+//! All are real processes on loopback that are killed, frozen (SIGSTOP), cut off from the cluster and restarted
+//! together. Most checks use what the stub servers and the stub discovery recorded.
 
 use spanspur_distribution::rate_limiter::RESERVATION_TOLERANCE;
 use spanspur_fleet_rig::real::*;
@@ -12,25 +12,29 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_spanspur");
 const CONTROLS: usize = 3;
 const BALANCERS: usize = 6;
-/// Ten pieces of rows, about.
+/// The rows of this many servers take about ten pieces.
 const SERVERS: usize = 200;
-/// Pieces a second that a control instance may give. Six balancers that start at once and all have the same first
-/// source want sixty of it, so it binds.
+/// Pieces per second that a control instance may send. Six balancers that start together with the same first source
+/// need sixty pieces from it, so the limit takes effect.
 const RATE: u64 = 20;
-/// What may go at once, and the answer that is given whole when its place has come.
+/// Pieces that may be sent at once: the burst of the rate limit, plus one answer that is sent whole once its
+/// reservation is due.
 const BURST: u64 = 8 + 8;
 const MAX_AGE: Duration = Duration::from_millis(2500);
-/// A change is in force everywhere within this: asked for once a second, with room for a busy machine.
-const IN_FORCE: Duration = Duration::from_secs(6);
+/// Time within which a change must be in force on all balancers. Followers ask once per second; the rest is allowance
+/// for a busy machine.
+const MAX_CHANGE_DELAY: Duration = Duration::from_secs(6);
 
 struct Fleet {
     cluster: Cluster,
     servers: Vec<StubServer>,
     entries: Vec<String>,
-    /// Where the balancers ask, apart from the control instances.
-    outside: StubDiscovery,
+    /// The discovery that the balancers poll; it serves the same list as that of the control instances and counts
+    /// its polls separately.
+    balancer_discovery: StubDiscovery,
     sources: Vec<SocketAddr>,
-    opened: u64,
+    /// Number of the last opened connection.
+    last_connection: u64,
 }
 
 fn followers() -> std::ops::Range<usize> {
@@ -42,7 +46,7 @@
         let servers = start_servers(SERVERS);
         let entries = serving_entries(&servers);
         let discovery = StubDiscovery::new(entries.clone());
-        let outside = discovery.share_list();
+        let balancer_discovery = discovery.share_list();
         let duties = r#"{"list":{"every_ms":2500,"max_age_ms":1500}}"#;
         let mut cluster = Cluster::prepare(PROGRAM, CONTROLS + BALANCERS, discovery, duties);
         let sources: Vec<SocketAddr> = (0..CONTROLS).map(|_| free_address()).collect();
@@ -54,249 +58,270 @@
             cluster.sections.insert(i, section);
         }
         for i in followers() {
-            cluster.non_members.insert(i, outside.clone());
+            cluster.non_members.insert(i, balancer_discovery.clone());
         }
         let mut fleet = Self {
             cluster,
             servers,
             entries,
-            outside,
+            balancer_discovery,
             sources,
-            opened: 0xa0000,
+            last_connection: 0xa0000,
         };
         for i in followers() {
-            fleet.follow(i, r#"["a secret of the followers"]"#, CONTROLS);
+            fleet.set_follow_section(i, r#"["a secret of the followers"]"#, CONTROLS);
         }
         for i in 0..CONTROLS + BALANCERS {
             fleet.cluster.start(i);
         }
-        fleet.rests("at its start");
+        fleet.wait_until_polling_is_suspended("at its start");
         fleet
     }
 
-    /// The section of a balancer.
-    fn follow(&mut self, i: usize, keys: &str, sources: usize) {
-        let at = |(n, address): (usize, &SocketAddr)| {
+    /// Sets the section `follow` of balancer `i`, with the first `sources` control instances.
+    fn set_follow_section(&mut self, i: usize, keys: &str, sources: usize) {
+        let source = |(n, address): (usize, &SocketAddr)| {
             format!(r#"{{"name":"n{n}","address":"{address}","zone":"z{n}","region":"r"}}"#)
         };
-        let named: Vec<String> = self
+        let source_list: Vec<String> = self
             .sources
             .iter()
             .take(sources)
             .enumerate()
-            .map(at)
+            .map(source)
             .collect();
         let section = format!(
             r#""follow":{{"listen":"127.0.0.1:0","zone":"z0","region":"r","keys":{keys},
             "sources":[{}],"max_age_ms":{}}}"#,
-            named.join(","),
+            source_list.join(","),
             MAX_AGE.as_millis()
         );
         self.cluster.sections.insert(i, section);
     }
 
-    /// All balancers take the control instances' word and leave discovery alone.
-    fn rests(&self, when: &str) {
-        let rests = |i: usize| {
+    /// Waits until all balancers have suspended polling discovery and hold the same list.
+    fn wait_until_polling_is_suspended(&self, when: &str) {
+        let suspended = |i: usize| {
             let log = self.cluster.log(i);
-            let on = log.rfind("discovery polling suspended: list confirmed by another instance");
-            on.is_some() && on > log.rfind("discovery polling resumed: shared list is stale")
+            let suspended_at =
+                log.rfind("discovery polling suspended: list confirmed by another instance");
+            suspended_at.is_some()
+                && suspended_at > log.rfind("discovery polling resumed: shared list is stale")
         };
-        // After a change of hands all rows travel anew: none is still on its way.
-        let same = || {
+        // A new list publisher makes all rows be sent again: wait until every balancer has received them.
+        let same_root = || {
             let roots: Vec<serde_json::Value> = followers()
-                .map(|i| self.status(i)["root"].clone())
+                .map(|i| self.follower_status(i)["root"].clone())
                 .collect();
             roots.iter().all(|root| root.is_u64() && *root == roots[0])
         };
-        wait_until(&format!("all rest {when}"), || {
-            followers().all(rests) && same()
+        wait_until(&format!("all balancers suspend polling {when}"), || {
+            followers().all(suspended) && same_root()
         });
-        // A call that was given up is seen by discovery a moment later.
+        // The stub discovery notices a cancelled poll a moment later.
         std::thread::sleep(Duration::from_millis(200));
     }
 
-    /// A request for this key at a balancer: whether it came to this server.
-    fn goes(&mut self, i: usize, key: &str, server: usize) -> bool {
+    /// Sends a request with `key` to balancer `i` and returns whether it reached `server`.
+    fn reaches(&mut self, i: usize, key: &str, server: usize) -> bool {
         let before = self.servers[server].requests.load(Relaxed);
-        self.opened += 1;
+        self.last_connection += 1;
         assert_eq!(
-            self.cluster.open_connection(i, self.opened, key),
+            self.cluster.open_connection(i, self.last_connection, key),
             "UP r1\r\n",
             "instance {i}"
         );
         self.servers[server].requests.load(Relaxed) > before
     }
 
-    /// A key that leads to this server at all balancers.
-    fn key(&mut self, server: usize) -> String {
+    /// Finds a key that all balancers place on `server`.
+    fn find_key(&mut self, server: usize) -> String {
         let first = followers().start;
-        let key = (0..4000).map(|n| format!("{n:016x}"));
-        let key = key.into_iter().find(|key| self.goes(first, key, server));
+        let mut candidates = (0..4000).map(|n| format!("{n:016x}"));
+        let key = candidates.find(|key| self.reaches(first, key, server));
         let key = key.expect("a key for each server");
         for i in followers() {
             assert!(
-                self.goes(i, &key, server),
+                self.reaches(i, &key, server),
                 "instance {i} places {key} elsewhere"
             );
         }
         key
     }
 
-    fn tell(&mut self, server: usize, phase: &str) {
+    /// Publishes a new phase of `server` in both discoveries.
+    fn publish_phase(&mut self, server: usize, phase: &str) {
         self.entries[server] = self.servers[server].entry(phase);
         self.cluster.discovery.publish(self.entries.clone());
     }
 
-    /// Drains a server and waits until no balancer sends anything new there.
-    fn drains(&mut self, server: usize, when: &str) -> String {
-        let key = self.key(server);
+    /// Drains `server`, waits until no balancer sends new requests there and returns a key that was placed on it.
+    fn drain(&mut self, server: usize, when: &str) -> String {
+        let key = self.find_key(server);
         let start = Instant::now();
-        self.tell(server, "DRAINING");
+        self.publish_phase(server, "DRAINING");
         for i in followers() {
-            while self.goes(i, &key, server) {
-                let late = start.elapsed();
+            while self.reaches(i, &key, server) {
+                let elapsed = start.elapsed();
                 assert!(
-                    late < IN_FORCE,
-                    "{when}: not in force at {i} after {late:?}"
+                    elapsed < MAX_CHANGE_DELAY,
+                    "{when}: not in force on instance {i} after {elapsed:?}"
                 );
                 std::thread::sleep(Duration::from_millis(20));
             }
         }
-        println!("{when}: in force at all after {:?}", start.elapsed());
+        println!(
+            "{when}: in force on all balancers after {:?}",
+            start.elapsed()
+        );
         key
     }
 
-    /// For so long nobody sends anything to a server that drained.
-    fn stays_drained(&mut self, key: &str, server: usize, span: Duration, when: &str) {
+    /// Asserts that for `span` no balancer sends a request with `key` to a drained server.
+    fn assert_stays_drained(&mut self, key: &str, server: usize, span: Duration, when: &str) {
         let start = Instant::now();
         while start.elapsed() < span {
             for i in followers() {
-                assert!(!self.goes(i, key, server), "{when}: it went back at {i}");
+                assert!(
+                    !self.reaches(i, key, server),
+                    "{when}: instance {i} uses the drained server again"
+                );
             }
             std::thread::sleep(Duration::from_millis(50));
         }
     }
 
-    fn calls(&self) -> usize {
-        self.outside.polls.load(Relaxed)
+    /// Polls of discovery by the balancers so far.
+    fn balancer_polls(&self) -> usize {
+        self.balancer_discovery.polls.load(Relaxed)
     }
 
-    /// What a follower says of itself.
-    fn status(&self, i: usize) -> serde_json::Value {
+    /// The status of follower `i` from its control socket; null if there is none.
+    fn follower_status(&self, i: usize) -> serde_json::Value {
         let answer = self.cluster.query(i, "changes").unwrap_or_default();
         answer["follower"]["status"].clone()
     }
 
-    fn pieces(&self, i: usize) -> Option<u64> {
+    /// Pieces that control instance `i` has sent; none if it does not answer.
+    fn pieces_sent(&self, i: usize) -> Option<u64> {
         let answer = self.cluster.query(i, "changes")?;
         assert_eq!(answer["source"]["rate"], RATE, "{answer}");
         Some(answer["counters"]["pieces"].as_u64().unwrap_or(0))
     }
 
-    /// The control instance that watches discovery for all.
-    fn leader(&self) -> usize {
+    /// The control instance that holds the list lease and polls discovery for all.
+    fn list_holder(&self) -> usize {
         let answer = self.cluster.query(1, "duties").expect("an answer");
         let holder = answer["duties"][0]["holder"].as_str().map(str::to_owned);
         let holder = holder.unwrap_or_default();
-        let found = self.cluster.names.iter().position(|name| *name == holder);
-        found.unwrap_or_else(|| panic!("no holder: {answer}"))
+        let index = self.cluster.names.iter().position(|name| *name == holder);
+        index.unwrap_or_else(|| panic!("no known holder of the list lease: {answer}"))
     }
 }
 
 #[test]
-fn changes_reach_six_balancers_whatever_becomes_of_three_control_instances() {
+fn changes_reach_six_balancers_while_three_control_instances_fail_in_turn() {
     let mut fleet = Fleet::new();
 
-    // Through the control instances alone.
-    let calls = fleet.calls();
-    fleet.drains(0, "all well");
-    fleet.drains(1, "all well");
-    assert_eq!(fleet.calls(), calls, "calls of balancers that follow");
-    shown(&fleet);
+    // All control instances run: changes arrive without any balancer polling discovery.
+    let polls = fleet.balancer_polls();
+    fleet.drain(0, "all running");
+    fleet.drain(1, "all running");
+    assert_eq!(
+        fleet.balancer_polls(),
+        polls,
+        "polls by balancers with three sources"
+    );
+    check_changes_output(&fleet);
 
-    // The one that watches discovery is killed.
-    let leader = fleet.leader();
-    fleet.cluster.kill(leader);
-    fleet.drains(2, "one killed");
+    // The holder of the list lease is killed.
+    let holder = fleet.list_holder();
+    fleet.cluster.kill(holder);
+    fleet.drain(2, "one killed");
     std::thread::sleep(MAX_AGE);
-    fleet.rests("without the one that was killed");
-    let calls = fleet.calls();
-    fleet.drains(3, "one dead");
+    fleet.wait_until_polling_is_suspended("without the killed instance");
+    let polls = fleet.balancer_polls();
+    fleet.drain(3, "one still down");
     assert_eq!(
-        fleet.calls(),
-        calls,
-        "calls of balancers that follow two of three"
+        fleet.balancer_polls(),
+        polls,
+        "polls by balancers with two of three sources"
     );
-    fleet.cluster.start(leader);
-    wait_until("it has all again", || {
-        let answer = fleet.cluster.query(leader, "changes").unwrap_or_default();
+    fleet.cluster.start(holder);
+    wait_until("the restarted instance has a current list", || {
+        let answer = fleet.cluster.query(holder, "changes").unwrap_or_default();
         answer["source"]["status"]["age"]
             .as_u64()
             .is_some_and(|age| age < 1500)
     });
 
-    // One is frozen while changes are made, and wakes with what it had.
-    let frozen = (leader + 1) % CONTROLS;
+    // One is frozen while a change is made, and resumes with its old list.
+    let frozen = (holder + 1) % CONTROLS;
     fleet.cluster.signal(frozen, "-STOP");
-    let key = fleet.drains(4, "one frozen");
+    let key = fleet.drain(4, "one frozen");
     fleet.cluster.signal(frozen, "-CONT");
-    fleet.stays_drained(&key, 4, Duration::from_secs(2), "one woken");
-    fleet.rests("after one woke");
+    fleet.assert_stays_drained(&key, 4, Duration::from_secs(2), "one resumed");
+    fleet.wait_until_polling_is_suspended("after one resumed");
 
-    // One is cut off from the others, not from its followers, and goes on giving what it has.
-    // It is the first source of them all.
-    let cut = 0;
+    // A different cluster key cuts one off from the other control instances but not from its followers, and it keeps
+    // sending its old list. It is the first source of all balancers.
+    let isolated = 0;
     let kept = std::mem::replace(
         &mut fleet.cluster.keys,
         r#"["a secret of nobody else"]"#.into(),
     );
-    fleet.cluster.write_operator_config(cut);
-    fleet.cluster.signal(cut, "-HUP");
-    // If it watched discovery for all, its turn is over by then: what it has is old.
+    fleet.cluster.write_operator_config(isolated);
+    fleet.cluster.signal(isolated, "-HUP");
+    // If it held the list lease, the lease has expired after this: its list is old.
     std::thread::sleep(Duration::from_secs(3));
-    let key = fleet.drains(5, "one cut off");
-    // Its followers lose what they know, and ask it too.
+    let key = fleet.drain(5, "one cut off");
+    // Its followers are restarted, so they have no list and ask it too.
     for i in followers() {
         fleet.cluster.kill(i);
     }
-    let mut spent = Spent::default();
-    spent.look(&fleet);
+    let mut rate_check = RateCheck::default();
+    rate_check.sample(&fleet);
     let restarted = Instant::now();
     for i in followers() {
         fleet.cluster.start(i);
     }
     for i in followers() {
         wait_until("it listens", || {
-            spent.look(&fleet);
+            rate_check.sample(&fleet);
             std::net::TcpStream::connect(fleet.cluster.listen_addresses[i]).is_ok()
         });
     }
-    // Discovery's own word comes first, and what the one that is cut off has must not undo it.
+    // The balancers get a list from discovery first, and the old list of the isolated instance must not replace it.
     while restarted.elapsed() < Duration::from_secs(1) {
-        spent.look(&fleet);
+        rate_check.sample(&fleet);
     }
-    let full = |fleet: &Fleet| followers().all(|i| fleet.status(i)["full"] == true);
-    while restarted.elapsed() < Duration::from_secs(4) || !full(&fleet) {
-        assert!(restarted.elapsed() < Duration::from_secs(30), "not full");
-        spent.look(&fleet);
-        fleet.stays_drained(&key, 5, Duration::from_millis(1), "restarted, one cut off");
+    let all_full = |fleet: &Fleet| followers().all(|i| fleet.follower_status(i)["full"] == true);
+    while restarted.elapsed() < Duration::from_secs(4) || !all_full(&fleet) {
+        assert!(
+            restarted.elapsed() < Duration::from_secs(30),
+            "a follower has no full list"
+        );
+        rate_check.sample(&fleet);
+        fleet.assert_stays_drained(&key, 5, Duration::from_millis(1), "restarted, one cut off");
     }
-    println!("six started at once: full before {:?}", restarted.elapsed());
-    fleet.rests("after they were restarted");
+    println!(
+        "six balancers restarted together: full lists after at most {:?}",
+        restarted.elapsed()
+    );
+    fleet.wait_until_polling_is_suspended("after they were restarted");
     fleet.cluster.keys = kept;
-    fleet.cluster.write_operator_config(cut);
-    fleet.cluster.signal(cut, "-HUP");
-    fleet.stays_drained(&key, 5, Duration::from_secs(2), "one healed");
-    fleet.rests("after one was healed");
+    fleet.cluster.write_operator_config(isolated);
+    fleet.cluster.signal(isolated, "-HUP");
+    fleet.assert_stays_drained(&key, 5, Duration::from_secs(2), "one reconnected");
+    fleet.wait_until_polling_is_suspended("after one reconnected");
 
-    // A section that is wrong is named, and what was there stays.
+    // An invalid section is reported on reload, and the running configuration stays.
     let first = followers().start;
     let kept = fleet.cluster.sections[&first].clone();
-    fleet.follow(first, r#"["short"]"#, 1);
+    fleet.set_follow_section(first, r#"["short"]"#, 1);
     fleet.cluster.write_operator_config(first);
     fleet.cluster.signal(first, "-HUP");
-    wait_until("the fault is logged", || {
+    wait_until("the rejected reload is logged", || {
         fleet.cluster.log(first).contains("not reloaded")
     });
     let log = fleet.cluster.log(first);
@@ -305,9 +330,9 @@
     }
     fleet.cluster.sections.insert(first, kept);
     fleet.cluster.write_operator_config(first);
-    fleet.drains(6, "one reloaded in vain");
-    fleet.rests("after a reload in vain");
-    let status = fleet.status(first);
+    fleet.drain(6, "after a rejected reload");
+    fleet.wait_until_polling_is_suspended("after a rejected reload");
+    let status = fleet.follower_status(first);
     let sources = status["sources"].as_array().map_or(0, Vec::len);
     assert_eq!(
         (sources, &status["dark"]),
@@ -315,30 +340,38 @@
         "{status}"
     );
 
-    // All are gone: the balancers go on, say how old what they have is, and ask discovery themselves.
-    let key = fleet.key(7);
-    let calls = fleet.calls();
+    // All control instances are killed: the balancers keep serving, report the age of their list and poll discovery
+    // themselves.
+    let key = fleet.find_key(7);
+    let polls = fleet.balancer_polls();
     for i in 0..CONTROLS {
         fleet.cluster.kill(i);
     }
-    assert!(followers().all(|i| fleet.goes(i, &key, 7)), "they go on");
+    assert!(
+        followers().all(|i| fleet.reaches(i, &key, 7)),
+        "balancers serve without control instances"
+    );
     std::thread::sleep(MAX_AGE);
-    wait_until("discovery is asked", || fleet.calls() >= calls + BALANCERS);
-    fleet.drains(7, "all gone");
+    wait_until("discovery is polled", || {
+        fleet.balancer_polls() >= polls + BALANCERS
+    });
+    fleet.drain(7, "all killed");
     for i in followers() {
-        let status = fleet.status(i);
+        let status = fleet.follower_status(i);
         let age = status["age"].as_u64();
         assert!(age > Some(MAX_AGE.as_millis() as u64), "{i}: {status}");
-        wait_until("it is in the dark", || fleet.status(i)["dark"] == true);
+        wait_until("it reports all sources disconnected", || {
+            fleet.follower_status(i)["dark"] == true
+        });
     }
-    let shown = fleet.cluster.query_as_text(first, "changes");
-    assert!(shown.contains("in the dark"), "{shown}");
+    let table = fleet.cluster.query_as_text(first, "changes");
+    assert!(table.contains("in the dark"), "{table}");
 }
 
-/// The sub-command at both ends, for people and programs.
-fn shown(fleet: &Fleet) {
+/// Checks the JSON and the table of the sub-command `changes` on a follower and on the sources.
+fn check_changes_output(fleet: &Fleet) {
     let first = followers().start;
-    let status = fleet.status(first);
+    let status = fleet.follower_status(first);
     assert_eq!(
         (&status["full"], &status["dark"]),
         (&true.into(), &false.into()),
@@ -352,22 +385,22 @@
     assert_eq!(
         entries,
         Some(SERVERS as u64 + 1),
-        "rows and their head: {status}"
+        "one entry per server and a header: {status}"
     );
     let table = fleet.cluster.query_as_text(first, "changes");
     for part in ["follower", "age", "first", "second", "n0", "n1", "n2"] {
         assert!(table.contains(part), "{part}: {table}");
     }
-    // Each balancer has one first source, and all of them have confirmed the last changes.
-    let in_force = |i: usize| {
+    // Each balancer counts as a follower of its one first source, and all have confirmed the last change.
+    let first_followers = |i: usize| {
         let answer = fleet.cluster.query(i, "changes").unwrap_or_default();
         let status = &answer["source"]["status"];
         let changes = status["changes"].as_array().map_or(0, Vec::len);
-        let force = status["changes"][0]["after"].is_u64() && status["lagging"] == 0;
-        (changes > 0 && force).then(|| status["first"].as_u64().unwrap_or(0))
+        let confirmed = status["changes"][0]["after"].is_u64() && status["lagging"] == 0;
+        (changes > 0 && confirmed).then(|| status["first"].as_u64().unwrap_or(0))
     };
     wait_until("the last change is known to be in force", || {
-        let firsts: Option<Vec<u64>> = (0..CONTROLS).map(in_force).collect();
+        let firsts: Option<Vec<u64>> = (0..CONTROLS).map(first_followers).collect();
         firsts.is_some_and(|firsts| firsts.iter().sum::<u64>() == BALANCERS as u64)
     });
     let table = fleet.cluster.query_as_text(0, "changes");
@@ -383,29 +416,29 @@
     }
 }
 
-/// What the control instances had spent, and when, by their own count.
+/// Pieces sent by each control instance over time, from its own counter. The instant is taken before the query.
 #[derive(Default)]
-struct Spent(BTreeMap<usize, Vec<(Instant, u64)>>);
+struct RateCheck(BTreeMap<usize, Vec<(Instant, u64)>>);
 
-impl Spent {
-    /// No span may have cost more than the rate and what may go at once.
-    fn look(&mut self, fleet: &Fleet) {
+impl RateCheck {
+    /// Reads the counters and asserts that no span since an earlier sample exceeds the rate and the burst.
+    fn sample(&mut self, fleet: &Fleet) {
         for i in 0..CONTROLS {
-            let asked = Instant::now();
-            let Some(pieces) = fleet.pieces(i) else {
+            let query_start = Instant::now();
+            let Some(pieces) = fleet.pieces_sent(i) else {
                 continue;
             };
-            let told = Instant::now();
-            let before = self.0.entry(i).or_default();
-            for (from, earlier) in before.iter() {
-                let span = told - *from;
-                // A place in the schedule may be taken so much early or late.
+            let query_end = Instant::now();
+            let samples = self.0.entry(i).or_default();
+            for (from, earlier) in samples.iter() {
+                let span = query_end - *from;
+                // A reservation may be used this much early or late.
                 let span = span + Duration::from_millis(2 * RESERVATION_TOLERANCE);
-                let most = (span.as_secs_f64() * RATE as f64) as u64 + BURST + 1;
-                let spent = pieces - earlier;
-                assert!(spent <= most, "control {i}: {spent} pieces in {span:?}");
+                let limit = (span.as_secs_f64() * RATE as f64) as u64 + BURST + 1;
+                let sent = pieces - earlier;
+                assert!(sent <= limit, "control {i}: {sent} pieces in {span:?}");
             }
-            before.push((asked, pieces));
+            samples.push((query_start, pieces));
         }
     }
 }
