--- a/crates/cluster/src/lease_task.rs
+++ b/crates/cluster/src/lease_task.rs
@@ -1,7 +1,7 @@
 //! The interface of a task that one instance of the cluster runs per interval.
 //!
 //! ```
-//! use spanspur_cluster::lease_task::{GrantClock, LeaseTask, TaskResult};
+//! use spanspur_cluster::lease_task::{GrantClock, LeaseTask, TaskFuture};
 //! use spanspur_leases::LeaseGrant;
 //!
 //! /// Prints a line once a minute, at the lease's holder.
@@ -14,7 +14,7 @@
 //!     fn interval_ms(&self) -> u64 {
 //!         60_000
 //!     }
-//!     fn run(&self, grant: LeaseGrant, clock: GrantClock) -> TaskResult {
+//!     fn run(&self, grant: LeaseGrant, clock: GrantClock) -> TaskFuture {
 //!         Box::pin(async move {
 //!             // Do slow work first. Then check the grant again and act immediately.
 //!             if !clock.is_valid(&grant) {
@@ -34,7 +34,7 @@
 
 /// A running task. Its output is the entries to be published to the gossip stores of all instances, possibly none. Their
 /// versions must increase with the fencing token.
-pub type TaskResult = Pin<Box<dyn Future<Output = Vec<GossipEntry>>>>;
+pub type TaskFuture = Pin<Box<dyn Future<Output = Vec<GossipEntry>>>>;
 
 /// The clock on which grants expire.
 #[derive(Clone, Copy, Debug)]
@@ -64,5 +64,5 @@
     fn interval_ms(&self) -> Millis;
     /// Starts the task. The resource that the task acts on should be given the [`LeaseGrant::fencing_token`] and reject
     /// tokens lower than the highest that it has seen.
-    fn run(&self, grant: LeaseGrant, clock: GrantClock) -> TaskResult;
+    fn run(&self, grant: LeaseGrant, clock: GrantClock) -> TaskFuture;
 }
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -20,5 +20,5 @@
 pub mod udp_endpoint;
 
 pub use driver::{Cluster, ClusterHandle};
-pub use lease_task::{GrantClock, LeaseTask, TaskResult};
+pub use lease_task::{GrantClock, LeaseTask, TaskFuture};
 pub use node::{Effect, Node, NodeConfig};
--- a/src/cluster/endpoint_list/publisher.rs
+++ b/src/cluster/endpoint_list/publisher.rs
@@ -5,7 +5,7 @@
     EndpointEntry, LEASE_NAME, ListEntry, ListSummary, hash_endpoints,
 };
 use crate::discovery::endpoint_list::EndpointList;
-use spanspur_cluster::lease_task::{GrantClock, LeaseTask, TaskResult};
+use spanspur_cluster::lease_task::{GrantClock, LeaseTask, TaskFuture};
 use spanspur_leases::{LeaseGrant, Millis};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -183,7 +183,7 @@
         self.interval_ms
     }
 
-    fn run(&self, grant: LeaseGrant, clock: GrantClock) -> TaskResult {
+    fn run(&self, grant: LeaseGrant, clock: GrantClock) -> TaskFuture {
         let (list, interval) = (self.list.clone(), self.interval_ms);
         Box::pin(async move {
             if clock.is_valid(&grant) {
--- a/src/cluster/health_check.rs
+++ b/src/cluster/health_check.rs
@@ -4,7 +4,7 @@
 use crate::api::ServerId;
 use serde::{Deserialize, Serialize};
 use spanspur_cluster::ClusterHandle;
-use spanspur_cluster::lease_task::{GrantClock, LeaseTask, TaskResult};
+use spanspur_cluster::lease_task::{GrantClock, LeaseTask, TaskFuture};
 use spanspur_leases::{GossipEntry, LeaseGrant, LeaseId};
 use spanspur_operator_config::Probe;
 use std::io;
@@ -97,7 +97,7 @@
         self.settings.every_ms
     }
 
-    fn run(&self, grant: LeaseGrant, clock: GrantClock) -> TaskResult {
+    fn run(&self, grant: LeaseGrant, clock: GrantClock) -> TaskFuture {
         let (key, handle) = (self.result_key(), self.handle.clone());
         let check = HealthCheck {
             address: self.address,
