--- a/crates/cluster/src/control.rs
+++ b/crates/cluster/src/control.rs
@@ -203,7 +203,7 @@
 ///
 /// # Errors
 ///
-/// If no process listens on the socket, or its answer does not arrive in time.
+/// If no process listens on the socket, or the process sends nothing for two seconds.
 pub fn query(path: &Path, query: &str) -> io::Result<String> {
     use std::io::{BufRead, BufReader, Write};
     let mut stream = std::os::unix::net::UnixStream::connect(path)?;
--- a/crates/cluster/src/distribution.rs
+++ b/crates/cluster/src/distribution.rs
@@ -24,7 +24,7 @@
     pub counters: BTreeMap<String, u64>,
 }
 
-/// The status of one side of the distribution.
+/// The status of one side of the distribution: a source or a follower.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ReplicationStatus {
@@ -46,9 +46,9 @@
 
 /// A running source. Clones refer to the same source.
 #[derive(Clone)]
-pub struct SourceDriver(Rc<SourceTask>);
+pub struct SourceDriver(Rc<SourceState>);
 
-struct SourceTask {
+struct SourceState {
     endpoint: UdpEndpoint,
     datagrams_per_second: u32,
     source: RefCell<Source>,
@@ -62,7 +62,7 @@
     /// If the address cannot be bound.
     pub async fn start(config: SourceConfig) -> io::Result<Self> {
         let endpoint = UdpEndpoint::open(config.identity.address).await?;
-        let driver = Self(Rc::new(SourceTask {
+        let driver = Self(Rc::new(SourceState {
             datagrams_per_second: config.limits.datagrams_per_second,
             source: RefCell::new(Source::new(endpoint.now(), config)),
             endpoint,
@@ -84,7 +84,7 @@
         self.0.source.borrow_mut().confirm_complete(now);
     }
 
-    /// Replaces the cluster's keys.
+    /// Replaces the keys that authenticate datagrams between source and followers.
     pub fn rekey(&self, keys: Keys) {
         self.0.source.borrow_mut().rekey(keys);
     }
@@ -139,9 +139,9 @@
 
 /// A running follower. Clones refer to the same follower.
 #[derive(Clone)]
-pub struct FollowerDriver(Rc<FollowerTask>);
+pub struct FollowerDriver(Rc<FollowerState>);
 
-struct FollowerTask {
+struct FollowerState {
     endpoint: UdpEndpoint,
     follower: RefCell<Follower>,
     on_update: UpdateHandler,
@@ -157,7 +157,7 @@
     pub async fn start(mut config: FollowerConfig, on_update: UpdateHandler) -> io::Result<Self> {
         let endpoint = UdpEndpoint::open(config.identity.address).await?;
         config.identity.address = endpoint.address()?;
-        let driver = Self(Rc::new(FollowerTask {
+        let driver = Self(Rc::new(FollowerState {
             follower: RefCell::new(Follower::new(endpoint.now(), config)),
             endpoint,
             on_update,
@@ -166,7 +166,7 @@
         Ok(driver)
     }
 
-    /// Replaces the cluster's keys.
+    /// Replaces the keys that authenticate datagrams between source and followers.
     pub fn rekey(&self, keys: Keys) {
         self.0.follower.borrow_mut().rekey(keys);
     }
--- a/crates/cluster/src/lease_task.rs
+++ b/crates/cluster/src/lease_task.rs
@@ -32,8 +32,8 @@
 use std::pin::Pin;
 use std::time::Instant;
 
-/// A running task. Its output is the entries to be published to the gossip stores of all instances, possibly none. Their
-/// versions must increase with the fencing token.
+/// The future of a running task. Its output is the entries to be published to the gossip stores of all instances,
+/// possibly none. Their versions must increase with the fencing token.
 pub type TaskFuture = Pin<Box<dyn Future<Output = Vec<GossipEntry>>>>;
 
 /// The clock on which grants expire.
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -38,7 +38,7 @@
 /// One instance of a cluster, without I/O. The driver passes in the time and datagrams, and carries out the effects.
 pub struct Node {
     config: NodeConfig,
-    /// See [`hash_voters`].
+    /// The hash of the voters, sent with messages about leases. See [`hash_voters`].
     voters_hash: u64,
     sessions: Sessions,
     membership: Membership,
@@ -154,7 +154,7 @@
         }
     }
 
-    /// The time on the monotonic clock by which [`Node::wake`] has to be called.
+    /// The time on the monotonic clock, in milliseconds, by which [`Node::wake`] has to be called.
     pub fn next_wake(&self) -> Millis {
         let own_timers = self.next_seed_greeting.min(self.next_digest);
         let timers = [self.membership.next_wake(), self.leases.next_wake()];
--- a/crates/cluster/src/node/sending.rs
+++ b/crates/cluster/src/node/sending.rs
@@ -94,7 +94,8 @@
             return self.count("not-encoded");
         };
         if self.sessions.incarnation_of(to.0).is_none() {
-            // The payload is dropped. Its sender repeats it, and can seal it once the handshake is complete.
+            // Drops the payload. The protocol that produced it sends it again, by then within the session that the
+            // handshake creates.
             self.count("no-session");
             return self.greet(now, address);
         }
@@ -111,7 +112,7 @@
     }
 }
 
-/// The size of a value as postcard. A value that cannot be encoded counts as the maximum payload.
+/// The size of a value encoded as postcard, in bytes. A value that cannot be encoded counts as the maximum payload.
 fn encoded_size(value: &impl Serialize) -> usize {
     postcard::experimental::serialized_size(value).unwrap_or(MAX_PAYLOAD_BYTES)
 }
--- a/crates/cluster/src/node/status.rs
+++ b/crates/cluster/src/node/status.rs
@@ -72,6 +72,7 @@
     /// The numbers of dropped and rejected datagrams and entries, by counter name.
     pub fn counters(&self) -> BTreeMap<&'static str, u64> {
         let mut counters = self.counters.clone();
+        // Operators' tools read these names: rejections by the membership, and by the gossip store.
         counters.insert("gossip-refused", self.membership.rejected);
         counters.insert("board-refused", self.gossip_store.rejected_entries);
         counters
--- a/crates/cluster/src/udp_endpoint.rs
+++ b/crates/cluster/src/udp_endpoint.rs
@@ -50,8 +50,8 @@
 pub struct UdpEndpoint {
     socket: UdpSocket,
     origin: Instant,
-    /// Wakes the loop after a change of the timer from outside.
-    changed: Notify,
+    /// Notified when the handler's timer may have changed outside the loop.
+    timer_changed: Notify,
     traffic: Cell<Traffic>,
 }
 
@@ -61,7 +61,7 @@
     fn endpoint(&self) -> &UdpEndpoint;
     /// Handles a received datagram.
     fn receive(&self, from: SocketAddr, bytes: &[u8]);
-    /// The time on the endpoint's clock at which [`DatagramHandler::wake`] is due.
+    /// The time on the endpoint's clock, in milliseconds, at which [`DatagramHandler::wake`] is due.
     fn next_wake(&self) -> Millis;
     /// Handles expired timers.
     fn wake(&self);
@@ -79,7 +79,7 @@
         Ok(Self {
             socket: UdpSocket::bind(address).await?,
             origin: Instant::now(),
-            changed: Notify::new(),
+            timer_changed: Notify::new(),
             traffic: Cell::default(),
         })
     }
@@ -108,9 +108,9 @@
         self.traffic.get()
     }
 
-    /// Makes the loop read the timer again, after a change from outside the loop.
+    /// Makes the loop read the handler's timer again, after a change from outside the loop.
     pub fn reschedule(&self) {
-        self.changed.notify_one();
+        self.timer_changed.notify_one();
     }
 
     /// Sends a datagram if the socket accepts it at once, and drops it otherwise.
@@ -136,6 +136,7 @@
 /// Drives a handler on its endpoint. Never returns.
 pub async fn serve(handler: impl DatagramHandler) {
     let endpoint = handler.endpoint();
+    // The extra byte tells a datagram of the maximum size from a larger one, which would otherwise be cut to that size.
     let mut buffer = [0; MAX_DATAGRAM + 1];
     loop {
         let wake = handler.next_wake().min(endpoint.now() + MAX_SLEEP_MS);
@@ -145,7 +146,7 @@
                 tokio::time::sleep(SOCKET_ERROR_PAUSE).await;
             },
             () = sleep_until(wake.into()) => {}
-            () = endpoint.changed.notified() => {}
+            () = endpoint.timer_changed.notified() => {}
         }
         for _ in 0..MAX_BATCH {
             let Ok((size, from)) = endpoint.socket.try_recv_from(&mut buffer) else {
