--- a/src/cluster/endpoint_list.rs
+++ b/src/cluster/endpoint_list.rs
@@ -53,10 +53,10 @@
     confirmation: Cell<Option<Confirmation>>,
     /// Notified when the list may have become confirmed or stale.
     changed: Notify,
-    /// Set while this instance holds the lease.
+    /// The last term in which this instance held the lease; see [`SharedEndpointList::is_leading`].
     leadership: Cell<Option<Leadership>>,
-    /// The revision of the list, from this instance's own watch or, since it began to lead, from the last confirmation;
-    /// `None` if there is no list yet.
+    /// The revision of the list: the last one that this instance polled from discovery or, if higher when it acquired
+    /// the lease, that of the last confirmation. `None` if there is no list yet.
     own_revision: Cell<Option<u64>>,
     /// The last revision received from the discovery service that is watched now.
     discovery_revision: Cell<Option<u64>>,
@@ -109,7 +109,8 @@
         ListEntry::decode(entry).is_some()
     }
 
-    /// Until when the list counts as current because of another instance's watch; `None` if it does not.
+    /// Until when the list counts as current without polling discovery; `None` if it is not confirmed, its confirmation
+    /// is too old, or this instance holds the lease.
     fn confirmed_until(&self) -> Option<Instant> {
         let max_age = Duration::from_millis(self.max_age.get()?);
         let until = self.confirmation.get()?.at + max_age;
@@ -133,7 +134,7 @@
     }
 
     /// Waits until the list is no longer confirmed, or this instance has to watch discovery itself. Returns the revision
-    /// to poll from.
+    /// to poll from; `None` if the list was never confirmed.
     pub async fn wait_until_stale(&self) -> Option<u64> {
         loop {
             let changed = self.changed.notified();
@@ -193,7 +194,7 @@
         self.discovery_revision.set(None);
     }
 
-    /// Records that this instance's own watch has failed.
+    /// Records that this instance failed to poll discovery.
     pub fn record_discovery_failure(&self) {
         let has_list = self.own_revision.get().is_some();
         self.is_discovery_unreachable.set(!has_list);
--- a/src/cluster/endpoint_list/followed.rs
+++ b/src/cluster/endpoint_list/followed.rs
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Replaces the list with the followed one.
+    /// Replaces the list with the followed one, and returns it without removed endpoints.
     fn adopt_followed(&self) -> EndpointList {
         let followed = self.followed.borrow();
         let mut endpoints = self.endpoints.borrow_mut();
--- a/src/cluster/endpoint_list/publisher.rs
+++ b/src/cluster/endpoint_list/publisher.rs
@@ -32,6 +32,7 @@
 
 impl Leadership {
     fn next_version(&mut self) -> u64 {
+        // Saturates, so that the sequence number never reaches into the bits of the term.
         self.sequence = (self.sequence + 1).min((1 << SEQUENCE_BITS) - 1);
         self.term << SEQUENCE_BITS | self.sequence
     }
