--- a/src/cluster/error.rs
+++ b/src/cluster/error.rs
@@ -1,4 +1,4 @@
-//! Errors on the start of the cluster's parts.
+//! Errors when a part of the cluster starts.
 
 use std::io;
 use std::net::SocketAddr;
--- a/src/cluster/gossip_entries.rs
+++ b/src/cluster/gossip_entries.rs
@@ -161,7 +161,8 @@
     }
 }
 
-/// The hash over all endpoints except removed ones, in the order given.
+/// The hash over all endpoints except removed ones, in the order given. The lossy conversion to UTF-8 is part of the
+/// hash that instances of other versions compute, so it must not change.
 pub fn hash_endpoints<'a>(endpoints: impl Iterator<Item = &'a EndpointEntry>) -> u64 {
     let listed = endpoints.filter(|endpoint| !endpoint.is_removed());
     let bytes = listed.flat_map(|endpoint| postcard::to_stdvec(endpoint).unwrap_or_default());
