--- a/src/cluster/list_distributor.rs
+++ b/src/cluster/list_distributor.rs
@@ -57,7 +57,7 @@
         }))
     }
 
-    /// Replaces the keys.
+    /// Replaces the keys: those of the section or, if it has none, the cluster's.
     pub fn configure(&self, settings: &Distribute, cluster_secrets: &[String]) {
         let keys = derive_keys(secrets(settings, cluster_secrets));
         self.source.rekey(keys);
--- a/src/cluster/list_follower.rs
+++ b/src/cluster/list_follower.rs
@@ -67,7 +67,7 @@
         self.endpoint_list.clone()
     }
 
-    /// Applies the operator's settings, which the caller has validated.
+    /// Applies the settings that can change at run time: the keys and the maximum age. The caller has validated them.
     pub fn configure(&self, follow: &Follow) {
         self.follower.rekey(derive_keys(&follow.keys));
         self.endpoint_list.configure(Some(follow.max_age_ms));
--- a/src/cluster/member.rs
+++ b/src/cluster/member.rs
@@ -88,7 +88,7 @@
         self.endpoint_list.clone()
     }
 
-    /// Applies the operator's settings, which the caller has validated.
+    /// Applies the settings that can change at run time: keys, seeds and duties. The caller has validated them.
     pub fn configure(&self, operator: OperatorConfig) {
         if let Some(cluster) = &operator.cluster {
             self.handle
@@ -101,7 +101,7 @@
         self.register_tasks();
     }
 
-    /// Releases all leases before the process ends.
+    /// Stops publishing the endpoint list, releases all leases and leaves the cluster before the process ends.
     pub fn leave(&self) {
         self.endpoint_list.stop();
         self.handle.leave();
@@ -135,7 +135,7 @@
                 list: self.endpoint_list.clone(),
             }));
         }
-        // Drops the results of servers that were removed.
+        // Drops the results of servers that are no longer checked.
         let list = &self.endpoint_list;
         self.handle.with_node(|node, _| {
             node.gossip_store_mut().retain(|entry| {
@@ -168,7 +168,7 @@
         while let Some(entry) = updates.recv().await {
             if self.endpoint_list.is_list_entry(&entry) {
                 self.distribute(&entry);
-                // A heartbeat changes no endpoint.
+                // Heartbeats and summaries change no endpoint.
                 if let Some(list) = self.endpoint_list.apply_entry(&entry) {
                     self.runtime.update_endpoints(api::UpdateKind::Delta, list);
                 }
