--- a/src/cluster/endpoint_list/publisher.rs
+++ b/src/cluster/endpoint_list/publisher.rs
@@ -5,7 +5,7 @@
     EndpointEntry, LEASE_NAME, ListEntry, ListSummary, hash_endpoints,
 };
 use crate::discovery::endpoint_list::EndpointList;
-use spanspur_cluster::lease_task::{GrantClock, LeaseTask, TaskResult};
+use spanspur_cluster::lease_task::{GrantClock, LeaseTask, TaskFuture};
 use spanspur_leases::{LeaseGrant, Millis};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -32,6 +32,7 @@
 
 impl Leadership {
     fn next_version(&mut self) -> u64 {
+        // Saturates, so that the sequence number never reaches into the bits of the term.
         self.sequence = (self.sequence + 1).min((1 << SEQUENCE_BITS) - 1);
         self.term << SEQUENCE_BITS | self.sequence
     }
@@ -183,7 +184,7 @@
         self.interval_ms
     }
 
-    fn run(&self, grant: LeaseGrant, clock: GrantClock) -> TaskResult {
+    fn run(&self, grant: LeaseGrant, clock: GrantClock) -> TaskFuture {
         let (list, interval) = (self.list.clone(), self.interval_ms);
         Box::pin(async move {
             if clock.is_valid(&grant) {
